--- /dev/null
+++ b/benchmarks/decision_cost.py
@@ -0,0 +1,132 @@
+"""Processor time that the decision module takes for a connection, over the simulator's wire.
+
+    python -m benchmarks.decision_cost [--beside TREE] [--connections 4000] [--rounds 5]
+
+Each measurement is a process of its own, `python -m puffindeck.benchlink`, that is given one session: a list
+of endpoints, then connections that are requested, established, report their load and end. The time of an empty
+session, without connections, is subtracted. With `--beside` another checkout is measured in turn with this one.
+"""
+
+from __future__ import annotations
+
+import argparse
+import json
+import os
+import subprocess
+import sys
+import tempfile
+from pathlib import Path
+from random import Random
+from statistics import median
+from struct import pack
+
+from benchmarks.table import table
+
+ROOT = Path(__file__).parent.parent
+ENDPOINT_COUNTS = (15, 10_000)
+OPEN_AT_ONCE = 200  # connections that are open at the same time
+STEP_MS = 2.0  # of simulated time between two arrivals
+SETTINGS = {
+    "classes": [{"aimMs": 300, "hardLimitMs": 1200, "repeat": "pure"}],
+    "peersTotal": 4,
+    "limits": {"maxAttempts": 3},
+    "rules": {
+        "drainGraceMs": 500,
+        "answerSlackMs": 8,
+        "coldFrom": 0.2,
+        "warmAfterMs": 9000,
+        "overloadFactor": 3,
+        "fallMs": 2000,
+    },
+}
+
+
+def record(code: int, data: bytes) -> bytes:
+    """One record of a batch."""
+    return pack("<BI", code, len(data)) + data
+
+
+def batch(number: int, now_ms: float, records: list[bytes]) -> bytes:
+    """One batch of records."""
+    body = b"".join(records)
+    return pack("<IIdI", len(body) + 16, len(records), now_ms, number) + body
+
+
+def start(endpoints: int) -> list[bytes]:
+    """An instance that begins with a list of that many endpoints."""
+    settings = json.dumps(SETTINGS).encode()
+    rows = [pack("<IHBHBfd", 1 + number, 0, 0, 0, 1, 1.0, 0.0) for number in range(endpoints)]
+    return [
+        record(12, pack("<H", 0)),
+        record(0, pack("<QI", 7, len(settings)) + settings),
+        record(1, pack("<BII", 2, 1, len(rows)) + b"".join(rows)),
+    ]
+
+
+def session(endpoints: int, connections: int) -> bytes:
+    """A whole session. Which endpoint takes a connection is not known here, so outcomes name the first."""
+    random = Random(1)
+    frames = [batch(1, 1000.0, start(endpoints))]
+    for number in range(connections):
+        now_ms = 1000.0 + STEP_MS * (number + 1)
+        records = [record(12, pack("<H", 0))]
+        request = 1 + number
+        key = random.getrandbits(64)
+        records.append(record(2, pack("<IBHQddQB", request, 0, 0, key, 1200.0, 5.0, 0, 1)))
+        if number:
+            records.append(record(3, pack("<IIdB", request - 1, 1, STEP_MS, 0)))
+            records.append(record(11, pack("<IBIBf", request - 1, 0, 1, 1, 5.0 + random.random())))
+        if number > OPEN_AT_ONCE:
+            records.append(record(4, pack("<IBIBBd", request - OPEN_AT_ONCE, 1, 1, 0, 1, 400.0)))
+        frames.append(batch(2 + number, now_ms, records))
+    return b"".join(frames)
+
+
+def processor_seconds(tree: Path, frames: bytes) -> float:
+    """User time of one process of a checkout that answers a session."""
+    with tempfile.TemporaryFile() as source:
+        source.write(frames)
+        source.seek(0)
+        process = subprocess.Popen(
+            [sys.executable, "-m", "puffindeck.benchlink"],
+            cwd=tree,
+            stdin=source,
+            stdout=subprocess.DEVNULL,
+            env={**os.environ, "PYTHONPATH": str(tree), "PYTHONHASHSEED": "0"},
+        )
+        _, status, usage = os.wait4(process.pid, 0)
+        process.returncode = os.waitstatus_to_exitcode(status)
+    if process.returncode:
+        raise RuntimeError(f"{tree}: the session ended with {process.returncode}")
+    return usage.ru_utime
+
+
+def measure(trees: list[Path], connections: int, rounds: int) -> None:
+    """Print microseconds a connection for each number of endpoints."""
+    rows = []
+    for endpoints in ENDPOINT_COUNTS:
+        empty, full = session(endpoints, 0), session(endpoints, connections)
+        costs: dict[Path, list[float]] = {tree: [] for tree in trees}
+        for _ in range(rounds):
+            for tree, found in costs.items():
+                spent = processor_seconds(tree, full) - processor_seconds(tree, empty)
+                found.append(1e6 * spent / connections)
+        middle = [median(costs[tree]) for tree in trees]
+        rows.append([endpoints, *(f"{cost:.1f}" for cost in middle), middle[0] / middle[-1]])
+    heads = ["this tree", "the other"][: len(trees)]
+    print(f"microseconds of processor time a connection: {connections} of them, medians of {rounds} rounds\n")
+    print(table(["endpoints", *heads, "ratio"], rows))
+
+
+def main() -> None:
+    """Read the arguments and measure."""
+    parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
+    parser.add_argument("--beside", type=Path)
+    parser.add_argument("--connections", type=int, default=4000)
+    parser.add_argument("--rounds", type=int, default=5)
+    given = parser.parse_args()
+    measure([ROOT, *([given.beside.resolve()] if given.beside else [])], given.connections, given.rounds)
+
+
+if __name__ == "__main__":
+    main()
--- /dev/null
+++ b/tests/compatibility/bindings.py
@@ -0,0 +1,201 @@
+"""The names that this version of the code has for what the compatibility tests write and read."""
+
+from __future__ import annotations
+
+import io
+import os
+from collections.abc import Iterable
+from pathlib import Path
+from types import SimpleNamespace
+from typing import Any
+
+import msgspec
+import puffindeck_membership.messages as membership_messages
+import puffindeck_quota.model as quota_messages
+import puffindeck_residency.books as residency_messages
+from puffindeck_fleet.gateway import Fleet
+from puffindeck_fleet.governor import Governor
+from puffindeck_fleet.keeping import Keeper, Kept
+from puffindeck_fleet.wire import Wire
+from puffindeck_quota import Quota
+from puffindeck_residency import Books
+
+from puffindeck import benchlink
+from puffindeck.config.fleet import installation
+from puffindeck.core.timer_queue import TimerQueue
+from puffindeck.interface import Settings
+from puffindeck.net.records import Records
+from puffindeck.net.upgrade import Generation
+
+
+def _by_tag(module: Any) -> dict[int, type[msgspec.Struct]]:
+    """The messages of a module, by the number that stands for each on the wire."""
+    structs = [
+        kind for kind in vars(module).values() if isinstance(kind, type) and issubclass(kind, msgspec.Struct)
+    ]
+    return {
+        kind.__struct_config__.tag: kind for kind in structs if isinstance(kind.__struct_config__.tag, int)
+    }
+
+
+# Fleet datagrams
+
+MEMBERSHIP_MESSAGES = _by_tag(membership_messages)
+QUOTA_MESSAGES = _by_tag(quota_messages)
+RESIDENCY_MESSAGES = _by_tag(residency_messages)
+
+
+def member_update(*fields: Any) -> Any:
+    """What a datagram says of a member: name, phase, incarnation, process, address, region."""
+    return membership_messages.News(*fields)
+
+
+def datagram(fleet: str, *fields: Any) -> bytes:
+    """A datagram: sender, process, incarnation, number, receiver, milliseconds, body, member updates."""
+    return Wire(fleet).write(membership_messages.Envelope(*fields))
+
+
+def read_datagram(fleet: str, data: bytes) -> tuple[Any, ...]:
+    """The fields of a datagram."""
+    envelope = Wire(fleet).read(data)
+    return tuple(getattr(envelope, field) for field in envelope.__struct_fields__)
+
+
+def quota_allocation(members: list[tuple[str, int, str]], amounts: dict[str, int]) -> Any:
+    """Who is given permits in an epoch."""
+    return quota_messages.Roster(members, amounts)
+
+
+def encode_quota(message: Any) -> bytes:
+    """A message between two gateways' quotas."""
+    return quota_messages.ENCODER.encode(message)
+
+
+def decode_quota(data: bytes) -> Any:
+    """The message that stands in those octets."""
+    return quota_messages.DECODER.decode(data)
+
+
+def encode_residency(message: Any) -> bytes:
+    """A message between two gateways' rules."""
+    return residency_messages.ENCODER.encode(message)
+
+
+def decode_residency(data: bytes) -> Any:
+    """The message that stands in those octets."""
+    return residency_messages.DECODER.decode(data)
+
+
+# Stored files
+
+
+def write_member_state(folder: Path, name: str, incarnation: int) -> None:
+    """Store a member's incarnation."""
+    Keeper(folder, name).write(Kept(name, incarnation))
+
+
+def read_member_state(folder: Path, name: str) -> tuple[str, int] | None:
+    """The name and incarnation that are stored."""
+    kept = Keeper(folder, name).read()
+    return (kept.name, kept.incarnation) if kept is not None else None
+
+
+def mark_detached(folder: Path, host: str, detached: bool) -> None:
+    """Store that a host is out of use, or in use again."""
+    records = Records(folder)
+    records.open()
+    if detached:
+        records.put(host)
+    else:
+        records.drop(host)
+
+
+def detached_hosts(folder: Path) -> set[str]:
+    """The hosts that are stored as out of use."""
+    return Records(folder).read()
+
+
+class UpgradeProcess:
+    """This process among those that share the clients' socket in an upgrade."""
+
+    def __init__(self, folder: Path) -> None:
+        self._generation = Generation(folder)
+        self._generation.begin()
+        self.file_name = self._generation.name
+
+    def publish(self, ready: bool) -> None:
+        """Say whether this process is ready."""
+        self._generation.tell(ready)
+
+    def others(self) -> list[tuple[bool, bool, int]]:
+        """The other processes: newer than this one, ready, open descriptors."""
+        return [(other.newer, other.ready, other.descriptors) for other in self._generation.others()]
+
+    def write_load_limits(self, limits: dict[str, float | None], now_ms: float) -> None:
+        """Store the load that each host has been seen to bear."""
+        self._generation.leave_word(limits, now_ms)
+
+    def read_load_limits(self, now_ms: float) -> dict[str, float | None]:
+        """What an earlier process has stored."""
+        return self._generation.word(now_ms)
+
+    def end(self) -> None:
+        """Leave the others."""
+        self._generation.end()
+
+
+def open_descriptors() -> int:
+    """How many descriptors this process has open."""
+    return len(os.listdir("/dev/fd"))
+
+
+# Operators' calls
+
+
+class FixedClock:
+    """A clock that stands still."""
+
+    def now(self) -> Any:
+        """The moment, as the clock of the node has it."""
+        from puffindeck.core.clock import span
+
+        return span(1_000_000_500.0)
+
+
+def operator_documents(
+    fleet: dict[str, Any],
+    quota: dict[str, Any],
+    residency: dict[str, Any],
+    name: str,
+    process: int,
+    seed: int,
+    peers: Iterable[tuple[Any, ...]],
+) -> dict[str, bytes]:
+    """The JSON of each operators' call of a gateway that has just started and knows those peers."""
+    installed = installation(fleet, quota, residency, name)
+    assert installed is not None
+    assert installed.quota is not None
+    deadlines = TimerQueue(FixedClock(), SimpleNamespace())  # type: ignore[arg-type]
+    gateway = Fleet(None, deadlines, name, installed.fleet, process, seed, lambda error: None)
+    limits = Quota(
+        name, life=process, voters=installed.quota.voters, limits=installed.quota.limits, seed=seed
+    )
+    books = Books(name, installed.residency.book, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
+    inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
+    settings = Settings((), 1, 0, 1, 0.0, 0.0, 1.0, 0.0, 1.0, 0.0)
+    governor = Governor(inner, settings, limits, books=books)
+    gateway.join(None, governor)
+    for fields in peers:
+        gateway.member.table.put(member_update(*fields), 0.0)
+    documents = {"/_fleet": gateway.view(), "/_quotas": gateway.quotas(), "/_residency": gateway.residency()}
+    return {path: msgspec.json.encode(document) for path, document in documents.items()}
+
+
+# The simulator's frames
+
+
+def play_frames(frames: bytes) -> bytes:
+    """What the decision module answers to a session of the simulator."""
+    sink = io.BytesIO()
+    benchlink.run(io.BytesIO(frames), sink)
+    return sink.getvalue()
