--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -3,8 +3,8 @@
     python -m benchmarks.decision_cost [--beside TREE] [--connections 4000] [--rounds 5]
 
 Each measurement is a process of its own, `python -m puffindeck.benchlink`, that is given one session: a list
-of endpoints, then connections that are requested, established, report their load and end. The time of an empty
-session, without connections, is subtracted. With `--beside` another checkout is measured in turn with this one.
+of endpoints, then connections that are requested, established, report their load and end. The time of a
+session without connections is subtracted. With `--beside` another checkout is measured in turn with this one.
 """
 
 from __future__ import annotations
