--- a/benchmarks/rpc_cost.py
+++ b/benchmarks/rpc_cost.py
@@ -42,8 +42,14 @@
                         took[kind].append(1e6 * (time.perf_counter() - began))
                 if turn:
                     middle = {kind: median(times) for kind, times in took.items()}
-                    rows.append([turn, f"{middle['bare']:.0f}", f"{middle['balanced']:.0f}",
-                                 middle["balanced"] / middle["bare"]])
+                    rows.append(
+                        [
+                            turn,
+                            f"{middle['bare']:.0f}",
+                            f"{middle['balanced']:.0f}",
+                            middle["balanced"] / middle["bare"],
+                        ]
+                    )
     await box.end()
     print(f"unary calls, one at a time, {calls} of each kind a round; medians in microseconds\n")
     print(table(["round", "bare grpc.aio", "BalancedChannel", "ratio"], rows))
--- a/benchmarks/rpc_parts.py
+++ b/benchmarks/rpc_parts.py
@@ -103,7 +103,7 @@
     async def run(self) -> None:
         keys = Random(self.told.seed)
         wanted = [f"{keys.getrandbits(63):x}" for _ in range(self.told.first + self.told.count)]
-        mine = wanted[self.told.first:]
+        mine = wanted[self.told.first :]
         await self.prepare(len(mine))
         say("ready")
         reader = await commands()
--- a/benchmarks/table.py
+++ b/benchmarks/table.py
@@ -7,6 +7,7 @@
 
 def table(head: Sequence[str], rows: Iterable[Sequence[object]]) -> str:
     """The rows under their heads; floats with three figures behind the point."""
+
     def text(cell: object) -> str:
         return f"{cell:.3f}" if isinstance(cell, float) else str(cell)
 
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,8 +1,8 @@
 """A toy world for one node, all on loopback: three hosts and discovery, or one client.
 
-    python examples/toy.py world        hosts at 6001 to 6003, discovery at 8500; reads commands:
-                                        drain h1, serve h1, gone h1
-    python examples/toy.py client KEY   asks the node at 5000, then says something each second
+python examples/toy.py world        hosts at 6001 to 6003, discovery at 8500; reads commands:
+                                    drain h1, serve h1, gone h1
+python examples/toy.py client KEY   asks the node at 5000, then says something each second
 """
 
 from __future__ import annotations
@@ -30,8 +30,16 @@
 
     def text(self, full: bool, *names: str) -> bytes:
         targets = [
-            {"uid": name, "endpoint": f"127.0.0.1:{HOSTS[name]}", "az": "atlanta", "model": "std-box",
-             "pod_group": 1, "state": self.states[name], "capacity_hint": 1.0, "boot_ms": 0}
+            {
+                "uid": name,
+                "endpoint": f"127.0.0.1:{HOSTS[name]}",
+                "az": "atlanta",
+                "model": "std-box",
+                "pod_group": 1,
+                "state": self.states[name],
+                "capacity_hint": 1.0,
+                "boot_ms": 0,
+            }
             for name in names or HOSTS
         ]
         return json.dumps({"rev": self.version, "all": full, "targets": targets}).encode() + b"\n"
--- a/packages/faults/src/puffindeck_faults/checker.py
+++ b/packages/faults/src/puffindeck_faults/checker.py
@@ -52,8 +52,12 @@
     """All breaks, in the order of their times."""
     checker = _Checker(records, terms)
     found = [
-        *checker.answers(), *checker.attempts(), *checker.drains(), *checker.slow_start(),
-        *checker.connections(), *checker.lives(),
+        *checker.answers(),
+        *checker.attempts(),
+        *checker.drains(),
+        *checker.slow_start(),
+        *checker.connections(),
+        *checker.lives(),
     ]
     return sorted(found, key=lambda one: one.at)
 
@@ -74,7 +78,9 @@
         """Was its node killed with no word before, while it was there?"""
         ends = min(client.ended or math.inf, client.left or math.inf)
         return any(
-            life.name == client.node and life.killed is not None and life.told_to_stop is None
+            life.name == client.node
+            and life.killed is not None
+            and life.told_to_stop is None
             and (client.connected or 0.0) - SLACK_S <= life.killed <= ends + SLACK_S
             for life in self._records.lives
         )
--- a/packages/faults/src/puffindeck_faults/clients.py
+++ b/packages/faults/src/puffindeck_faults/clients.py
@@ -68,9 +68,7 @@
             finally:
                 writer.close()
 
-    async def _usual(
-        self, record: ClientRecord, port: int, hold_s: float, leave_after_s: float | None
-    ) -> None:
+    async def _usual(self, record: ClientRecord, port: int, hold_s: float, leave_after_s: float | None) -> None:
         try:
             reader, writer = await asyncio.open_connection(self._address, port)
         except OSError:
@@ -93,9 +91,7 @@
                 record.left = now()
             writer.close()
 
-    async def _answered(
-        self, record: ClientRecord, reader: asyncio.StreamReader, leave_after_s: float | None
-    ) -> None:
+    async def _answered(self, record: ClientRecord, reader: asyncio.StreamReader, leave_after_s: float | None) -> None:
         patience = record.deadline_s + LATE_S if leave_after_s is None else leave_after_s
         with suppress(TimeoutError):
             line = await asyncio.wait_for(reader.readline(), patience)
--- a/packages/faults/src/puffindeck_faults/node_process.py
+++ b/packages/faults/src/puffindeck_faults/node_process.py
@@ -33,17 +33,42 @@
 def settings(classes: Sequence[Class], gateways: int, **changes: Any) -> dict[str, Any]:
     """Settings by the keys of the protocol page; `changes` go over its tables."""
     told: dict[str, Any] = {
-        "peersTotal": gateways, "locality": 0, "zones": ["a"], "kinds": ["m"],
-        "membershipMode": "subscribe", "weights": "nominal", "workload": "conn",
+        "peersTotal": gateways,
+        "locality": 0,
+        "zones": ["a"],
+        "kinds": ["m"],
+        "membershipMode": "subscribe",
+        "weights": "nominal",
+        "workload": "conn",
         "classes": [
-            {"name": c.name, "aimMs": c.aim_ms, "hardLimitMs": c.deadline_ms, "repeat": c.repeat,
-             "group": "all", "keyTtlMs": 10000.0} for c in classes
+            {
+                "name": c.name,
+                "aimMs": c.aim_ms,
+                "hardLimitMs": c.deadline_ms,
+                "repeat": c.repeat,
+                "group": "all",
+                "keyTtlMs": 10000.0,
+            }
+            for c in classes
         ],
         "familyInfo": {"groups": True, "messageAimMs": [100.0] * len(classes), "mode": "proxy"},
-        "limits": {"maxAttempts": 3, "connectTimeoutMs": 250, "retryAfter": True, "maxRetryAfterMs": 1500,
-                   "cancelling": True, "parallelTries": False},
-        "rules": {"drainGraceMs": 500, "answerSlackMs": 20, "askWithinMs": 10000, "coldFrom": 0.31,
-                  "warmAfterMs": 9000, "overloadFactor": 3, "fallMs": 1000},
+        "limits": {
+            "maxAttempts": 3,
+            "connectTimeoutMs": 250,
+            "retryAfter": True,
+            "maxRetryAfterMs": 1500,
+            "cancelling": True,
+            "parallelTries": False,
+        },
+        "rules": {
+            "drainGraceMs": 500,
+            "answerSlackMs": 20,
+            "askWithinMs": 10000,
+            "coldFrom": 0.31,
+            "warmAfterMs": 9000,
+            "overloadFactor": 3,
+            "fallMs": 1000,
+        },
     }
     for key, value in changes.items():
         told[key] = {**told[key], **value} if isinstance(value, dict) else value
@@ -71,9 +96,13 @@
     def write_config(self, discovery: int, told: dict[str, Any]) -> None:
         """The file that it reads at its start and at SIGHUP."""
         self.config = {
-            "name": self.name, "listen": f"{self._address}:{self.port}", "discovery": f"{self._address}:{discovery}",
-            "seed": f"{self._seed:x}", "limits": {"cores": 1.0, "memory_mb": 128, "sockets": self.sockets},
-            "known": {"rev": 0, "all": True, "targets": []}, "settings": told,
+            "name": self.name,
+            "listen": f"{self._address}:{self.port}",
+            "discovery": f"{self._address}:{discovery}",
+            "seed": f"{self._seed:x}",
+            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": self.sockets},
+            "known": {"rev": 0, "all": True, "targets": []},
+            "settings": told,
         }
         self.write_text(json.dumps(self.config))
 
@@ -87,13 +116,20 @@
         """Start a process and wait until it says PONG. Raises TimeoutError."""
         self._lives += 1
         environment = {
-            **os.environ, **self.machine.environment(), "EDGE_CONFIG": str(self.folder / "config.json"),
-            "EDGE_OPERATOR": f"{self._address}:{self.operator}", "TMPDIR": str(self.folder / "tmp"),
+            **os.environ,
+            **self.machine.environment(),
+            "EDGE_CONFIG": str(self.folder / "config.json"),
+            "EDGE_OPERATOR": f"{self._address}:{self.operator}",
+            "TMPDIR": str(self.folder / "tmp"),
         }
         with (self.folder / f"log.{self._lives}").open("wb") as log:
             self.process = subprocess.Popen(
-                [sys.executable, "-m", "puffindeck"], env=environment, stdin=subprocess.DEVNULL, stdout=log,
-                stderr=log, start_new_session=True,
+                [sys.executable, "-m", "puffindeck"],
+                env=environment,
+                stdin=subprocess.DEVNULL,
+                stdout=log,
+                stderr=log,
+                start_new_session=True,
             )
         self.life = NodeLife(self.name, now())
         self._records.lives.append(self.life)
--- a/packages/faults/src/puffindeck_faults/player.py
+++ b/packages/faults/src/puffindeck_faults/player.py
@@ -40,8 +40,14 @@
         short, long = schedule.deadlines_ms
         classes = (Class("chat", short, aim_ms=short // 4), Class("sync", long, aim_ms=long // 5))
         self.world = World(
-            folder, schedule.nodes, schedule.hosts, classes, schedule.seed, schedule.sockets,
-            address=address_of(schedule.seed), limits={"maxAttempts": schedule.max_attempts},
+            folder,
+            schedule.nodes,
+            schedule.hosts,
+            classes,
+            schedule.seed,
+            schedule.sockets,
+            address=address_of(schedule.seed),
+            limits={"maxAttempts": schedule.max_attempts},
         )
         self._random = Random(f"player/{schedule.seed}")
         self._busy: set[str] = set()  # nodes that are being restarted, hosts that are away
--- a/packages/faults/src/puffindeck_faults/schedule.py
+++ b/packages/faults/src/puffindeck_faults/schedule.py
@@ -83,9 +83,16 @@
         faults.append(_fault(random, moment, random.choice(kinds), nodes, hosts))
         moment += random.expovariate(1.0) * 0.8
     return Schedule(
-        seed=seed, seconds=seconds, nodes=nodes, hosts=hosts, sockets=random.choice((160, 256)),
-        rate=random.choice((4.0, 8.0, 12.0)), quiet_s=quiet_s, max_attempts=random.choice((1, 2, 3, 3)),
-        deadlines_ms=random.choice(((600, 1500), (1200, 2500), (1800, 3200))), faults=tuple(faults),
+        seed=seed,
+        seconds=seconds,
+        nodes=nodes,
+        hosts=hosts,
+        sockets=random.choice((160, 256)),
+        rate=random.choice((4.0, 8.0, 12.0)),
+        quiet_s=quiet_s,
+        max_attempts=random.choice((1, 2, 3, 3)),
+        deadlines_ms=random.choice(((600, 1500), (1200, 2500), (1800, 3200))),
+        faults=tuple(faults),
     )
 
 
@@ -96,8 +103,14 @@
         return Fault(at_s, kind, node, amount=random.choice(STEPS_S))
     if kind is Kind.CALL:
         call = random.choice(tuple(CALL_ERRORS))
-        return Fault(at_s, kind, node, f"{call} {random.choice(CALL_ERRORS[call])}",
-                     random.choice((0.1, 0.5, 1.0)), random.uniform(0.05, 0.5))
+        return Fault(
+            at_s,
+            kind,
+            node,
+            f"{call} {random.choice(CALL_ERRORS[call])}",
+            random.choice((0.1, 0.5, 1.0)),
+            random.uniform(0.05, 0.5),
+        )
     if kind is Kind.SHORT:
         return Fault(at_s, kind, node, amount=random.choice((1, 3, 17)), lasts_s=lasts_s)
     if kind is Kind.HOLD_UP:
--- a/packages/faults/src/puffindeck_faults/soak.py
+++ b/packages/faults/src/puffindeck_faults/soak.py
@@ -93,9 +93,7 @@
 @click.option("--jobs", default=2, help="Runs at a time.")
 @click.option("--keep", "kept", default="found/soak", type=click.Path(path_type=Path), help="For runs that broke.")
 @click.option("--replay", type=click.Path(exists=True, path_type=Path), help="A folder of such a run.")
-def main(
-    seeds: str, seconds: float, only: tuple[str, ...], jobs: int, kept: Path, replay: Path | None
-) -> None:
+def main(seeds: str, seconds: float, only: tuple[str, ...], jobs: int, kept: Path, replay: Path | None) -> None:
     """Play runs, a line each."""
     if replay is not None:
         schedules = [msgspec.json.decode((replay / SCHEDULE).read_bytes(), type=Schedule)]
--- a/packages/faults/tests/conftest.py
+++ b/packages/faults/tests/conftest.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import pytest
+
 from puffindeck_faults.machine import NoCompilerError, library
 
 
--- a/packages/faults/tests/test_soak.py
+++ b/packages/faults/tests/test_soak.py
@@ -7,6 +7,7 @@
 import click
 import msgspec
 import pytest
+
 from puffindeck_faults.schedule import Kind, Schedule, draw
 from puffindeck_faults.soak import run, seeds_of
 
--- a/packages/faults/tests/test_wall_clock.py
+++ b/packages/faults/tests/test_wall_clock.py
@@ -11,6 +11,7 @@
 from pathlib import Path
 
 import pytest
+
 from puffindeck_faults.hosts import Behaviour
 from puffindeck_faults.records import now
 from puffindeck_faults.world import CLASSES, World
--- a/packages/fleet/src/puffindeck_fleet/datagrams.py
+++ b/packages/fleet/src/puffindeck_fleet/datagrams.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from puffindeck.core.datagram_port import listen_datagrams
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
+from puffindeck.core.datagram_port import listen_datagrams
 from puffindeck_fleet.errors import BindFailed
 
 LARGEST = 65535  # bytes of a datagram
@@ -59,7 +59,10 @@
     """The sockets of one member."""
 
     def __init__(
-        self, reactor: Any, address: tuple[str, int], came: Callable[[bytes, str], None],
+        self,
+        reactor: Any,
+        address: tuple[str, int],
+        came: Callable[[bytes, str], None],
         refused: Callable[[str], None],
     ) -> None:
         self._reactor, self._address, self._came, self._refused = reactor, address, came, refused
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -8,12 +8,19 @@
 from pathlib import Path
 from typing import Any
 
+from twisted.logger import Logger
+
 import puffindeck_membership.errors as membership_errors
 import puffindeck_quota.errors as quota_errors
 import puffindeck_residency.errors as residency_errors
 from puffindeck.core.clock import ms, span
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck_errors import OperatorError, described
+from puffindeck_fleet.datagrams import Datagrams
+from puffindeck_fleet.errors import FleetError
+from puffindeck_fleet.governor import FLUSH, Governor
+from puffindeck_fleet.keeping import Keeper, Kept
+from puffindeck_fleet.wire import MOST, Dropped, Wire
 from puffindeck_membership import (
     Arrived,
     Changed,
@@ -39,13 +46,6 @@
 from puffindeck_residency import Parcel as BookParcel
 from puffindeck_residency import Reported as BookReported
 from puffindeck_residency import Seen as BookSeen
-from twisted.logger import Logger
-
-from puffindeck_fleet.datagrams import Datagrams
-from puffindeck_fleet.errors import FleetError
-from puffindeck_fleet.governor import FLUSH, Governor
-from puffindeck_fleet.keeping import Keeper, Kept
-from puffindeck_fleet.wire import MOST, Dropped, Wire
 
 log = Logger("puffindeck")
 
@@ -67,7 +67,13 @@
     """
 
     def __init__(
-        self, reactor: Any, deadlines: TimerQueue, name: str, told: Any, life: int, seed: int,
+        self,
+        reactor: Any,
+        deadlines: TimerQueue,
+        name: str,
+        told: Any,
+        life: int,
+        seed: int,
         ended: Callable[[OperatorError], None],
     ) -> None:
         self.deadlines, self.told, self.name, self.life = deadlines, told, name, life
@@ -79,7 +85,12 @@
         self._datagrams = Datagrams(reactor, told.bind, self._came, self._refused)
         host, port = told.bind
         self.member = Membership(
-            name, told.advertise or f"{host}:{port}", told.region, life=life, peers=told.peers, seed=seed,
+            name,
+            told.advertise or f"{host}:{port}",
+            told.region,
+            life=life,
+            peers=told.peers,
+            seed=seed,
             incarnation=incarnation,
         )
         self.quota: Quota | None = None
@@ -102,8 +113,13 @@
     def start(self) -> None:
         """Open the socket and look for the others. BindFailed if there is none."""
         address = self._datagrams.open()
-        log.info("fleet {fleet}: {name} at {address}, incarnation {incarnation}", fleet=self.told.name,
-                 name=self.name, address=address, incarnation=self.member.incarnation)
+        log.info(
+            "fleet {fleet}: {name} at {address}, incarnation {incarnation}",
+            fleet=self.told.name,
+            name=self.name,
+            address=address,
+            incarnation=self.member.incarnation,
+        )
         self._do_member()
         self._tick_quota()
 
@@ -191,8 +207,12 @@
 
     def _changed(self, action: Changed) -> None:
         news = action.news
-        log.info("fleet: {name} is {state}, incarnation {incarnation}", name=news.name,
-                 state=STATES[Phase(news.phase)], incarnation=news.incarnation)
+        log.info(
+            "fleet: {name} is {state}, incarnation {incarnation}",
+            name=news.name,
+            state=STATES[Phase(news.phase)],
+            incarnation=news.incarnation,
+        )
 
     # Quotas
 
@@ -275,10 +295,22 @@
 
     def view(self) -> dict[str, Any]:
         """`GET /_fleet`."""
-        members = [{"name": news.name, "state": STATES[Phase(news.phase)], "incarnation": news.incarnation,
-                    "region": news.region} for news in self.member.members()]
-        return {"instance": self.name, "incarnation": self.member.incarnation, "members": members,
-                "counts_as_dead": self.member.shunned, "dropped": dict(self.dropped + self.member.dropped)}
+        members = [
+            {
+                "name": news.name,
+                "state": STATES[Phase(news.phase)],
+                "incarnation": news.incarnation,
+                "region": news.region,
+            }
+            for news in self.member.members()
+        ]
+        return {
+            "instance": self.name,
+            "incarnation": self.member.incarnation,
+            "members": members,
+            "counts_as_dead": self.member.shunned,
+            "dropped": dict(self.dropped + self.member.dropped),
+        }
 
     def quotas(self) -> dict[str, Any]:
         """`GET /_quotas`."""
@@ -294,7 +326,13 @@
                 before = names.get(service.name, list(service.allowed))
                 names[service.name] = [region for region in before if region in service.allowed]
         outside = self._governor.standing_outside()
-        rows = [{"name": name, "allowed": allowed, "standing_outside": outside.get(name, 0)}
-                for name, allowed in sorted(names.items())]
-        return {"version": self.books.newest.version, "stale": not self.books.fresh(self._now()),
-                "serves": self.books.serves(self._now()), "services": rows}
+        rows = [
+            {"name": name, "allowed": allowed, "standing_outside": outside.get(name, 0)}
+            for name, allowed in sorted(names.items())
+        ]
+        return {
+            "version": self.books.newest.version,
+            "stale": not self.books.fresh(self._now()),
+            "serves": self.books.serves(self._now()),
+            "services": rows,
+        }
--- a/packages/fleet/src/puffindeck_fleet/governor.py
+++ b/packages/fleet/src/puffindeck_fleet/governor.py
@@ -60,9 +60,16 @@
     """
 
     def __init__(
-        self, inner: Decisions, settings: Settings, quota: Quota | None,
-        tenant: Callable[[Any], str] = lambda view: DEFAULT, *, view: Callable[[Requested], Any] = lambda event: event,
-        books: Books | None = None, region: str = "", moved_within_ms: float = 30000.0,
+        self,
+        inner: Decisions,
+        settings: Settings,
+        quota: Quota | None,
+        tenant: Callable[[Any], str] = lambda view: DEFAULT,
+        *,
+        view: Callable[[Requested], Any] = lambda event: event,
+        books: Books | None = None,
+        region: str = "",
+        moved_within_ms: float = 30000.0,
     ) -> None:
         self.inner: Any = inner
         self.settings, self.quota, self.tenant, self.view = settings, quota, tenant, view
@@ -161,7 +168,7 @@
         if self._outside_ms is None:
             self._outside_ms = now
         left = max(1.0, (self._outside_ms + NEARLY * self.moved_within_ms - now) / SWEEP_MS)
-        self._moves += outside[:max(1, round(len(outside) / left + 0.5))]
+        self._moves += outside[: max(1, round(len(outside) / left + 0.5))]
 
     def standing_outside(self) -> dict[str, int]:
         """By service: connections that stand where its rule does not allow it."""
--- a/packages/fleet/src/puffindeck_fleet/wire.py
+++ b/packages/fleet/src/puffindeck_fleet/wire.py
@@ -5,9 +5,10 @@
 from struct import Struct
 
 import msgspec
-from puffindeck_membership import Envelope
 from xxhash import xxh32_intdigest, xxh64_intdigest
 
+from puffindeck_membership import Envelope
+
 MAGIC, VERSION = b"pf", 1
 MOST = 1200  # octets of a datagram: it passes every usual network whole
 FRAME = Struct("<2sBIQ")  # magic, version, the fleet's name as a hash, checksum of what follows
@@ -46,7 +47,7 @@
             raise Dropped("newer")
         if fleet != self._fleet:
             raise Dropped("foreign")
-        payload = data[FRAME.size:]
+        payload = data[FRAME.size :]
         if checksum != xxh64_intdigest(payload, self._fleet):
             raise Dropped("damaged")
         try:
--- a/packages/fleet/tests/test_keeping.py
+++ b/packages/fleet/tests/test_keeping.py
@@ -8,11 +8,12 @@
 from typing import Any
 from unittest.mock import patch
 
+from twisted.internet.task import Clock as FakeTimers
+
 from puffindeck.core.clock import Clock
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck_fleet.gateway import KEEP_AGAIN, Fleet
 from puffindeck_fleet.keeping import Keeper
-from twisted.internet.task import Clock as FakeTimers
 
 
 class SetClock(Clock):
--- a/packages/membership/src/puffindeck_membership/core.py
+++ b/packages/membership/src/puffindeck_membership/core.py
@@ -20,8 +20,16 @@
     """The state of one member."""
 
     def __init__(
-        self, name: str, address: str, region: str = "", *, life: int, peers: dict[str, str] | None = None,
-        timing: Timing | None = None, seed: int = 0, incarnation: int = 1,
+        self,
+        name: str,
+        address: str,
+        region: str = "",
+        *,
+        life: int,
+        peers: dict[str, str] | None = None,
+        timing: Timing | None = None,
+        seed: int = 0,
+        incarnation: int = 1,
     ) -> None:
         self.name, self.address, self.region, self.life = name, address, region, life
         self.incarnation, self.phase = incarnation, Phase.ALIVE
@@ -64,7 +72,13 @@
         return self.peers.get(name) or (member.news.address if member is not None else "")
 
     def post(
-        self, name: str, body: Body, *, address: str = "", probe: bool = False, news: Iterable[News] = (),
+        self,
+        name: str,
+        body: Body,
+        *,
+        address: str = "",
+        probe: bool = False,
+        news: Iterable[News] = (),
         octets: int | None = None,
     ) -> None:
         """Send to a member, or to an address. News rides along as far as `octets` go."""
@@ -74,9 +88,7 @@
         room = self.timing.news_octets if octets is None else octets
         riding = [*news, *self.rumors.take(room, name)]
         self._number += 1
-        envelope = Envelope(
-            self.name, self.life, self.incarnation, self._number, name, int(self.now), body, riding
-        )
+        envelope = Envelope(self.name, self.life, self.incarnation, self._number, name, int(self.now), body, riding)
         self.actions.append(Post(name, address, envelope, probe))
 
     def probed(self, name: str, asker: tuple[str, int] | None = None) -> int:
--- a/packages/membership/src/puffindeck_membership/membership.py
+++ b/packages/membership/src/puffindeck_membership/membership.py
@@ -151,8 +151,9 @@
         found = [self.own()]
         for member in self.table.members.values():
             news = member.news
-            suspect = news.phase == Phase.ALIVE and (bool(member.doubters) or (
-                member.pressing and self.silent(member) >= self.timing.tell_ms))
+            suspect = news.phase == Phase.ALIVE and (
+                bool(member.doubters) or (member.pressing and self.silent(member) >= self.timing.tell_ms)
+            )
             found.append(News(news.name, Phase.SUSPECT, *_rest(news)) if suspect else news)
         return sorted(found, key=lambda news: news.name)
 
--- a/packages/membership/src/puffindeck_membership/model.py
+++ b/packages/membership/src/puffindeck_membership/model.py
@@ -125,6 +125,19 @@
 Action = Post | Wake | Changed | Arrived | Reported | Usurped
 
 __all__ = [
-    "Action", "Arrived", "Body", "Changed", "Event", "Leave", "Post", "Received", "Refused", "Reported", "Retuned",
-    "Tick", "Timing", "Usurped", "Wake",
+    "Action",
+    "Arrived",
+    "Body",
+    "Changed",
+    "Event",
+    "Leave",
+    "Post",
+    "Received",
+    "Refused",
+    "Reported",
+    "Retuned",
+    "Tick",
+    "Timing",
+    "Usurped",
+    "Wake",
 ]
--- a/packages/membership/src/puffindeck_membership/probing.py
+++ b/packages/membership/src/puffindeck_membership/probing.py
@@ -204,8 +204,10 @@
         living = self.table.living
         if not self._sure(member) or (self.health.alone(self.now, len(living)) and not refuses):
             return
-        agree = any(sure and self.now - when < timing.agree_ms and name in living
-                    for name, (when, sure) in member.doubters.items())
+        agree = any(
+            sure and self.now - when < timing.agree_ms and name in living
+            for name, (when, sure) in member.doubters.items()
+        )
         if not agree and not self._alone_may(member, refuses):
             return
         news = member.news
@@ -218,8 +220,7 @@
         if refuses and len(living) == 1:
             return True
         passed, patience = (
-            (self.now - member.refused_ms, timing.agree_ms) if refuses
-            else (self.silent(member), 1.5 * timing.dead_ms)
+            (self.now - member.refused_ms, timing.agree_ms) if refuses else (self.silent(member), 1.5 * timing.dead_ms)
         )
         others = [living[name] for name in self.table.rings.observers(member.name) if name in living]
         return passed >= patience and all(self.now - other.heard_ms >= timing.dead_ms / 2 for other in others)
--- a/packages/membership/src/puffindeck_membership/table.py
+++ b/packages/membership/src/puffindeck_membership/table.py
@@ -14,8 +14,19 @@
 class Member:
     """Another member."""
 
-    __slots__ = ("changed_ms", "direct_ms", "doubters", "heard_ms", "news", "offset_ms", "pressing", "refused_ms",
-                 "rtt_ms", "since_ms", "told_ms")
+    __slots__ = (
+        "changed_ms",
+        "direct_ms",
+        "doubters",
+        "heard_ms",
+        "news",
+        "offset_ms",
+        "pressing",
+        "refused_ms",
+        "rtt_ms",
+        "since_ms",
+        "told_ms",
+    )
 
     def __init__(self, news: News, now: float) -> None:
         self.news = news
--- a/packages/quota/src/puffindeck_quota/__init__.py
+++ b/packages/quota/src/puffindeck_quota/__init__.py
@@ -22,6 +22,24 @@
 from puffindeck_quota.quota import Quota
 
 __all__ = [
-    "Action", "Came", "Charge", "ClockTooFar", "Event", "Limit", "LimitUnknown", "NoMajority", "Parcel", "Quota",
-    "QuotaError", "Refusal", "Release", "Reported", "Retuned", "Seen", "Settings", "Tick", "Unit", "VotersDiffer",
+    "Action",
+    "Came",
+    "Charge",
+    "ClockTooFar",
+    "Event",
+    "Limit",
+    "LimitUnknown",
+    "NoMajority",
+    "Parcel",
+    "Quota",
+    "QuotaError",
+    "Refusal",
+    "Release",
+    "Reported",
+    "Retuned",
+    "Seen",
+    "Settings",
+    "Tick",
+    "Unit",
+    "VotersDiffer",
 ]
--- a/packages/quota/src/puffindeck_quota/ledger.py
+++ b/packages/quota/src/puffindeck_quota/ledger.py
@@ -80,8 +80,18 @@
 class Account:
     """One limit for one tenant: its windows, and what is asked for here."""
 
-    __slots__ = ("again_ms", "asked", "asked_ms", "every_ms", "hints", "key", "ledgers", "limit", "spent_there",
-                 "standing")
+    __slots__ = (
+        "again_ms",
+        "asked",
+        "asked_ms",
+        "every_ms",
+        "hints",
+        "key",
+        "ledgers",
+        "limit",
+        "spent_there",
+        "standing",
+    )
 
     def __init__(self, limit: Limit, key: str) -> None:
         self.limit, self.key = limit, key
--- a/packages/quota/src/puffindeck_quota/minting.py
+++ b/packages/quota/src/puffindeck_quota/minting.py
@@ -36,8 +36,14 @@
     """Accounts, and the rights that the rosters give this member."""
 
     def __init__(
-        self, name: str, life: int, voters: tuple[str, ...], limits: tuple[Limit, ...], settings: Settings,
-        region: str, random: Random,
+        self,
+        name: str,
+        life: int,
+        voters: tuple[str, ...],
+        limits: tuple[Limit, ...],
+        settings: Settings,
+        region: str,
+        random: Random,
     ) -> None:
         self.name, self.life, self.region, self.settings, self.random = name, life, region, settings, random
         self.limits = {limit.name: limit for limit in limits}
@@ -76,7 +82,8 @@
         found = self._of_tenant.get(tenant)
         if found is None:
             found = self._of_tenant[tenant] = [
-                self._account(limit, tenant) for limit in self.limits.values()
+                self._account(limit, tenant)
+                for limit in self.limits.values()
                 if limit.tenant in ("*", tenant) and limit.region in ("", self.region)
             ]
         return found
@@ -215,8 +222,10 @@
         if self.name not in voters or self.shunned or self.cut_off():
             return
         due = FIRST + STEP * min(4, voters.index(self.name))
-        if into < due or (epoch == self._proposed and self.now - self._proposed_ms
-                          < (AGAIN + 0.1 * self.random.random()) * self.settings.epoch_ms):
+        if into < due or (
+            epoch == self._proposed
+            and self.now - self._proposed_ms < (AGAIN + 0.1 * self.random.random()) * self.settings.epoch_ms
+        ):
             return
         self._proposed, self._proposed_ms = epoch, self.now
         asked = self.agreement.lead(epoch, self._wanted_roster())
@@ -225,17 +234,14 @@
 
     def _wanted_roster(self) -> Roster:
         members = [(self.name, self.life, self.region)]
-        members += [(name, hello.life, self.others[name]) for name, hello in self.hellos.items()
-                    if name in self.others]
+        members += [(name, hello.life, self.others[name]) for name, hello in self.hellos.items() if name in self.others]
         amounts = {name: limit.amount for name, limit in self.limits.items()}
         for hello in self.hellos.values():
             for name, amount in hello.amounts.items():
                 amounts[name] = min(amount, amounts.get(name, amount))
         return Roster(sorted(members), amounts)
 
-    def agree(
-        self, sender: str, message: Prepare | Promise | Accept | Accepted | Chosen | Missing
-    ) -> None:
+    def agree(self, sender: str, message: Prepare | Promise | Accept | Accepted | Chosen | Missing) -> None:
         """A step of the agreement."""
         agreement, current = self.agreement, self._epoch(self.now)
         answer: Message | None = None
--- a/packages/quota/src/puffindeck_quota/quota.py
+++ b/packages/quota/src/puffindeck_quota/quota.py
@@ -40,8 +40,15 @@
     """The quotas of one gateway. `life` is its process's own, as in the fleet."""
 
     def __init__(
-        self, name: str, *, life: int, voters: tuple[str, ...], limits: tuple[Limit, ...],
-        settings: Settings | None = None, region: str = "", seed: int = 0,
+        self,
+        name: str,
+        *,
+        life: int,
+        voters: tuple[str, ...],
+        limits: tuple[Limit, ...],
+        settings: Settings | None = None,
+        region: str = "",
+        seed: int = 0,
     ) -> None:
         super().__init__(name, life, voters, limits, settings or Settings(), region, Random(seed))
         self._standing: set[Charge] = set()
@@ -204,7 +211,7 @@
         self.random.shuffle(names)
         hinted = {name: account.hints.get((window, name)) for name in names}
         names.sort(key=lambda name: -(1 << 60) if hinted[name] is None else -(hinted[name] or 0))
-        return [n for n in names if hinted[n] != 0 or self.random.random() < 0.2][:self.settings.asked]
+        return [n for n in names if hinted[n] != 0 or self.random.random() < 0.2][: self.settings.asked]
 
     def _wanted(self, sender: str, want: Want) -> None:
         """Share what is held in proportion to what is asked for at both."""
@@ -289,10 +296,16 @@
             window = int(now // limit.window_ms)
             ledger = account.ledgers.get(window) or Ledger()
             there = sum(n for (when, _), n in account.spent_there.items() if when == window)
-            rows.append({
-                "tenant": account.key.partition("#")[2], "unit": str(limit.unit), "limit": limit.amount,
-                "window_ms": limit.window_ms, "ends_ms": (window + 1) * limit.window_ms,
-                "spent_here": ledger.spent, "spent_fleet": ledger.spent + there, "held_here": ledger.held,
-            })
+            rows.append(
+                {
+                    "tenant": account.key.partition("#")[2],
+                    "unit": str(limit.unit),
+                    "limit": limit.amount,
+                    "window_ms": limit.window_ms,
+                    "ends_ms": (window + 1) * limit.window_ms,
+                    "spent_here": ledger.spent,
+                    "spent_fleet": ledger.spent + there,
+                    "held_here": ledger.held,
+                }
+            )
         return rows
-
--- a/packages/quota/tests/test_rights_machine.py
+++ b/packages/quota/tests/test_rights_machine.py
@@ -7,6 +7,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
+
 from puffindeck_quota import Limit, Unit
 from puffindeck_rig.gateways import SIZE, Gateways
 
--- a/packages/residency/src/puffindeck_residency/__init__.py
+++ b/packages/residency/src/puffindeck_residency/__init__.py
@@ -6,6 +6,17 @@
 from puffindeck_residency.rules import Book, Service, Verdict
 
 __all__ = [
-    "Book", "BookUnreadable", "Books", "BooksDiffer", "Came", "Parcel", "Regional", "RegionalBalancer", "Reported",
-    "ResidencyError", "Seen", "Service", "Verdict",
+    "Book",
+    "BookUnreadable",
+    "Books",
+    "BooksDiffer",
+    "Came",
+    "Parcel",
+    "Regional",
+    "RegionalBalancer",
+    "Reported",
+    "ResidencyError",
+    "Seen",
+    "Service",
+    "Verdict",
 ]
--- a/packages/residency/src/puffindeck_residency/books.py
+++ b/packages/residency/src/puffindeck_residency/books.py
@@ -87,7 +87,12 @@
     """
 
     def __init__(
-        self, name: str, own: Book, read: Callable[[bytes], Book], voters: tuple[str, ...], stale_ms: float,
+        self,
+        name: str,
+        own: Book,
+        read: Callable[[bytes], Book],
+        voters: tuple[str, ...],
+        stale_ms: float,
         refuses: bool,
     ) -> None:
         self.name, self._read, self.voters = name, read, voters
@@ -118,7 +123,8 @@
             return False
         heard = sum(
             name in self._held and now - self._held[name][2] <= self.stale_ms
-            for name in self.voters if name != self.name
+            for name in self.voters
+            if name != self.name
         )
         return 2 * (heard + (self.name in self.voters)) > len(self.voters)
 
@@ -171,7 +177,7 @@
             if book is not None:
                 count = -(-len(book.text) // CHUNK)
                 for i in range(count):
-                    piece = book.text[i * CHUNK:(i + 1) * CHUNK]
+                    piece = book.text[i * CHUNK : (i + 1) * CHUNK]
                     self._send(event.sender, Part(book.version, book.digest, i, count, piece))
         else:
             self._take(event.sender, message)
--- a/packages/rig/src/puffindeck_rig/virtual.py
+++ b/packages/rig/src/puffindeck_rig/virtual.py
@@ -14,6 +14,7 @@
 from typing import Any, Protocol
 
 import msgspec
+
 from puffindeck_membership import Arrived, Changed, Post, Received, Refused, Tick, Wake
 
 HEADER = 28 + 15  # octets of IP, UDP and the datagram's own frame
@@ -107,7 +108,7 @@
 
     def split(self, *sides: set[str], cut: bool = True) -> None:
         for i, side in enumerate(sides):
-            for others in sides[i + 1:]:
+            for others in sides[i + 1 :]:
                 for one in side:
                     for other in others:
                         self.cut(one, other, cut, both=True)
--- a/puffindeck/choice/attempts.py
+++ b/puffindeck/choice/attempts.py
@@ -4,8 +4,20 @@
 from puffindeck.choice.walk import Walk
 from puffindeck.hashes import lot
 from puffindeck.interface import (
-    NEVER_RAN, Began, Cancel, ClientLeft, Dismissed, Effect, Ended, Fail, Move, Opened, Outcome, Refuse,
-    Requested, Send,
+    NEVER_RAN,
+    Began,
+    Cancel,
+    ClientLeft,
+    Dismissed,
+    Effect,
+    Ended,
+    Fail,
+    Move,
+    Opened,
+    Outcome,
+    Refuse,
+    Requested,
+    Send,
 )
 from puffindeck.records import INF, Request, Server
 
@@ -63,7 +75,7 @@
 
     def _over_share(self, request: Request) -> bool:
         """Does this gateway hold more of the tenant's connections than its part of the tenant's share?"""
-        quotas = self.settings.tenant_connections[request.tenant:request.tenant + 1]
+        quotas = self.settings.tenant_connections[request.tenant : request.tenant + 1]
         return any(self.tenants[request.tenant] > quota / self.settings.gateways for quota in quotas)
 
     def _send(self, request: Request, server: Server) -> None:
--- a/puffindeck/choice/balancer.py
+++ b/puffindeck/choice/balancer.py
@@ -7,8 +7,28 @@
 from puffindeck.choice.attempts import Attempts
 from puffindeck.choice.relief import TICK_MS
 from puffindeck.interface import (
-    Action, Attached, Began, ClientLeft, DelayTold, Detached, Dismissed, Ended, Entry, Event, Follow, Listed,
-    ListKind, LoadTold, Opened, Recalled, Requested, Retuned, Settings, State, Wake, Woken,
+    Action,
+    Attached,
+    Began,
+    ClientLeft,
+    DelayTold,
+    Detached,
+    Dismissed,
+    Ended,
+    Entry,
+    Event,
+    Follow,
+    Listed,
+    ListKind,
+    LoadTold,
+    Opened,
+    Recalled,
+    Requested,
+    Retuned,
+    Settings,
+    State,
+    Wake,
+    Woken,
 )
 from puffindeck.records import INF, Server
 
@@ -22,11 +42,19 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.on: dict[type[Any], Callable[[Any], None]] = {
-            Listed: self._listed, Requested: self._requested, Opened: self._opened, Began: self._began,
-            LoadTold: self._load_told, DelayTold: self._delay_told, Ended: self._ended,
-            ClientLeft: self._client_left, Woken: self._woken, Detached: self._detached,
+            Listed: self._listed,
+            Requested: self._requested,
+            Opened: self._opened,
+            Began: self._began,
+            LoadTold: self._load_told,
+            DelayTold: self._delay_told,
+            Ended: self._ended,
+            ClientLeft: self._client_left,
+            Woken: self._woken,
+            Detached: self._detached,
             Dismissed: self._dismissed,
-            Attached: self._attached, Recalled: self._recalled,
+            Attached: self._attached,
+            Recalled: self._recalled,
             Retuned: lambda event: self._tune(event.settings),
         }
 
@@ -61,7 +89,7 @@
         if event.kind == ListKind.FAILED:
             # asked again with growing waits. A change counts as told 6 s after it could be had: a call that
             # was lost, a wait and an answer have to fit in that, however often it has failed before
-            wait = min(ASK_MS * 2**min(self.list_fails, 9), ASK_MOST_MS, self.settings.ask_within_ms / 4)
+            wait = min(ASK_MS * 2 ** min(self.list_fails, 9), ASK_MOST_MS, self.settings.ask_within_ms / 4)
             self.list_fails += 1
             self._at(self.now + wait * (0.5 + self.random.random()), self._ask, None)
             return
--- a/puffindeck/choice/cold.py
+++ b/puffindeck/choice/cold.py
@@ -74,8 +74,9 @@
         saved = 0.0 if fresh else rate * (self.now - self.credit_ms)
         self.credit = min(max(1.0, rate * settings.fall_ms / 4), self.credit + saved)
         self.credit_ms = self.now
-        server.credit = min(max(0.0, own * settings.fall_ms / 4),
-                            server.credit + own * max(0.0, self.now - server.credit_ms))
+        server.credit = min(
+            max(0.0, own * settings.fall_ms / 4), server.credit + own * max(0.0, self.now - server.credit_ms)
+        )
         server.credit_ms = self.now
         if self.now - self.returned.get(server.id, -INF) < BACK_MS:
             return self.now >= server.turn_ms and server.credit >= 0  # one shows whether it serves
--- a/puffindeck/choice/relief.py
+++ b/puffindeck/choice/relief.py
@@ -53,6 +53,7 @@
 
         A connection's part of its group's cost counts: a lone member costs its server most.
         """
+
         def cost(request: Request) -> float:
             shared = GROUP_COST * self.mean_load / server.groups[request.group] if request.group else 0.0
             usual = max(1e-9, self._class_load(request.cls) * self.mean_load)
--- a/puffindeck/choice/ring.py
+++ b/puffindeck/choice/ring.py
@@ -44,10 +44,16 @@
 
     def clockwise(self, request: Request, zone: int | None, skip: set[int], reach: int) -> list[Server]:
         """The first servers of a zone (None: any) clockwise from a request's hash that may be sent it."""
-        return list(islice((
-            s for s in self._around(request.hash)
-            if s.id not in skip and zone in (None, s.zone) and self._eligible(request, s)
-        ), reach))
+        return list(
+            islice(
+                (
+                    s
+                    for s in self._around(request.hash)
+                    if s.id not in skip and zone in (None, s.zone) and self._eligible(request, s)
+                ),
+                reach,
+            )
+        )
 
     def _eligible(self, request: Request, server: Server) -> bool:
         """May this server be sent this request at all? The rules on sends are kept here."""
--- a/puffindeck/cli/commands.py
+++ b/puffindeck/cli/commands.py
@@ -131,4 +131,3 @@
     counts = account.counts()
     verdicts = ", ".join(f"{counts[v]} {v}" for v in ("carried", "changed", "refused", "harmless"))
     click.echo(f"{len(account.entries)} statements: {verdicts}", err=True)
-
--- a/puffindeck/config/__init__.py
+++ b/puffindeck/config/__init__.py
@@ -13,6 +13,19 @@
 from puffindeck.config.tuning import settings, settings_of
 
 __all__ = [
-    "ConfigError", "ConfigUnreadable", "Limits", "Members", "Node", "NodeFile", "Quic", "QuicTable", "Target",
-    "address", "again", "node", "quic", "settings", "settings_of",
+    "ConfigError",
+    "ConfigUnreadable",
+    "Limits",
+    "Members",
+    "Node",
+    "NodeFile",
+    "Quic",
+    "QuicTable",
+    "Target",
+    "address",
+    "again",
+    "node",
+    "quic",
+    "settings",
+    "settings_of",
 ]
--- a/puffindeck/config/checks.py
+++ b/puffindeck/config/checks.py
@@ -22,7 +22,11 @@
 
 
 def number(
-    table: Any, path: str, low: float = 0.0, default: float | None = None, where: str = "settings",
+    table: Any,
+    path: str,
+    low: float = 0.0,
+    default: float | None = None,
+    where: str = "settings",
     above: bool = False,
 ) -> float:
     """A figure of at least `low`, or above it; `default` stands for one left out at the end of the path."""
--- a/puffindeck/config/client.py
+++ b/puffindeck/config/client.py
@@ -113,8 +113,10 @@
 def rpc(table: RpcTable, settings: Settings, folder: Path) -> Rpc:
     """The table `rpc`, checked; files that it names lie in the folder."""
     names = [c.name for c in settings.classes]
-    for key, cls in (("rpc.class", table.class_ or names[0]),
-                     *((f"rpc.methods.{method!r}", cls) for method, cls in table.methods.items())):
+    for key, cls in (
+        ("rpc.class", table.class_ or names[0]),
+        *((f"rpc.methods.{method!r}", cls) for method, cls in table.methods.items()),
+    ):
         if cls not in names:
             raise ConfigError(f"{key} must be one of {', '.join(names)}, not {cls!r}")
     for method in table.methods:
--- a/puffindeck/config/fleet.py
+++ b/puffindeck/config/fleet.py
@@ -11,11 +11,10 @@
 from puffindeck.config.routing import ConditionTable, condition
 
 if TYPE_CHECKING:
+    from puffindeck.routing import Condition
     from puffindeck_quota import Limit
     from puffindeck_residency import Service
 
-    from puffindeck.routing import Condition
-
 UNITS = {"ms": 1.0, "s": 1000.0, "m": 60000.0, "h": 3600000.0, "d": 86400000.0}
 UNIT_NAMES = ("opens", "seconds", "standing")
 LEASE_MS = 10000  # how long a place held at once is given for
@@ -252,9 +251,12 @@
         transit, keeps = frozenset(service.transit), service.standing == "keep"
         services.append(Service(service.name, fits, tuple(service.allowed), transit, keeps))
     text = msgspec.json.encode(table, order="sorted")
-    return Residency(Book(table.version, text, tuple(services), zones), table.stale == "refuse",
-                     duration_ms(table.stale_after, "residency.stale_after"),
-                     duration_ms(table.moved_within, "residency.moved_within"))
+    return Residency(
+        Book(table.version, text, tuple(services), zones),
+        table.stale == "refuse",
+        duration_ms(table.stale_after, "residency.stale_after"),
+        duration_ms(table.moved_within, "residency.moved_within"),
+    )
 
 
 def read_book(text: bytes) -> Any:
--- a/puffindeck/config/quicfront.py
+++ b/puffindeck/config/quicfront.py
@@ -46,8 +46,9 @@
 def quic(table: QuicTable, settings: Settings) -> Quic:
     """The QUIC front's table, checked."""
     if find_spec("aioquic") is None:
-        raise ConfigError("quic: the front wants what requirements-operator.txt names, aioquic, which is not "
-                          "installed")
+        raise ConfigError(
+            "quic: the front wants what requirements-operator.txt names, aioquic, which is not installed"
+        )
     names = [c.name for c in settings.classes]
     if table.class_ and table.class_ not in names:
         raise ConfigError(f"quic.class must be one of {', '.join(names)}, not {table.class_!r}")
--- a/puffindeck/config/reload.py
+++ b/puffindeck/config/reload.py
@@ -52,12 +52,21 @@
     if file.discovery and file.discovery != before.discovery:
         discovery = address(file.discovery, "discovery")
     later = [
-        key for key in NodeFile.__struct_fields__
+        key
+        for key in NodeFile.__struct_fields__
         if key not in RELOADED + UNSEEN and getattr(file, key) != getattr(before, key)
     ]
     known = told.known if told.discovery else new.known
     for key in later:  # still to be named at the next reload, as the old values stay in force
         setattr(file, key, getattr(before, key))
-    kept = msgspec.structs.replace(told, discovery=discovery, sockets=new.sockets, known=known, file=file,
-                                   settings=new.settings, keys=new.keys, installation=new.installation)
+    kept = msgspec.structs.replace(
+        told,
+        discovery=discovery,
+        sockets=new.sockets,
+        known=known,
+        file=file,
+        settings=new.settings,
+        keys=new.keys,
+        installation=new.installation,
+    )
     return kept, later
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -67,7 +67,11 @@
     """One gateway: its decision module and the requests it has taken."""
 
     def __init__(
-        self, balancer: Decisions, settings: Settings, deadlines: TimerQueue, follow: Callable[[], None],
+        self,
+        balancer: Decisions,
+        settings: Settings,
+        deadlines: TimerQueue,
+        follow: Callable[[], None],
         observer: RequestObserver | None = None,
     ) -> None:
         self.balancer: Any = balancer
@@ -79,8 +83,14 @@
         self._busy = False
         self.reachability = Reachability(self.clock, settings)
         self._do: dict[type[Any], Callable[[Any], None]] = {
-            Send: self._send, Refuse: self._refuse, Fail: self._fail, Cancel: self._cancel, Move: self._move,
-            Wake: self._wake, Follow: lambda action: self.follow(), Log: self._log,
+            Send: self._send,
+            Refuse: self._refuse,
+            Fail: self._fail,
+            Cancel: self._cancel,
+            Move: self._move,
+            Wake: self._wake,
+            Follow: lambda action: self.follow(),
+            Log: self._log,
         }
 
     # Events in, actions out
@@ -163,8 +173,19 @@
         held = Held(client, asked.cls, deadline, self.settings.max_attempts, asked.id)
         held.number = number = self._hold(held)
         held.guard = self.deadlines.at(deadline + LATE, self._overdue, number)
-        self.tell(Requested(number, asked.cls, 0, asked.key, ms(asked.left), asked.hint, asked.group,
-                            returning=asked.returning, facts=asked.facts))
+        self.tell(
+            Requested(
+                number,
+                asked.cls,
+                0,
+                asked.key,
+                ms(asked.left),
+                asked.hint,
+                asked.group,
+                returning=asked.returning,
+                facts=asked.facts,
+            )
+        )
         return number
 
     def _hold(self, held: Held) -> int:
--- a/puffindeck/core/machine_errors.py
+++ b/puffindeck/core/machine_errors.py
@@ -9,15 +9,36 @@
 from typing import Any
 
 # no descriptor, memory, port or buffer is left here, or the call was interrupted
-NO_RESOURCE = frozenset({
-    errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL, errno.EADDRINUSE,
-    errno.EAGAIN, errno.EINTR, errno.ENETDOWN, errno.ENETUNREACH,
-})
+NO_RESOURCE = frozenset(
+    {
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EADDRNOTAVAIL,
+        errno.EADDRINUSE,
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.ENETDOWN,
+        errno.ENETUNREACH,
+    }
+)
 # of a connection that waits to be accepted, and is taken off the queue with this (accept(2))
-CONNECTION_GONE = frozenset({
-    errno.ECONNABORTED, errno.EPERM, errno.EPROTO, errno.ENOPROTOOPT, errno.EHOSTDOWN, errno.ENONET,
-    errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ENETDOWN, errno.ETIMEDOUT,
-})
+CONNECTION_GONE = frozenset(
+    {
+        errno.ECONNABORTED,
+        errno.EPERM,
+        errno.EPROTO,
+        errno.ENOPROTOOPT,
+        errno.EHOSTDOWN,
+        errno.ENONET,
+        errno.EHOSTUNREACH,
+        errno.EOPNOTSUPP,
+        errno.ENETUNREACH,
+        errno.ENETDOWN,
+        errno.ETIMEDOUT,
+    }
+)
 # of reading or writing on a connection that goes on
 NOT_NOW = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
--- a/puffindeck/core/reachability.py
+++ b/puffindeck/core/reachability.py
@@ -57,5 +57,6 @@
         now = self._clock.now()
         return all(
             now - since[server] < self.grace
-            for since in (self.unfit_since, self.detached_since) if server in since
+            for since in (self.unfit_since, self.detached_since)
+            if server in since
         )
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -68,8 +68,23 @@
 class Held:
     """A request in its slot, until it is answered and its last attempt has ended."""
 
-    __slots__ = ("answered", "attempts", "begun", "client", "cls", "deadline", "expiry", "guard", "id",
-                 "link", "most", "number", "out", "sent", "server")
+    __slots__ = (
+        "answered",
+        "attempts",
+        "begun",
+        "client",
+        "cls",
+        "deadline",
+        "expiry",
+        "guard",
+        "id",
+        "link",
+        "most",
+        "number",
+        "out",
+        "sent",
+        "server",
+    )
 
     def __init__(self, client: Client, cls: int, deadline: timedelta, most: int, id: str) -> None:
         self.client, self.cls, self.deadline, self.most, self.id = client, cls, deadline, most, id
--- a/puffindeck/core/timer_queue.py
+++ b/puffindeck/core/timer_queue.py
@@ -98,8 +98,10 @@
     def _log_late(self, now: timedelta) -> None:
         late = now - self._timer_at
         if late > LATE:
-            log.warn("timers: {late_ms} ms late: nothing that waits for time was done meanwhile",
-                     late_ms=round(ms(late)))
+            log.warn(
+                "timers: {late_ms} ms late: nothing that waits for time was done meanwhile",
+                late_ms=round(ms(late)),
+            )
 
     def run(self) -> None:
         """Do all that is due. What one of them raises must not keep the others from their time."""
--- a/puffindeck/crowd/even.py
+++ b/puffindeck/crowd/even.py
@@ -55,7 +55,10 @@
 
 
 def _spill(
-    over: list[tuple[int, int]], points: list[int], owners: Mapping[int, int], room: dict[int, float],
+    over: list[tuple[int, int]],
+    points: list[int],
+    owners: Mapping[int, int],
+    room: dict[int, float],
     kept: dict[int, int],
 ) -> None:
     """Hand what is over to the first servers clockwise that have room; `kept` and `room` are filled in."""
--- a/puffindeck/crowd/member.py
+++ b/puffindeck/crowd/member.py
@@ -112,9 +112,14 @@
     def _plain(self, request: Request, home: Server) -> bool:
         """Is it the usual case, in which the walk ends at its first step? Told apart to save time."""
         return (
-            home.load < FLOOR * self.mean_load and home.ceiling == INF and not home.fails
-            and home.suspect_until <= self.now and request.ran is None and not request.returning
-            and not request.mid_flow and not self.returned
+            home.load < FLOOR * self.mean_load
+            and home.ceiling == INF
+            and not home.fails
+            and home.suspect_until <= self.now
+            and request.ran is None
+            and not request.returning
+            and not request.mid_flow
+            and not self.returned
         )
 
     def cold_credit(self, request: Request, server: Server) -> bool:
@@ -127,7 +132,12 @@
             return False
         standing = sum(len(s.conns) - s.pending for s in self.live.values())
         return self.admission.admits(
-            self.now, self.settings, server.id, request.key or request.id, self._warmth(server), standing,
+            self.now,
+            self.settings,
+            server.id,
+            request.key or request.id,
+            self._warmth(server),
+            standing,
             request.returning,
         )
 
--- a/puffindeck/crowd/ring.py
+++ b/puffindeck/crowd/ring.py
@@ -35,7 +35,8 @@
         weighted = self.settings.weighted
         return {
             s.id: s.weight if weighted and s.weight > 0 else 1.0
-            for s in self.ready.values() if zone in (None, s.zone)
+            for s in self.ready.values()
+            if zone in (None, s.zone)
         }
 
     def whole(self, zone: int | None) -> Ring:
--- a/puffindeck/importer/account.py
+++ b/puffindeck/importer/account.py
@@ -56,8 +56,13 @@
             "statements": len(self.entries),
             "counts": dict(self.counts()),
             "verdicts": [
-                {"at": e.at, "words": e.words, "verdict": "refused" if e.verdict == "traffic" else e.verdict,
-                 "says": "; ".join(e.says), "traffic": e.verdict == "traffic"}
+                {
+                    "at": e.at,
+                    "words": e.words,
+                    "verdict": "refused" if e.verdict == "traffic" else e.verdict,
+                    "says": "; ".join(e.says),
+                    "traffic": e.verdict == "traffic",
+                }
                 for e in self.entries.values()
             ],
         }
--- a/puffindeck/importer/haproxy.py
+++ b/puffindeck/importer/haproxy.py
@@ -15,8 +15,16 @@
 
 __all__ = ["ImportError_", "convert", "convert_files"]
 SERVERS_ONLY = {
-    "server", "server-template", "default-server", "balance", "hash-type", "hash-balance-factor", "retries",
-    "retry-on", "fullconn", "timeout",
+    "server",
+    "server-template",
+    "default-server",
+    "balance",
+    "hash-type",
+    "hash-balance-factor",
+    "retries",
+    "retry-on",
+    "fullconn",
+    "timeout",
 }
 MAIN = "listen"  # the name of the listener that `listen` is, among several
 
@@ -42,8 +50,10 @@
             self._mode(line, rest)
         elif word == "default_backend" and self.section.kind == "backend":
             self.account.judge(line.at, "harmless", "for frontends")
-        elif self.back is None and word in SERVERS_ONLY and not (
-            word == "timeout" and rest[:1] not in (["connect"], ["server"])
+        elif (
+            self.back is None
+            and word in SERVERS_ONLY
+            and not (word == "timeout" and rest[:1] not in (["connect"], ["server"]))
         ):
             self.account.judge(line.at, "harmless", "for backends" if line in self.section.lines else "")
         elif word == "bind" and self.front is None:
--- a/puffindeck/importer/keywords.py
+++ b/puffindeck/importer/keywords.py
@@ -25,8 +25,13 @@
     """By place (`global`, `proxy`, `server`, `bind`) and name; a name may end in *."""
     text = files("puffindeck.importer").joinpath("keywords.toml").read_bytes()
     read = msgspec.toml.decode(text, type=dict[str, dict[str, list[str | int]]])
-    return {place: {name: Fate(str(fate[0]), str(fate[1]), int(fate[2]) if len(fate) > 2 else 0)
-                    for name, fate in names.items()} for place, names in read.items()}
+    return {
+        place: {
+            name: Fate(str(fate[0]), str(fate[1]), int(fate[2]) if len(fate) > 2 else 0)
+            for name, fate in names.items()
+        }
+        for place, names in read.items()
+    }
 
 
 @cache
--- a/puffindeck/importer/lexer.py
+++ b/puffindeck/importer/lexer.py
@@ -76,7 +76,7 @@
         begun = self.place
         while self.place < len(self.text) and self.text[self.place] in BLANKS:
             self.place += 1
-        return self.text[begun:self.place]
+        return self.text[begun : self.place]
 
     def words(self) -> Iterator[Word]:
         """The word at this place; several, where a variable holds a list of them."""
@@ -99,7 +99,7 @@
                     meant = parts[-1]
             else:
                 meant += character
-        raw = self.text[begun:self.place]
+        raw = self.text[begun : self.place]
         for i, text in enumerate([*more, meant]):
             yield Word(text, "" if i else raw, tuple(self.unset) if not i else ())
 
@@ -168,7 +168,7 @@
         if not whole:
             continue
         body = whole.removesuffix("\n").removesuffix("\r")
-        line = Line(file, number, end=whole[len(body):])
+        line = Line(file, number, end=whole[len(body) :])
         if "\0" in body:
             raise SyntaxFault(line.at, "a NUL byte")
         if len(body) > MOST:
@@ -182,7 +182,7 @@
             line.gaps[-1] = reader.gap()
         if len(line.words) > MOST_WORDS:
             raise SyntaxFault(line.at, f"over {MOST_WORDS} words")
-        line.comment = body[reader.place:]
+        line.comment = body[reader.place :]
         found.append(line)
     return found
 
--- a/puffindeck/interface.py
+++ b/puffindeck/interface.py
@@ -265,8 +265,20 @@
 
 
 Event = (
-    Listed | Requested | Opened | Began | LoadTold | DelayTold | Ended | ClientLeft | Dismissed | Woken
-    | Detached | Attached | Recalled | Retuned
+    Listed
+    | Requested
+    | Opened
+    | Began
+    | LoadTold
+    | DelayTold
+    | Ended
+    | ClientLeft
+    | Dismissed
+    | Woken
+    | Detached
+    | Attached
+    | Recalled
+    | Retuned
 )
 
 
--- a/puffindeck/net/admin.py
+++ b/puffindeck/net/admin.py
@@ -53,8 +53,9 @@
                 self.records.drop(host)
         except OSError as error:
             self.unrecorded[host] = error.strerror or str(error)
-            self.few_records.write("staff: the record of {host} can't be changed, tried again: {error}",
-                                   host=host, error=error)
+            self.few_records.write(
+                "staff: the record of {host} can't be changed, tried again: {error}", host=host, error=error
+            )
         else:
             self.unrecorded.pop(host, None)
 
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -41,31 +41,62 @@
 
 # Whoever comes second finds that the phase can't be reached any more, and does nothing.
 NEXT: dict[ConnectionState, frozenset[ConnectionState]] = {
-    ConnectionState.NEW: frozenset({
-        ConnectionState.ASKING_READINESS, ConnectionState.WAITING, ConnectionState.HALF_CLOSED,
-        ConnectionState.GONE,
-    }),
-    ConnectionState.ASKING_READINESS: frozenset({
-        ConnectionState.IDLE, ConnectionState.WAITING, ConnectionState.HALF_CLOSED, ConnectionState.GONE,
-    }),
-    ConnectionState.IDLE: frozenset({
-        ConnectionState.ASKING_READINESS, ConnectionState.WAITING, ConnectionState.HALF_CLOSED,
-        ConnectionState.GONE,
-    }),
-    ConnectionState.WAITING: frozenset({
-        ConnectionState.RELAYING, ConnectionState.HALF_CLOSED, ConnectionState.GONE,
-    }),
-    ConnectionState.RELAYING: frozenset({
-        ConnectionState.HOLDING_LINE, ConnectionState.MOVING, ConnectionState.HALF_CLOSED,
-        ConnectionState.RESETTING, ConnectionState.GONE,
-    }),
-    ConnectionState.HOLDING_LINE: frozenset({
-        ConnectionState.RELAYING, ConnectionState.MOVING, ConnectionState.HALF_CLOSED,
-        ConnectionState.RESETTING, ConnectionState.GONE,
-    }),
-    ConnectionState.MOVING: frozenset({
-        ConnectionState.HALF_CLOSED, ConnectionState.RESETTING, ConnectionState.GONE,
-    }),
+    ConnectionState.NEW: frozenset(
+        {
+            ConnectionState.ASKING_READINESS,
+            ConnectionState.WAITING,
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.GONE,
+        }
+    ),
+    ConnectionState.ASKING_READINESS: frozenset(
+        {
+            ConnectionState.IDLE,
+            ConnectionState.WAITING,
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.GONE,
+        }
+    ),
+    ConnectionState.IDLE: frozenset(
+        {
+            ConnectionState.ASKING_READINESS,
+            ConnectionState.WAITING,
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.GONE,
+        }
+    ),
+    ConnectionState.WAITING: frozenset(
+        {
+            ConnectionState.RELAYING,
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.GONE,
+        }
+    ),
+    ConnectionState.RELAYING: frozenset(
+        {
+            ConnectionState.HOLDING_LINE,
+            ConnectionState.MOVING,
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.RESETTING,
+            ConnectionState.GONE,
+        }
+    ),
+    ConnectionState.HOLDING_LINE: frozenset(
+        {
+            ConnectionState.RELAYING,
+            ConnectionState.MOVING,
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.RESETTING,
+            ConnectionState.GONE,
+        }
+    ),
+    ConnectionState.MOVING: frozenset(
+        {
+            ConnectionState.HALF_CLOSED,
+            ConnectionState.RESETTING,
+            ConnectionState.GONE,
+        }
+    ),
     ConnectionState.HALF_CLOSED: frozenset({ConnectionState.GONE}),
     ConnectionState.RESETTING: frozenset({ConnectionState.GONE}),
     ConnectionState.GONE: frozenset(),
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -42,8 +42,15 @@
     """
 
     def __init__(
-        self, reactor: Any, discovery: tuple[str, int], deadlines: TimerQueue, directory: Directory,
-        engine: Engine, version: int | None, heard: Callable[[], None], pushed: bool,
+        self,
+        reactor: Any,
+        discovery: tuple[str, int],
+        deadlines: TimerQueue,
+        directory: Directory,
+        engine: Engine,
+        version: int | None,
+        heard: Callable[[], None],
+        pushed: bool,
     ) -> None:
         host, port = discovery
         self._base = f"http://[{host}]:{port}" if ":" in host else f"http://{host}:{port}"
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -40,15 +40,18 @@
         quota = None
         if told is not None:
             quota = Quota(
-                self.told.name, life=life, voters=told.voters, limits=told.limits, seed=self.told.seed,
+                self.told.name,
+                life=life,
+                voters=told.voters,
+                limits=told.limits,
+                seed=self.told.seed,
                 settings=QuotaSettings(skew_ms=told.skew_ms, epoch_ms=told.epoch_ms),
                 region=installed.fleet.region,
             )
         books = None
         if rules is not None:
-            from puffindeck_residency import Books, RegionalBalancer
-
             from puffindeck.config.fleet import read_book
+            from puffindeck_residency import Books, RegionalBalancer
 
             books = Books(
                 self.told.name, rules.book, read_book, installed.voters, rules.stale_ms, rules.refuses
@@ -56,7 +59,12 @@
             balancer = RegionalBalancer(settings, self.told.seed)
             balancer.region_of = self._region_of(books)
         governor = Governor(
-            balancer, settings, quota, self._tenant, view=self._view, books=books,
+            balancer,
+            settings,
+            quota,
+            self._tenant,
+            view=self._view,
+            books=books,
             region=installed.fleet.region,
             moved_within_ms=rules.moved_within_ms if rules is not None else 0.0,
         )
@@ -106,8 +114,11 @@
         installed = self.told.installation
         if self.fleet is not None and installed is not None:
             rules = installed.residency
-            self.fleet.reload(installed.fleet, installed.quota.limits if installed.quota is not None else (),
-                              rules.book if rules is not None else None)
+            self.fleet.reload(
+                installed.fleet,
+                installed.quota.limits if installed.quota is not None else (),
+                rules.book if rules is not None else None,
+            )
 
     # For staff
 
--- a/puffindeck/net/logs.py
+++ b/puffindeck/net/logs.py
@@ -38,8 +38,13 @@
         return None
     fields = {key: value for key, value in event.items() if not key.startswith("log_")}
     text = eventAsText(event, includeTimestamp=False, includeSystem=False, includeTraceback=False).rstrip()
-    told: dict[str, Any] = {"time": _at(event), "level": event["log_level"].name,
-                            "event": event.get("log_format") or "", "text": text, **fields}
+    told: dict[str, Any] = {
+        "time": _at(event),
+        "level": event["log_level"].name,
+        "event": event.get("log_format") or "",
+        "text": text,
+        **fields,
+    }
     failure = event.get("log_failure")
     if failure is not None:
         told["traceback"] = failure.getTraceback()
@@ -50,7 +55,11 @@
     """Lines that strangers bring about at their own speed: some are written in a period, the rest counted."""
 
     def __init__(
-        self, log: Logger, deadlines: TimerQueue, what: str, lines: int = LINES,
+        self,
+        log: Logger,
+        deadlines: TimerQueue,
+        what: str,
+        lines: int = LINES,
         level: str = "warn",
     ) -> None:
         self._log, self._deadlines, self._what = log, deadlines, what
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -62,11 +62,16 @@
             self.port = self._listen(self.told.listen, ClientFactory(self))
         else:
             self._join()
-        for name, address in (self.told.routing.listeners.items() if self.told.routing else ()):
+        for name, address in self.told.routing.listeners.items() if self.told.routing else ():
             opened = self._listen(address, ClientFactory(self, name))
             self.more_ports.append(opened)
-            log.info("node {node}: listener {name} on {host}:{port}", node=self.told.name, name=name,
-                     host=address[0], port=opened.getHost().port)
+            log.info(
+                "node {node}: listener {name} on {host}:{port}",
+                node=self.told.name,
+                name=name,
+                host=address[0],
+                port=opened.getHost().port,
+            )
         known = self.told.known
         entries = self.directory.entries(known, self.deadlines.clock.now())
         self.engine.listed(ListKind.CACHED, known.rev, entries)
@@ -81,8 +86,13 @@
         else:
             self.watch.start()
         self.deadlines.after(SWEEP, self._sweep)
-        log.info("node {name}: listening on {host}:{port}, {count} descriptors", name=self.told.name,
-                 host=host, port=port, count=self.admission.sockets)
+        log.info(
+            "node {name}: listening on {host}:{port}, {count} descriptors",
+            name=self.told.name,
+            host=host,
+            port=port,
+            count=self.admission.sockets,
+        )
 
     def _listen(self, address: tuple[str, int], factory: ClientFactory) -> Port:
         """A port for clients. Where descriptors are short, one who asks nothing gives up its own."""
@@ -103,8 +113,12 @@
         self._make_folder()  # one that can't be made is tried again
         self._poll()
         self.operator_port = listen(self.reactor, address, self.operator, CALLERS)
-        log.info("node {name}: staff's calls on {host}:{port}", name=self.told.name, host=address[0],
-                 port=address[1])
+        log.info(
+            "node {name}: staff's calls on {host}:{port}",
+            name=self.told.name,
+            host=address[0],
+            port=address[1],
+        )
 
     def _start_quic(self, told: Quic) -> None:
         from puffindeck.quic.front import (
@@ -112,7 +126,11 @@
         )
 
         self.quic = QuicFront(
-            self.reactor, told, self.engine, self.deadlines, self.directory,
+            self.reactor,
+            told,
+            self.engine,
+            self.deadlines,
+            self.directory,
             lambda: self.leaving is not None,
         )
         host, port = told.listen
@@ -121,8 +139,16 @@
 
     def _watch(self, version: int | None) -> Watch:
         assert self.told.discovery is not None
-        return Watch(self.reactor, self.told.discovery, self.deadlines, self.directory, self.engine, version,
-                     self._ready, pushed=not self.told.settings.must_ask)
+        return Watch(
+            self.reactor,
+            self.told.discovery,
+            self.deadlines,
+            self.directory,
+            self.engine,
+            version,
+            self._ready,
+            pushed=not self.told.settings.must_ask,
+        )
 
     def reload(self, read: Callable[[Told], tuple[Told, list[str]]]) -> None:
         """Take up what has changed in the file. One that can't be used changes nothing."""
@@ -171,8 +197,11 @@
         dropped = self.classes.keys() - self.named
         self.classes.update((name, numbers[name]) for name in self.named)
         self.deadlines.after(DROPPED, self._drop_classes)
-        log.info("reload: settings taken up; classes {named}; dropped {dropped}",
-                 named=", ".join(c.name for c in new.classes), dropped=", ".join(sorted(dropped)) or "none")
+        log.info(
+            "reload: settings taken up; classes {named}; dropped {dropped}",
+            named=", ".join(c.name for c in new.classes),
+            dropped=", ".join(sorted(dropped)) or "none",
+        )
 
     def _drop_classes(self) -> None:
         self.classes = {name: i for name, i in self.classes.items() if name in self.named}
@@ -234,8 +263,11 @@
     def drain(self) -> None:
         """Send all clients away, and stay. Once it is under way, asking again changes nothing."""
         if self.leaving is None:
-            log.info("node {name}: lame duck, {count} to move", name=self.told.name,
-                     count=len(self.engine.standing()))
+            log.info(
+                "node {name}: lame duck, {count} to move",
+                name=self.told.name,
+                count=len(self.engine.standing()),
+            )
             self.leaving = GracefulShutdown(self, DRAIN, None)
             self._tell_waiting()
 
@@ -263,8 +295,9 @@
     def _leave(self, pace: DrainSchedule) -> None:
         if self.leaving is not None:
             self.leaving.cancel()
-        log.info("node {name}: stopping, {count} to move", name=self.told.name,
-                 count=len(self.engine.standing()))
+        log.info(
+            "node {name}: stopping, {count} to move", name=self.told.name, count=len(self.engine.standing())
+        )
         if self.fleet is not None:
             self.fleet.leave()
         longest = span(max(c.deadline_ms for c in self.told.settings.classes))
--- a/puffindeck/net/operator.py
+++ b/puffindeck/net/operator.py
@@ -74,8 +74,13 @@
     def _respond(self, answer: tuple[int, str]) -> None:
         status, text = answer
         if self.method != b"GET":  # readiness may be asked for many times a second
-            log.info("staff: {method} {uri}: {status} {text}", method=self.method[:20].decode("latin-1"),
-                     uri=self.uri[:200].decode("latin-1"), status=status, text=text)
+            log.info(
+                "staff: {method} {uri}: {status} {text}",
+                method=self.method[:20].decode("latin-1"),
+                uri=self.uri[:200].decode("latin-1"),
+                status=status,
+                text=text,
+            )
         if self._disconnected:
             return
         body = f"{text}\n".encode()
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -32,16 +32,25 @@
 
     def attempt_began(self, request: str, server: int, attempt: int) -> None:
         """An attempt is on its way; a number above 0 is a retry."""
-        self._attempts.write("request {id}: attempt {attempt} at {host}", id=request, attempt=attempt,
-                             host=self._server_name(server))
+        self._attempts.write(
+            "request {id}: attempt {attempt} at {host}",
+            id=request,
+            attempt=attempt,
+            host=self._server_name(server),
+        )
 
     def attempt_ended(
         self, request: str, server: int, attempt: int, outcome: Outcome, took: timedelta
     ) -> None:
         """An attempt ended without a connection that stands."""
-        self._ends.write("request {id}: attempt {attempt} at {host} ended: {outcome} after {took_ms} ms",
-                         id=request, attempt=attempt, host=self._server_name(server),
-                         outcome=outcome.name.lower(), took_ms=round(ms(took)))
+        self._ends.write(
+            "request {id}: attempt {attempt} at {host} ended: {outcome} after {took_ms} ms",
+            id=request,
+            attempt=attempt,
+            host=self._server_name(server),
+            outcome=outcome.name.lower(),
+            took_ms=round(ms(took)),
+        )
 
     def answered(self, request: str, answer: Answer, why: Reason) -> None:
         """The request has its final answer."""
--- a/puffindeck/net/succession.py
+++ b/puffindeck/net/succession.py
@@ -36,16 +36,21 @@
         if self.ready and self.leaving is None:
             ceilings = self.engine.balancer.ceilings()
             with suppress(OSError):
-                self.generation.leave_word({self.directory.name(s): c for s, c in ceilings.items()},
-                                           monotonic_ms())
+                self.generation.leave_word(
+                    {self.directory.name(s): c for s, c in ceilings.items()}, monotonic_ms()
+                )
 
     def _follow_up(self) -> None:
         """Take up what the process before this one knows, if there is one."""
         with suppress(OSError):
             if self.generation.others():
                 word = self.generation.word(monotonic_ms())
-                self.engine.tell(*(Recalled(self.directory.number(host), inf if c is None else c)
-                                   for host, c in word.items()))
+                self.engine.tell(
+                    *(
+                        Recalled(self.directory.number(host), inf if c is None else c)
+                        for host, c in word.items()
+                    )
+                )
 
     def _look_round(self) -> None:
         """While there is another process, both together have what the one node has."""
--- a/puffindeck/net/upstream_attempts.py
+++ b/puffindeck/net/upstream_attempts.py
@@ -47,8 +47,17 @@
         if address is None:  # not in a list yet
             self.deadlines.after(AT_TRY, self._try_at)
             return
-        link = Link(self, self.engine, self.deadlines, self._ticket, self._server, host, self._head,
-                    self._until, self._until)
+        link = Link(
+            self,
+            self.engine,
+            self.deadlines,
+            self._ticket,
+            self._server,
+            host,
+            self._head,
+            self._until,
+            self._until,
+        )
         self.engine.linked(self._ticket, link)
         self._connect(link, address)
 
@@ -56,8 +65,17 @@
         """Start an attempt at a host."""
         assert self._head is not None
         address = self.node.directory.addresses.get(server)
-        link = Link(self, self.engine, self.deadlines, ticket, server, self.node.directory.name(server),
-                    self._head, until, begin)
+        link = Link(
+            self,
+            self.engine,
+            self.deadlines,
+            ticket,
+            server,
+            self.node.directory.name(server),
+            self._head,
+            until,
+            begin,
+        )
         if address is None:
             link.finish(Outcome.CONNECT_FAILED)
             return None
--- a/puffindeck/net/upstream_connection.py
+++ b/puffindeck/net/upstream_connection.py
@@ -110,9 +110,16 @@
     noisy = False
 
     def __init__(
-        self, client: Waiting, engine: Engine, deadlines: TimerQueue, ticket: AttemptId, server: int,
+        self,
+        client: Waiting,
+        engine: Engine,
+        deadlines: TimerQueue,
+        ticket: AttemptId,
+        server: int,
         host: str,
-        head: RequestLine, until: timedelta, begin: timedelta,
+        head: RequestLine,
+        until: timedelta,
+        begin: timedelta,
     ) -> None:
         self.client, self.engine, self.deadlines = client, engine, deadlines
         self.ticket, self.server, self.host = ticket, server, host
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -85,8 +85,9 @@
         try:
             self._port = listen_datagrams(front.reactor, 0, upstream, "::" if ":" in address[0] else "")
         except CannotListenError as error:
-            log.warn("quic: no socket towards {host}: {error}", host=front.directory.name(self.server),
-                     error=error)
+            log.warn(
+                "quic: no socket towards {host}: {error}", host=front.directory.name(self.server), error=error
+            )
             return False
         return True
 
@@ -269,8 +270,15 @@
     noisy = False
     transport: Any = None
 
-    def __init__(self, reactor: Any, told: Quic, engine: Engine, deadlines: TimerQueue, directory: Directory,
-                 stopping: Callable[[], bool]) -> None:
+    def __init__(
+        self,
+        reactor: Any,
+        told: Quic,
+        engine: Engine,
+        deadlines: TimerQueue,
+        directory: Directory,
+        stopping: Callable[[], bool],
+    ) -> None:
         self.reactor, self.told, self.engine, self.deadlines = reactor, told, engine, deadlines
         self.directory, self._stopping = directory, stopping
         self.ids = Ids(told.config_id, told.server_id_length, told.nonce_length, told.key)
@@ -314,8 +322,11 @@
         if total != self._reported:
             self._reported = total
             counts = ", ".join(f"{why}: {count}" for why, count in sorted(self.dropped.items()))
-            log.info("quic: {flows} flows; datagrams dropped since the start: {counts}",
-                     flows=len(self.flows), counts=counts)
+            log.info(
+                "quic: {flows} flows; datagrams dropped since the start: {counts}",
+                flows=len(self.flows),
+                counts=counts,
+            )
         self.deadlines.after(REPORT, self._report)
 
     def _sweep(self) -> None:
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -282,7 +282,7 @@
         if balancer.healthy():
             if not place.tier.returning or balancer.takes(request):
                 return None
-            tiers = tiers[place.tier.number + 1:]  # what stood in for it has the rest
+            tiers = tiers[place.tier.number + 1 :]  # what stood in for it has the rest
         elif balancer.on_trial():
             return None  # it is the one that tries whether a server serves again
         for tier in tiers:
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -26,8 +26,21 @@
 class Attempt:
     """Connects, sends, and tells the engine how it went. `inner` is the library's own call, once begun."""
 
-    __slots__ = ("_address", "_broken", "_call", "_engine", "_gave_up", "_pump", "_server", "_sub", "_task",
-                 "_ticket", "_until", "inner", "response")
+    __slots__ = (
+        "_address",
+        "_broken",
+        "_call",
+        "_engine",
+        "_gave_up",
+        "_pump",
+        "_server",
+        "_sub",
+        "_task",
+        "_ticket",
+        "_until",
+        "inner",
+        "response",
+    )
 
     def __init__(
         self, call: BalancedCall, ticket: AttemptId, server: int, address: tuple[str, int], until: timedelta
--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -40,8 +40,14 @@
     """A call from its start to its one final status. Which server, and whether another, the module says."""
 
     def __init__(
-        self, shared: Shared, pool: Subchannels, method: Method, asked: Asked, request: Any,
-        ended: Callable[[BalancedCall], None], returning: bool = False,
+        self,
+        shared: Shared,
+        pool: Subchannels,
+        method: Method,
+        asked: Asked,
+        request: Any,
+        ended: Callable[[BalancedCall], None],
+        returning: bool = False,
     ) -> None:
         self.shared, self.pool, self.method = shared, pool, method
         self.last: Final | None = None  # what the last server that was tried said
@@ -118,8 +124,12 @@
         left = None
         if self._deadline is not None:
             left = max(0.0, (self._deadline - self.shared.clock.now()).total_seconds())
-        options = {"timeout": left, "metadata": asked.metadata, "credentials": asked.credentials,
-                   "compression": asked.compression}
+        options = {
+            "timeout": left,
+            "metadata": asked.metadata,
+            "credentials": asked.credentials,
+            "compression": asked.compression,
+        }
         return callable(**options) if method.request_stream else callable(self._request, **options)
 
     def began(self, link: Link) -> None:
@@ -390,7 +400,7 @@
             self._raise(self._final)
             raise asyncio.InvalidStateError("RPC already finished.")
         if self.replay.closed:
-            raise asyncio.InvalidStateError("RPC is half closed after calling \"done_writing\".")
+            raise asyncio.InvalidStateError('RPC is half closed after calling "done_writing".')
         await self._add(message)
         if self._final is not None:
             self._raise(self._final)
@@ -420,6 +430,8 @@
 
 
 CALLS: dict[tuple[bool, bool], type[BalancedCall]] = {
-    (False, False): UnaryUnary, (False, True): UnaryStream, (True, False): StreamUnary,
+    (False, False): UnaryUnary,
+    (False, True): UnaryStream,
+    (True, False): StreamUnary,
     (True, True): StreamStream,
 }
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -40,8 +40,13 @@
     """A `grpc.aio.Channel` over all servers of the roster. For the event loop that first uses it."""
 
     def __init__(
-        self, told: Client, *, credentials: grpc.ChannelCredentials | None = None,
-        options: Sequence[tuple[str, Any]] = (), interceptors: Sequence[Any] = (), compression: Any = None,
+        self,
+        told: Client,
+        *,
+        credentials: grpc.ChannelCredentials | None = None,
+        options: Sequence[tuple[str, Any]] = (),
+        interceptors: Sequence[Any] = (),
+        compression: Any = None,
         alone: bool = False,
     ) -> None:
         """`told` is a checked configuration; `alone` keeps this channel's roster and decisions to itself."""
@@ -82,8 +87,9 @@
             self._shared = Shared.take(self._told, self._alone)
             credentials, options = self._secured()
             rpc = self._told.rpc
-            self._pool = Subchannels(self._shared.deadlines, rpc.subchannels, rpc.idle, credentials, options,
-                                     self._compression)
+            self._pool = Subchannels(
+                self._shared.deadlines, rpc.subchannels, rpc.idle, credentials, options, self._compression
+            )
         elif self._shared.loop is not loop:
             raise RuntimeError("this channel belongs to another event loop: make one in this loop")
         return self._shared, self._pool
@@ -153,33 +159,55 @@
         service = path[: path.rfind("/") + 1]
         return rpc.methods.get(path, rpc.methods.get(service, rpc.cls))
 
-    def _callable(self, path: str, request_stream: bool, response_stream: bool, serializer: Any,
-                  deserializer: Any) -> Any:
+    def _callable(
+        self, path: str, request_stream: bool, response_stream: bool, serializer: Any, deserializer: Any
+    ) -> Any:
         method = Method(path, request_stream, response_stream, serializer, deserializer, self._class_of(path))
         kind = MULTI[request_stream, response_stream]
         return kind(self, method, self._interceptors[request_stream, response_stream])
 
-    def unary_unary(self, method: str, request_serializer: Any = None, response_deserializer: Any = None,
-                    _registered_method: bool | None = False) -> Any:
+    def unary_unary(
+        self,
+        method: str,
+        request_serializer: Any = None,
+        response_deserializer: Any = None,
+        _registered_method: bool | None = False,
+    ) -> Any:
         return self._callable(method, False, False, request_serializer, response_deserializer)
 
-    def unary_stream(self, method: str, request_serializer: Any = None, response_deserializer: Any = None,
-                     _registered_method: bool | None = False) -> Any:
+    def unary_stream(
+        self,
+        method: str,
+        request_serializer: Any = None,
+        response_deserializer: Any = None,
+        _registered_method: bool | None = False,
+    ) -> Any:
         return self._callable(method, False, True, request_serializer, response_deserializer)
 
-    def stream_unary(self, method: str, request_serializer: Any = None, response_deserializer: Any = None,
-                     _registered_method: bool | None = False) -> Any:
+    def stream_unary(
+        self,
+        method: str,
+        request_serializer: Any = None,
+        response_deserializer: Any = None,
+        _registered_method: bool | None = False,
+    ) -> Any:
         return self._callable(method, True, False, request_serializer, response_deserializer)
 
-    def stream_stream(self, method: str, request_serializer: Any = None, response_deserializer: Any = None,
-                      _registered_method: bool | None = False) -> Any:
+    def stream_stream(
+        self,
+        method: str,
+        request_serializer: Any = None,
+        response_deserializer: Any = None,
+        _registered_method: bool | None = False,
+    ) -> Any:
         return self._callable(method, True, True, request_serializer, response_deserializer)
 
     def call(self, method: Method, request: Any, asked: Asked) -> BalancedCall:
         """Begin a call."""
         shared, pool = self._started()
         begun = CALLS[method.request_stream, method.response_stream](
-            shared, pool, method, asked, request, self._calls.discard)
+            shared, pool, method, asked, request, self._calls.discard
+        )
         if not begun.done():
             self._calls.add(begun)
         return begun
@@ -191,8 +219,15 @@
     def __init__(self, channel: BalancedChannel, method: Method, interceptors: Sequence[Any]) -> None:
         self._channel, self._method, self._interceptors = channel, method, interceptors
 
-    def _begin(self, request: Any, timeout: float | None, metadata: Any, credentials: Any,
-               wait_for_ready: bool | None, compression: Any) -> Any:
+    def _begin(
+        self,
+        request: Any,
+        timeout: float | None,
+        metadata: Any,
+        credentials: Any,
+        wait_for_ready: bool | None,
+        compression: Any,
+    ) -> Any:
         asked = Asked(timeout, metadata, credentials, bool(wait_for_ready), compression)
         if not self._interceptors:
             return self._channel.call(self._method, request, asked)
@@ -202,14 +237,29 @@
 
 
 class _OneRequest(_Callable):
-    def __call__(self, request: Any, *, timeout: float | None = None, metadata: Any = None,
-                 credentials: Any = None, wait_for_ready: bool | None = None, compression: Any = None) -> Any:
+    def __call__(
+        self,
+        request: Any,
+        *,
+        timeout: float | None = None,
+        metadata: Any = None,
+        credentials: Any = None,
+        wait_for_ready: bool | None = None,
+        compression: Any = None,
+    ) -> Any:
         return self._begin(request, timeout, metadata, credentials, wait_for_ready, compression)
 
 
 class _ManyRequests(_Callable):
-    def __call__(self, request_iterator: Any = None, timeout: float | None = None, metadata: Any = None,
-                 credentials: Any = None, wait_for_ready: bool | None = None, compression: Any = None) -> Any:
+    def __call__(
+        self,
+        request_iterator: Any = None,
+        timeout: float | None = None,
+        metadata: Any = None,
+        credentials: Any = None,
+        wait_for_ready: bool | None = None,
+        compression: Any = None,
+    ) -> Any:
         return self._begin(request_iterator, timeout, metadata, credentials, wait_for_ready, compression)
 
 
@@ -230,6 +280,8 @@
 
 
 MULTI: dict[tuple[bool, bool], type[_Callable]] = {
-    (False, False): _UnaryUnary, (False, True): _UnaryStream, (True, False): _StreamUnary,
+    (False, False): _UnaryUnary,
+    (False, True): _UnaryStream,
+    (True, False): _StreamUnary,
     (True, True): _StreamStream,
 }
--- a/puffindeck/rpc/intercept.py
+++ b/puffindeck/rpc/intercept.py
@@ -60,8 +60,9 @@
         metadata = asked.metadata
         if metadata is not None and not isinstance(metadata, Metadata):
             metadata = Metadata.from_tuple(tuple(metadata))
-        details = ClientCallDetails(method.path, asked.timeout, metadata, asked.credentials,
-                                    asked.wait_for_ready)
+        details = ClientCallDetails(
+            method.path, asked.timeout, metadata, asked.credentials, asked.wait_for_ready
+        )
         self._inner: Any = None  # the call that the last continuation began
         first = self._written if self._written is not None else request
         self._task = asyncio.get_running_loop().create_task(self._run(list(interceptors), details, first))
@@ -70,8 +71,13 @@
     async def _run(self, rest: list[Any], details: ClientCallDetails, request: Any) -> Any:
         if not rest:
             path = details.method if isinstance(details.method, str) else details.method.decode()
-            asked = Asked(details.timeout, details.metadata, details.credentials,
-                          bool(details.wait_for_ready), self._asked.compression)
+            asked = Asked(
+                details.timeout,
+                details.metadata,
+                details.credentials,
+                bool(details.wait_for_ready),
+                self._asked.compression,
+            )
             method = self._method if path == self._method.path else self._method._replace(path=path)
             self._inner = self._begin(method, request, asked)
             return self._inner
@@ -188,7 +194,7 @@
         if self._written is None:
             raise grpc.aio.UsageError(MIXED)
         if self._done_writing:
-            raise asyncio.InvalidStateError("RPC is half closed after calling \"done_writing\".")
+            raise asyncio.InvalidStateError('RPC is half closed after calling "done_writing".')
         if self.done():
             raise asyncio.InvalidStateError("RPC already finished.")
         loop = asyncio.get_running_loop()
@@ -277,6 +283,8 @@
 
 
 INTERCEPTED: dict[tuple[bool, bool], type[Intercepted]] = {
-    (False, False): _UnaryUnary, (False, True): _UnaryStream, (True, False): _StreamUnary,
+    (False, False): _UnaryUnary,
+    (False, True): _UnaryStream,
+    (True, False): _StreamUnary,
     (True, True): _StreamStream,
 }
--- a/puffindeck/rpc/resuming.py
+++ b/puffindeck/rpc/resuming.py
@@ -17,7 +17,10 @@
 
 
 async def resuming(
-    begin: Callable[[Any], Any], *, tries: int = 8, random: Random | None = None,
+    begin: Callable[[Any], Any],
+    *,
+    tries: int = 8,
+    random: Random | None = None,
 ) -> AsyncGenerator[Any, None]:
     """The messages of a stream, over as many streams as it takes.
 
--- a/puffindeck/rpc/roster.py
+++ b/puffindeck/rpc/roster.py
@@ -24,7 +24,11 @@
     """One watch at a time. When it breaks the module is told, and says when to ask again."""
 
     def __init__(
-        self, discovery: tuple[str, int], directory: Directory, engine: Engine, alive: Callable[[], None],
+        self,
+        discovery: tuple[str, int],
+        directory: Directory,
+        engine: Engine,
+        alive: Callable[[], None],
     ) -> None:
         host, port = discovery
         self._base = f"http://[{host}]:{port}" if ":" in host else f"http://{host}:{port}"
--- a/puffindeck/rpc/subchannels.py
+++ b/puffindeck/rpc/subchannels.py
@@ -42,7 +42,8 @@
     def on(self, channel: Any) -> Any:
         """The library's own callable for it."""
         kind = ("stream" if self.request_stream else "unary") + (
-            "_stream" if self.response_stream else "_unary")
+            "_stream" if self.response_stream else "_unary"
+        )
         return getattr(channel, kind)(self.path, self.serializer, self.deserializer)
 
 
@@ -107,8 +108,13 @@
     """
 
     def __init__(
-        self, deadlines: TimerQueue, most: int, idle: timedelta, credentials: grpc.ChannelCredentials | None,
-        options: Sequence[tuple[str, Any]], compression: Any,
+        self,
+        deadlines: TimerQueue,
+        most: int,
+        idle: timedelta,
+        credentials: grpc.ChannelCredentials | None,
+        options: Sequence[tuple[str, Any]],
+        compression: Any,
     ) -> None:
         self._deadlines, self._most, self._idle = deadlines, most, idle
         self._credentials, self._compression = credentials, compression
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -10,22 +10,22 @@
 from typing import Any
 
 import msgspec
+
 import puffindeck_membership.messages as membership_messages
 import puffindeck_quota.model as quota_messages
 import puffindeck_residency.books as residency_messages
-from puffindeck_fleet.gateway import Fleet
-from puffindeck_fleet.governor import Governor
-from puffindeck_fleet.keeping import Keeper, Kept
-from puffindeck_fleet.wire import Wire
-from puffindeck_quota import Quota
-from puffindeck_residency import Books
-
 from puffindeck import benchlink
 from puffindeck.config.fleet import installation
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Settings
 from puffindeck.net.records import Records
 from puffindeck.net.upgrade import Generation
+from puffindeck_fleet.gateway import Fleet
+from puffindeck_fleet.governor import Governor
+from puffindeck_fleet.keeping import Keeper, Kept
+from puffindeck_fleet.wire import Wire
+from puffindeck_quota import Quota
+from puffindeck_residency import Books
 
 
 def _by_tag(module: Any) -> dict[int, type[msgspec.Struct]]:
