--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/crowd_ways.py
@@ -26,18 +26,18 @@
 from puffindeck.crowd.ring import EVENNESS, EvenBalancer
 from puffindeck.hashes import mixed, points
 from puffindeck.interface import (
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     ClassSettings,
-    Ended,
-    Entry,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
     Event,
-    Listed,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Requested,
+    RequestArrived,
     Send,
     Settings,
-    State,
 )
 
 SETTINGS = Settings(
@@ -59,8 +59,10 @@
 
 
 def listed(servers: list[int], cold: list[int]) -> Event:
-    return Listed(
-        ListKind.FULL, 1, [Entry(s, 0, 0, 0, State.READY, 1.0, NOW if s in cold else 0.0) for s in servers]
+    return EndpointListUpdated(
+        ListUpdateKind.FULL,
+        1,
+        [EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, NOW if s in cold else 0.0) for s in servers],
     )
 
 
@@ -83,12 +85,12 @@
     one.handle(NOW, [listed(servers, cold)])
     found = []
     for i, key in enumerate(keys):
-        send = sent(one, NOW + i, [Requested(i + 1, 0, 0, key, 1200, 0.0, 0)])
+        send = sent(one, NOW + i, [RequestArrived(i + 1, 0, 0, key, 1200, 0.0, 0)])
         found.append(send.server if send else 0)
         if send:
-            one.handle(NOW + i, [Began(send.request, send.server, 5.0, 0)])
+            one.handle(NOW + i, [AttemptEstablished(send.request, send.server, 5.0, 0)])
         if send and not stand:
-            one.handle(NOW + i, [Ended(send.request, Outcome.OK, send.server, 0, True, 6.0)])
+            one.handle(NOW + i, [AttemptEnded(send.request, Outcome.OK, send.server, 0, True, 6.0)])
     return found
 
 
@@ -100,7 +102,7 @@
         for i, key in enumerate(keys):
             one = kind(replace(SETTINGS, evenness=evenness), i)
             one.handle(NOW, [listed(servers, cold)])
-            send = sent(one, NOW + 1000 * i / len(keys), [Requested(1, 0, 0, key, 1200, 0.0, 0)])
+            send = sent(one, NOW + 1000 * i / len(keys), [RequestArrived(1, 0, 0, key, 1200, 0.0, 0)])
             found.append(send.server if send else 0)
         return found
 
--- a/benchmarks/pool_return.py
+++ b/benchmarks/pool_return.py
@@ -26,24 +26,24 @@
 from benchmarks.table import table
 from puffindeck.interface import (
     Action,
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     Cancel,
     ClassSettings,
-    Ended,
-    Entry,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
     Event,
     Fail,
-    Listed,
-    ListKind,
-    Move,
+    ListUpdateKind,
+    Migrate,
     Outcome,
-    Refuse,
-    Requested,
+    Reject,
+    RequestArrived,
+    ScheduleTimer,
     Send,
     Settings,
-    State,
-    Wake,
-    Woken,
+    TimerFired,
 )
 from puffindeck.routing import Pool, Pooled, RouteTable, Routing
 
@@ -95,22 +95,22 @@
     def at(self, when: float, act: Any, *what: Any) -> None:
         heappush(self._due, (when, next(self._order), act, what))
 
-    def listed(self, kind: ListKind, version: int, state: State, started: float) -> None:
-        entries = [Entry(s, 0, 0, 0, state, 1.0, started) for s in PRIMARIES]
-        if kind == ListKind.FULL:
-            entries += [Entry(s, 0, 0, 0, State.READY, 1.0, 0.0) for s in BACKUPS]
+    def listed(self, kind: ListUpdateKind, version: int, state: EndpointStatus, started: float) -> None:
+        entries = [EndpointEntry(s, 0, 0, 0, state, 1.0, started) for s in PRIMARIES]
+        if kind == ListUpdateKind.FULL:
+            entries += [EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, 0.0) for s in BACKUPS]
         for gateway in range(len(self.gateways)):
-            self.tell(gateway, Listed(kind, version, entries))
+            self.tell(gateway, EndpointListUpdated(kind, version, entries))
 
     def run(self) -> None:
-        self.listed(ListKind.FULL, 1, State.READY, 0.0)
+        self.listed(ListUpdateKind.FULL, 1, EndpointStatus.READY, 0.0)
         when = 0.0
         while when < END:
             when += self.random.expovariate(self.rate / 1000)
             self.at(when, self.come, when, self.random.getrandbits(60))
         self.at(DIE, self.die)
-        self.at(GONE, self.listed, ListKind.CHANGES, 2, State.GONE, 0.0)
-        self.at(TOLD, self.listed, ListKind.CHANGES, 3, State.READY, BACK)
+        self.at(GONE, self.listed, ListUpdateKind.CHANGES, 2, EndpointStatus.GONE, 0.0)
+        self.at(TOLD, self.listed, ListUpdateKind.CHANGES, 3, EndpointStatus.READY, BACK)
         while self._due and self._due[0][0] <= END:
             self.now, _, act, what = heappop(self._due)
             act(*what)
@@ -118,7 +118,7 @@
     def come(self, first: float, key: int) -> None:
         gateway, request = self.random.randrange(len(self.gateways)), next(self.ids)
         self.came[gateway, request] = first, key
-        self.tell(gateway, Requested(request, 0, 0, key, 1800, 0.0, 0))
+        self.tell(gateway, RequestArrived(request, 0, 0, key, 1800, 0.0, 0))
 
     def alive(self, server: int) -> bool:
         return server in BACKUPS or not DIE <= self.now < BACK
@@ -133,15 +133,17 @@
         server = self._places.pop((gateway, request), None)
         if server is not None:
             self.held[server] -= 1
-            self.tell(gateway, Ended(request, outcome, server, self.tries[gateway, request] - 1, True, 0.0))
+            self.tell(
+                gateway, AttemptEnded(request, outcome, server, self.tries[gateway, request] - 1, True, 0.0)
+            )
 
     def tell(self, gateway: int, event: Event) -> None:
         for action in self.gateways[gateway].handle(self.now, [event]):
             self.do(gateway, action)
 
     def do(self, gateway: int, action: Action) -> None:
-        if isinstance(action, Wake):
-            self.at(self.now + action.in_ms, self.tell, gateway, Woken(action.token))
+        if isinstance(action, ScheduleTimer):
+            self.at(self.now + action.in_ms, self.tell, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
             number, server = self.tries[gateway, action.request], action.server
             self.tries[gateway, action.request] += 1
@@ -150,21 +152,21 @@
                 self.new.append((self.now, server in PRIMARIES))
             took = SETUP if self.alive(server) else 1.0
             self.at(self.now + took, self.over, gateway, action.request, server, number, took)
-        elif isinstance(action, Refuse):
+        elif isinstance(action, Reject):
             self.refused += 1
             first, key = self.came[gateway, action.request]
             self.at(self.now + (action.wait_ms or AGAIN), self.come, first, key)
         else:
-            assert not isinstance(action, (Fail, Cancel, Move))
+            assert not isinstance(action, (Fail, Cancel, Migrate))
 
     def over(self, gateway: int, request: int, server: int, number: int, took: float) -> None:
         if not self.alive(server):
-            self.tell(gateway, Ended(request, Outcome.CONNECT_FAILED, server, number, False, took))
+            self.tell(gateway, AttemptEnded(request, Outcome.CONNECT_FAILED, server, number, False, took))
             return
         self.waits.append((self.came[gateway, request][0], self.now - self.came[gateway, request][0]))
         self.held[server] += 1
         self._places[gateway, request] = server
-        self.tell(gateway, Began(request, server, took, number))
+        self.tell(gateway, AttemptEstablished(request, server, took, number))
         self.at(self.now + self.random.expovariate(1 / self.stay), self.leave, gateway, request, Outcome.OK)
 
     # Figures
--- a/packages/fleet/src/puffindeck_fleet/governor.py
+++ b/packages/fleet/src/puffindeck_fleet/governor.py
@@ -11,30 +11,30 @@
 
 from puffindeck.core.engine import Decisions
 from puffindeck.interface import (
-    NEVER_RAN,
+    NOT_PROCESSED,
     Action,
-    Began,
-    ClientLeft,
-    Dismissed,
-    Ended,
+    AttemptEnded,
+    AttemptEstablished,
+    ClientDisconnected,
+    ConnectionRestored,
     Event,
     Fail,
-    Move,
-    Opened,
+    Migrate,
     Outcome,
-    Refuse,
-    Requested,
-    Retuned,
+    Reject,
+    RequestAborted,
+    RequestArrived,
     Settings,
-    Woken,
+    SettingsChanged,
+    TimerFired,
 )
 from puffindeck_quota import Charge, Quota, Refusal
 from puffindeck_residency import Books, Regional
 from puffindeck_residency.rules import Verdict, judged
 
 DEFAULT = "default"  # whoever is no named tenant
-FLUSH = Woken(-1)  # hand out what has come up between two events
-UNSEEN = NEVER_RAN | {Outcome.ERROR}  # ends of an attempt after which no server counts it as served
+FLUSH = TimerFired(-1)  # hand out what has come up between two events
+UNSEEN = NOT_PROCESSED | {Outcome.ERROR}  # ends of an attempt after which no server counts it as served
 
 
 AGAIN_MS = 1000.0  # when a client whose service may not be served here now may come again, about
@@ -66,7 +66,7 @@
         quota: Quota | None,
         tenant: Callable[[Any], str] = lambda view: DEFAULT,
         *,
-        view: Callable[[Requested], Any] = lambda event: event,
+        view: Callable[[RequestArrived], Any] = lambda event: event,
         books: Books | None = None,
         region: str = "",
         moved_within_ms: float = 30000.0,
@@ -106,30 +106,30 @@
         for event in events:
             if event is FLUSH:
                 continue
-            if isinstance(event, Requested):
+            if isinstance(event, RequestArrived):
                 refusal = self._admit(now_ms, event)
                 if refusal is not None:
                     refused.append(refusal)
                     continue
-            elif isinstance(event, Opened):
+            elif isinstance(event, ConnectionRestored):
                 pass  # stands from before the start: it was charged then
-            elif isinstance(event, Retuned):
+            elif isinstance(event, SettingsChanged):
                 self.settings = event.settings
             else:
                 self._note(now_ms, event)
             passed.append(event)
         actions: list[Action] = self.inner.handle(now_ms, passed)
         for action in actions:
-            if isinstance(action, (Refuse, Fail)):
+            if isinstance(action, (Reject, Fail)):
                 self._answered(now_ms, action.request)
         if self.books is not None and now_ms - self._swept_ms >= SWEEP_MS:
             self._sweep(now_ms)
         moves, self._moves = self._moves, []
-        return refused + actions + [Move(request) for request in moves if request in self.held]
+        return refused + actions + [Migrate(request) for request in moves if request in self.held]
 
     # Rules
 
-    def _ruled(self, now: float, event: Requested, view: Any) -> Refuse | None:
+    def _ruled(self, now: float, event: RequestArrived, view: Any) -> Reject | None:
         """Note where the request may go; or refuse it, before a byte of it reaches a server."""
         assert self.books is not None
         verdict = judged(self.books.in_force(), view, self.region)
@@ -137,7 +137,7 @@
             return None
         if not verdict.carried or not verdict.allowed or not self.books.serves(now):
             self.refused += 1
-            return Refuse(event.request, min(self.settings.max_wait_ms, AGAIN_MS))
+            return Reject(event.request, min(self.settings.max_wait_ms, AGAIN_MS))
         self._order(event.request, verdict)
         return None
 
@@ -181,7 +181,7 @@
 
     # Admission
 
-    def _admit(self, now: float, event: Requested) -> Refuse | None:
+    def _admit(self, now: float, event: RequestArrived) -> Reject | None:
         if event.request in self.held:
             return None
         view = self.view(event)
@@ -192,7 +192,7 @@
             self.refused += 1
             if self.books is not None:
                 self._order(event.request, None)
-            return Refuse(event.request, min(self.settings.max_wait_ms, charge.wait_ms))
+            return Reject(event.request, min(self.settings.max_wait_ms, charge.wait_ms))
         self.held[event.request] = Held(charge, view)
         if charge is not None:
             self._of[charge] = event.request
@@ -200,13 +200,13 @@
 
     def _note(self, now: float, event: Event) -> None:
         """How a request goes on."""
-        if isinstance(event, Began):
+        if isinstance(event, AttemptEstablished):
             held = self.held.get(event.request)
             if held is not None and not held.begun:
                 held.begun = True
                 if held.charge is not None and self.quota is not None:
                     self.quota.began(held.charge, now)
-        elif isinstance(event, Ended):
+        elif isinstance(event, AttemptEnded):
             held = self.held.get(event.request)
             if held is None:
                 return
@@ -214,12 +214,12 @@
                 held.doubtful = True
             if held.begun or event.final:
                 self._close(now, event.request, held)
-        elif isinstance(event, ClientLeft):
+        elif isinstance(event, ClientDisconnected):
             held = self.held.get(event.request)
             if held is not None and not held.begun:
                 held.doubtful = True  # an attempt that is out may come up yet
                 self._close(now, event.request, held)
-        elif isinstance(event, Dismissed):
+        elif isinstance(event, RequestAborted):
             held = self.held.get(event.request)
             if held is not None:
                 held.doubtful = True  # as above; its answer closes it
--- a/packages/residency/tests/test_residency.py
+++ b/packages/residency/tests/test_residency.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from puffindeck.interface import ListKind, Outcome, Refuse, State
+from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck_residency import Book, Books, Came, Parcel, RegionalBalancer, Reported, Seen, Service
 from puffindeck_residency.rules import judged
 from tests.world import SETTINGS, Gateway, entry, listed
@@ -67,13 +67,17 @@
 def test_a_region_that_returns_cold_takes_what_its_budget_lets_it_and_the_next_one_the_rest() -> None:
     made = gateway()
     made.do(
-        listed(*(replace(entry(i, zone=1), state=State.DRAINING) for i in (4, 5, 6)), kind=ListKind.CHANGES, version=2)
+        listed(
+            *(replace(entry(i, zone=1), state=EndpointStatus.DRAINING) for i in (4, 5, 6)),
+            kind=ListUpdateKind.CHANGES,
+            version=2,
+        )
     )
     for request in range(100, 140):
         assert region(ask(made, request, "south", "north")) == "north"
         made.begin(request)
     back = [replace(entry(i, zone=1), started_ms=made.now) for i in (4, 5, 6)]
-    made.do(listed(*back, kind=ListKind.CHANGES, version=3))
+    made.do(listed(*back, kind=ListUpdateKind.CHANGES, version=3))
     found = []
     for request in range(200, 260):
         found.append(region(ask(made, request, "south", "north")))
@@ -86,19 +90,25 @@
 
 def test_with_all_allowed_regions_down_a_request_is_refused_at_once_and_goes_nowhere() -> None:
     made = gateway()
-    made.do(listed(*(replace(entry(i, zone=1), state=State.GONE) for i in (4, 5, 6)), kind=ListKind.CHANGES, version=2))
+    made.do(
+        listed(
+            *(replace(entry(i, zone=1), state=EndpointStatus.GONE) for i in (4, 5, 6)),
+            kind=ListUpdateKind.CHANGES,
+            version=2,
+        )
+    )
     for request in range(100, 120):
         assert ask(made, request, "south") is None
-    refusals = [a for a in made.actions if isinstance(a, Refuse)]
+    refusals = [a for a in made.actions if isinstance(a, Reject)]
     assert len(refusals) == 20
     assert all(a.wait_ms > 0 for a in refusals)
 
 
 def test_a_server_of_no_known_zone_serves_no_ruled_service() -> None:
     made = gateway()
-    made.do(listed(*(entry(i, zone=7) for i in (4, 5, 6)), kind=ListKind.CHANGES, version=2))
+    made.do(listed(*(entry(i, zone=7) for i in (4, 5, 6)), kind=ListUpdateKind.CHANGES, version=2))
     assert ask(made, 100, "south") is None
-    made.do(listed(entry(5, zone=1), kind=ListKind.CHANGES, version=3))
+    made.do(listed(entry(5, zone=1), kind=ListUpdateKind.CHANGES, version=3))
     assert ask(made, 101, "south") == 5
 
 
@@ -110,7 +120,7 @@
     assert made.balancer.outside() == []
     made.balancer.orders[103] = ("north",)
     assert made.balancer.outside() == [103]
-    made.do(listed(entry(4, zone=7), entry(5, zone=7), entry(6, zone=7), kind=ListKind.CHANGES, version=2))
+    made.do(listed(entry(4, zone=7), entry(5, zone=7), entry(6, zone=7), kind=ListUpdateKind.CHANGES, version=2))
     assert len(made.balancer.outside()) == 10  # their zone changed in the list
 
 
--- a/puffindeck/choice/attempts.py
+++ b/puffindeck/choice/attempts.py
@@ -4,19 +4,19 @@
 from puffindeck.choice.walk import Walk
 from puffindeck.hashes import lot
 from puffindeck.interface import (
-    NEVER_RAN,
-    Began,
+    NOT_PROCESSED,
+    AttemptEnded,
+    AttemptEstablished,
     Cancel,
-    ClientLeft,
-    Dismissed,
+    ClientDisconnected,
+    ConnectionRestored,
     Effect,
-    Ended,
     Fail,
-    Move,
-    Opened,
+    Migrate,
     Outcome,
-    Refuse,
-    Requested,
+    Reject,
+    RequestAborted,
+    RequestArrived,
     Send,
 )
 from puffindeck.records import INF, Request, Server
@@ -28,7 +28,7 @@
 class Attempts(Walk):
     """When a request is sent, tried again, refused or given up."""
 
-    def _requested(self, event: Requested) -> None:
+    def _requested(self, event: RequestArrived) -> None:
         if event.request in self.requests:
             return
         load = event.hint or self._class_load(event.cls)
@@ -40,7 +40,7 @@
         self._at(request.deadline, self._overdue, request)
         self._place(request)
 
-    def _opened(self, event: Opened) -> None:
+    def _opened(self, event: ConnectionRestored) -> None:
         if event.request in self.requests:
             return
         request = Request(event, self.settings, event.hint or self._class_load(event.cls), INF)
@@ -102,7 +102,7 @@
         self._count(request, server)
         self.actions.append(Send(request.id, server.id, timeout, begin))
 
-    def _began(self, event: Began) -> None:
+    def _began(self, event: AttemptEstablished) -> None:
         request = self.requests.get(event.request)
         if request is None or request.server is None or request.begun:
             return
@@ -120,7 +120,7 @@
             if other is not server:
                 self._failed(other)
         if request.answered:
-            self.actions.append(Move(request.id))
+            self.actions.append(Migrate(request.id))
         else:
             self._leave_out(request)
 
@@ -139,7 +139,7 @@
         else:
             self._at(self.now + request.rules.aim_ms / 2, self._late, sent)
 
-    def _ended(self, event: Ended) -> None:
+    def _ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or not request.out or event.attempt != request.attempts - 1:
             return
@@ -148,7 +148,7 @@
         request.out = False
         if server is not None:
             self._judge(server, request, event, begun)
-        if event.outcome in NEVER_RAN and request.ran_ms == request.sent_ms:
+        if event.outcome in NOT_PROCESSED and request.ran_ms == request.sent_ms:
             request.ran = None  # the first that may have run did not: the next may again go anywhere
         if event.outcome == Outcome.NO_RESOURCE:
             request.most += 1
@@ -162,7 +162,7 @@
             wait = RETRY_MS * 2 ** (request.attempts - 2) * (0.5 + self.random.random())
             self._at(self.now + wait, self._place, request)
 
-    def _client_left(self, event: ClientLeft) -> None:
+    def _client_left(self, event: ClientDisconnected) -> None:
         request = self.requests.get(event.request)
         if request is not None:
             self._close(request)
@@ -171,7 +171,7 @@
         if not request.answered and not request.begun and self.requests.get(request.id) is request:
             self._answer(request)
 
-    def _dismissed(self, event: Dismissed) -> None:
+    def _dismissed(self, event: RequestAborted) -> None:
         """Its gateway ends. A class that may be repeated may be refused too while an attempt is out."""
         request = self.requests.get(event.request)
         if request is not None and not request.answered and not request.begun:
@@ -181,7 +181,7 @@
         """The one final answer; a refusal only where a retry is known to do no harm."""
         if refuse is None:
             refuse = request.harmless() and not request.out
-        self.actions.append(Refuse(request.id, self._come_back(request)) if refuse else Fail(request.id))
+        self.actions.append(Reject(request.id, self._come_back(request)) if refuse else Fail(request.id))
         self._close(request)
 
     def _come_back(self, request: Request) -> float:
--- a/puffindeck/choice/balancer.py
+++ b/puffindeck/choice/balancer.py
@@ -8,27 +8,27 @@
 from puffindeck.choice.relief import TICK_MS
 from puffindeck.interface import (
     Action,
-    Attached,
-    Began,
-    ClientLeft,
-    DelayTold,
-    Detached,
-    Dismissed,
-    Ended,
-    Entry,
+    AttemptEnded,
+    AttemptEstablished,
+    ClientDisconnected,
+    ConnectionRestored,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
     Event,
-    Follow,
-    Listed,
-    ListKind,
-    LoadTold,
-    Opened,
-    Recalled,
-    Requested,
-    Retuned,
+    LatencyReported,
+    ListUpdateKind,
+    LoadLimitRestored,
+    LoadReported,
+    RequestAborted,
+    RequestArrived,
+    ScheduleTimer,
     Settings,
-    State,
-    Wake,
-    Woken,
+    SettingsChanged,
+    TimerFired,
+    WatchEndpoints,
 )
 from puffindeck.records import INF, Server
 
@@ -42,20 +42,20 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         super().__init__(settings, seed)
         self.on: dict[type[Any], Callable[[Any], None]] = {
-            Listed: self._listed,
-            Requested: self._requested,
-            Opened: self._opened,
-            Began: self._began,
-            LoadTold: self._load_told,
-            DelayTold: self._delay_told,
-            Ended: self._ended,
-            ClientLeft: self._client_left,
-            Woken: self._woken,
-            Detached: self._detached,
-            Dismissed: self._dismissed,
-            Attached: self._attached,
-            Recalled: self._recalled,
-            Retuned: lambda event: self._tune(event.settings),
+            EndpointListUpdated: self._listed,
+            RequestArrived: self._requested,
+            ConnectionRestored: self._opened,
+            AttemptEstablished: self._began,
+            LoadReported: self._load_told,
+            LatencyReported: self._delay_told,
+            AttemptEnded: self._ended,
+            ClientDisconnected: self._client_left,
+            TimerFired: self._woken,
+            EndpointDetached: self._detached,
+            RequestAborted: self._dismissed,
+            EndpointAttached: self._attached,
+            LoadLimitRestored: self._recalled,
+            SettingsChanged: lambda event: self._tune(event.settings),
         }
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
@@ -75,40 +75,40 @@
         if self.timers and self.timers[0][0] < self.wake_at:
             self.wake_at = self.timers[0][0]
             self.wakes += 1
-            self.actions.append(Wake(self.wake_at - now_ms, self.wakes))
+            self.actions.append(ScheduleTimer(self.wake_at - now_ms, self.wakes))
         return self.actions
 
-    def _woken(self, event: Woken) -> None:
+    def _woken(self, event: TimerFired) -> None:
         if event.token == self.wakes:  # not by the clock: a wake may come a hair before its time
             self.wake_at = INF
 
     def _ask(self, _: Any) -> None:
-        self.actions.append(Follow())
+        self.actions.append(WatchEndpoints())
 
-    def _listed(self, event: Listed) -> None:
-        if event.kind == ListKind.FAILED:
+    def _listed(self, event: EndpointListUpdated) -> None:
+        if event.kind == ListUpdateKind.FAILED:
             # asked again with growing waits. A change counts as told 6 s after it could be had: a call that
             # was lost, a wait and an answer have to fit in that, however often it has failed before
             wait = min(ASK_MS * 2 ** min(self.list_fails, 9), ASK_MOST_MS, self.settings.ask_within_ms / 4)
             self.list_fails += 1
             self._at(self.now + wait * (0.5 + self.random.random()), self._ask, None)
             return
-        if event.kind == ListKind.CHANGES and event.version < self.version:
+        if event.kind == ListUpdateKind.CHANGES and event.version < self.version:
             return
         self.version, self.list_fails = event.version, 0
         for entry in event.entries:
             self._entry(entry)
-        if event.kind != ListKind.CHANGES:
+        if event.kind != ListUpdateKind.CHANGES:
             named = {entry.server for entry in event.entries}
             for server in self.servers.values():
-                if server.id not in named and server.state != State.GONE:
-                    server.state = State.GONE
-        for gone in [s for s in self.servers.values() if s.state == State.GONE and not s.conns]:
+                if server.id not in named and server.state != EndpointStatus.GONE:
+                    server.state = EndpointStatus.GONE
+        for gone in [s for s in self.servers.values() if s.state == EndpointStatus.GONE and not s.conns]:
             for known in (self.servers, self.live, self.failing, self.lately, self.returned):
                 known.pop(gone.id, None)
         self.arrange()
 
-    def _entry(self, entry: Entry) -> None:
+    def _entry(self, entry: EndpointEntry) -> None:
         server = self._server(entry.server)
         if entry.started_ms > server.started:
             self._renewed(server)
@@ -121,7 +121,7 @@
         self._trust(server)
         server.ceiling = INF
 
-    def _detached(self, event: Detached) -> None:
+    def _detached(self, event: EndpointDetached) -> None:
         if event.server not in self.detached:
             self.detached[event.server] = self.now
             self.returned.pop(event.server, None)
@@ -134,11 +134,11 @@
         """What servers have been seen to bear, for a process that follows this one."""
         return {s.id: s.ceiling for s in self.live.values()}
 
-    def _recalled(self, event: Recalled) -> None:
+    def _recalled(self, event: LoadLimitRestored) -> None:
         server = self.live[event.server] = self._server(event.server)
         server.ceiling, server.cut_ms = min(server.ceiling, event.ceiling), self.now
 
-    def _attached(self, event: Attached) -> None:
+    def _attached(self, event: EndpointAttached) -> None:
         """Cold since the start that the list tells of, or since now: it may tell of it only seconds later."""
         if event.server in self.detached:
             server, out_ms = self._server(event.server), self.detached.pop(event.server)
--- a/puffindeck/choice/cold.py
+++ b/puffindeck/choice/cold.py
@@ -3,7 +3,7 @@
 import math
 
 from puffindeck.choice.known import Known
-from puffindeck.interface import State
+from puffindeck.interface import EndpointStatus
 from puffindeck.records import INF, Request, Server
 
 FULL = 2.0  # of the mean a server holds: what one bears at least when full
@@ -33,7 +33,7 @@
         zones: dict[int | None, float] = {None: 0.0}
         self.cold_size, self.all_warm = 0.0, True
         # who waits for a place counts too, and whom a restart of servers has just cost theirs
-        here = self.holds() / max(1, sum(s.state != State.GONE for s in self.servers.values()))
+        here = self.holds() / max(1, sum(s.state != EndpointStatus.GONE for s in self.servers.values()))
         faded = self.mean_held * math.exp((self.mean_held_ms - self.now) / max(1.0, self.settings.cold_ms))
         self.mean_held, self.mean_held_ms = max(here, faded), self.now
         for s in self.ready.values():
--- a/puffindeck/choice/judging.py
+++ b/puffindeck/choice/judging.py
@@ -1,7 +1,7 @@
 """Health: a server is judged by what its attempts and connections come to."""
 
 from puffindeck.choice.relief import STRAINED, TICK_MS, Relief
-from puffindeck.interface import DelayTold, Ended, Log, Outcome
+from puffindeck.interface import AttemptEnded, LatencyReported, Log, Outcome
 from puffindeck.records import Request, Server
 
 SUSPECT_MS, SUSPECT_MAX_MS = 1000.0, 8000.0  # how long a server that failed is skipped at first, and at most
@@ -12,7 +12,7 @@
 class Judging(Relief):
     """Which servers are skipped for a while, and how much load one is held to bear."""
 
-    def _judge(self, server: Server, request: Request, event: Ended, begun: bool) -> None:
+    def _judge(self, server: Server, request: Request, event: AttemptEnded, begun: bool) -> None:
         outcome = event.outcome
         if outcome == Outcome.RESET and begun:
             # one dropped connection is a server shedding load; many at once are its end
@@ -64,7 +64,7 @@
         if server.fails == 2:
             self.actions.append(Log(f"server {server.id}: failing, skipped and tried again now and then"))
 
-    def _delay_told(self, event: DelayTold) -> None:
+    def _delay_told(self, event: LatencyReported) -> None:
         server = self.servers.get(event.server)
         if server is None:
             return
--- a/puffindeck/choice/ledger.py
+++ b/puffindeck/choice/ledger.py
@@ -1,7 +1,7 @@
 """The ledger of load: what this gateway has at each server."""
 
 from puffindeck.choice.ring import Ring
-from puffindeck.interface import LoadTold
+from puffindeck.interface import LoadReported
 from puffindeck.records import Request, Server
 
 GROUP_COST = 2.5  # mean connections that a server pays for a group's first one; a guess, told nowhere
@@ -49,7 +49,7 @@
                 del server.groups[request.group]
                 server.load -= GROUP_COST * self.mean_load
 
-    def _load_told(self, event: LoadTold) -> None:
+    def _load_told(self, event: LoadReported) -> None:
         request = self.requests.get(event.request)
         if request is None or request.server is None:
             return
--- a/puffindeck/choice/relief.py
+++ b/puffindeck/choice/relief.py
@@ -3,7 +3,7 @@
 import math
 
 from puffindeck.choice.ledger import GROUP_COST, Ledger
-from puffindeck.interface import Move
+from puffindeck.interface import Migrate
 from puffindeck.records import INF, Request, Server
 
 MEMORY_MS = 60000.0  # how long what was seen of keys' shares counts
@@ -75,7 +75,7 @@
         if request.begun and not request.answered:
             request.answered = True
             self._uncount(request)  # on its way out: it must not be shed a second time
-            self.actions.append(Move(request.id))
+            self.actions.append(Migrate(request.id))
 
     def _leave_out(self, request: Request) -> None:
         if request.server is not None and request.server.id in self.detached:
--- a/puffindeck/choice/ring.py
+++ b/puffindeck/choice/ring.py
@@ -7,7 +7,7 @@
 
 from puffindeck.choice.cold import Cold
 from puffindeck.hashes import mixed, points
-from puffindeck.interface import Effect, Scope, State
+from puffindeck.interface import Effect, EndpointStatus, Scope
 from puffindeck.records import INF, Request, Server
 
 PLAN_MS, PLANNED = 500.0, 64  # how long a plan for groups holds, and for how many, those seen most
@@ -21,7 +21,9 @@
         """The ring of those that are ready and not taken out."""
         before = self.ready
         self.ready = {
-            s.id: s for s in self.servers.values() if s.state == State.READY and s.id not in self.detached
+            s.id: s
+            for s in self.servers.values()
+            if s.state == EndpointStatus.READY and s.id not in self.detached
         }
         if before.keys() - self.ready.keys():
             self.owners = {point: s for point, s in self.owners.items() if s in self.ready}
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -22,32 +22,32 @@
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import (
     Action,
-    Attached,
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     Cancel,
-    ClientLeft,
-    DelayTold,
-    Detached,
-    Dismissed,
-    Ended,
-    Entry,
+    ClientDisconnected,
+    ConnectionRestored,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointEntry,
+    EndpointListUpdated,
     Event,
     Fail,
-    Follow,
-    Listed,
-    ListKind,
-    LoadTold,
+    LatencyReported,
+    ListUpdateKind,
+    LoadReported,
     Log,
-    Move,
-    Opened,
+    Migrate,
     Outcome,
-    Refuse,
-    Requested,
-    Retuned,
+    Reject,
+    RequestAborted,
+    RequestArrived,
+    ScheduleTimer,
     Send,
     Settings,
-    Wake,
-    Woken,
+    SettingsChanged,
+    TimerFired,
+    WatchEndpoints,
 )
 
 log = Logger("puffindeck")
@@ -84,12 +84,12 @@
         self.reachability = Reachability(self.clock, settings)
         self._do: dict[type[Any], Callable[[Any], None]] = {
             Send: self._send,
-            Refuse: self._refuse,
+            Reject: self._refuse,
             Fail: self._fail,
             Cancel: self._cancel,
-            Move: self._move,
-            Wake: self._wake,
-            Follow: lambda action: self.follow(),
+            Migrate: self._move,
+            ScheduleTimer: self._wake,
+            WatchEndpoints: lambda action: self.follow(),
             Log: self._log,
         }
 
@@ -120,11 +120,11 @@
 
     # From the front: the list
 
-    def listed(self, kind: ListKind, version: int = 0, entries: Iterable[Entry] = ()) -> None:
+    def listed(self, kind: ListUpdateKind, version: int = 0, entries: Iterable[EndpointEntry] = ()) -> None:
         """News of the server list, or that it can't be had."""
         entries = list(entries)
         self.reachability.listed(kind, entries)
-        self.tell(Listed(kind, version, entries))
+        self.tell(EndpointListUpdated(kind, version, entries))
 
     def known(self, server: int) -> bool:
         """Does the list have it, be it that it drains?"""
@@ -139,11 +139,11 @@
     def detach(self, server: int) -> None:
         """Nothing new to this server until it is attached, whatever the list says."""
         self.reachability.detach(server)
-        self.tell(Detached(server))
+        self.tell(EndpointDetached(server))
 
     def attach(self, server: int) -> None:
         self.reachability.attach(server)
-        self.tell(Attached(server))
+        self.tell(EndpointAttached(server))
 
     def retune(self, new: Settings, kept: Iterable[int] = ()) -> None:
         """Other settings from now on; what is open keeps the rules that it began with.
@@ -163,7 +163,7 @@
                 places.append(c)
         self.settings = replace(new, classes=tuple(places))
         self.reachability.retune(new)
-        self.tell(Retuned(self.settings))
+        self.tell(SettingsChanged(self.settings))
 
     # From the front: requests
 
@@ -174,7 +174,7 @@
         held.number = number = self._hold(held)
         held.guard = self.deadlines.at(deadline + LATE, self._overdue, number)
         self.tell(
-            Requested(
+            RequestArrived(
                 number,
                 asked.cls,
                 0,
@@ -199,7 +199,7 @@
         held = Held(client, asked.cls, self.clock.now(), 1, asked.id)
         held.number = number = self._hold(held)
         held.attempts, held.out, held.begun, held.answered, held.server = 1, True, True, True, server
-        self.tell(Opened(number, server, asked.cls, 0, asked.hint, asked.group, asked.key))
+        self.tell(ConnectionRestored(number, server, asked.cls, 0, asked.hint, asked.group, asked.key))
         return AttemptId(number, 0)
 
     def linked(self, ticket: AttemptId, link: Link) -> None:
@@ -216,7 +216,7 @@
         if not held.begun:
             held.answered = True
             self.observer.closed(held.id, Reason.CLIENT_LEFT)
-            self.tell(ClientLeft(number))
+            self.tell(ClientDisconnected(number))
         if held.out:
             self._cut(held, Outcome.CANCELLED)
         self._settle(held)
@@ -226,7 +226,7 @@
         held = self.held.get(number)
         if held is None or held.begun:
             return
-        self.tell(Dismissed(number))
+        self.tell(RequestAborted(number))
         self._overdue(number, Reason.STOPPING)  # whatever the module has done, it is answered
         if self.held.get(number) is held and held.out:
             self._cut(held, Outcome.CANCELLED)
@@ -248,7 +248,7 @@
         held.client.began(held.link)
         self.observer.answered(held.id, Answer.UP, Reason.SERVED)
         took = ms(self.clock.now() - held.sent)
-        self.tell(Began(ticket.request, held.server, took, ticket.attempt))
+        self.tell(AttemptEstablished(ticket.request, held.server, took, ticket.attempt))
         return True
 
     def ended(self, ticket: AttemptId, outcome: Outcome) -> None:
@@ -266,7 +266,7 @@
         if not held.begun:
             self.observer.attempt_ended(held.id, held.server, ticket.attempt, outcome, took)
         self._settle(held)
-        self.tell(Ended(ticket.request, outcome, held.server, ticket.attempt, held.answered, ms(took)))
+        self.tell(AttemptEnded(ticket.request, outcome, held.server, ticket.attempt, held.answered, ms(took)))
 
     def noted(self, ticket: AttemptId, figure: float) -> None:
         """What a server tells of an open connection: the settings say whether load or a message's delay."""
@@ -274,9 +274,9 @@
         if held is None:
             return
         if self.settings.tells_load:
-            self.tell(LoadTold(ticket.request, held.server, figure))
+            self.tell(LoadReported(ticket.request, held.server, figure))
         elif self.settings.tells_delay:
-            self.tell(DelayTold(ticket.request, held.server, figure))
+            self.tell(LatencyReported(ticket.request, held.server, figure))
 
     # The module's actions
 
@@ -287,7 +287,9 @@
         ticket = AttemptId(action.request, held.attempts)
         if held.answered or held.out or held.attempts >= held.most:
             held.attempts += not held.out
-            self.tell(Ended(action.request, Outcome.MOOT, action.server, ticket.attempt, held.answered, 0.0))
+            self.tell(
+                AttemptEnded(action.request, Outcome.MOOT, action.server, ticket.attempt, held.answered, 0.0)
+            )
             return
         if not held.client.waits():
             self.client_left(action.request)
@@ -339,7 +341,7 @@
         self.deadlines.cancel(held.guard)
         return held
 
-    def _refuse(self, action: Refuse) -> None:
+    def _refuse(self, action: Reject) -> None:
         held = self._unanswered(action.request)
         if held is not None:
             self.observer.answered(held.id, Answer.REFUSED, Reason.DECISION)
@@ -363,7 +365,7 @@
             if held.out:
                 self._cut(held, Outcome.TIMEOUT)
             else:
-                self.tell(ClientLeft(number))
+                self.tell(ClientDisconnected(number))
             self._settle(held)
 
     def _cancel(self, action: Cancel) -> None:
@@ -371,7 +373,7 @@
         if held is not None:
             self._cut(held, Outcome.CANCELLED)
 
-    def _move(self, action: Move) -> None:
+    def _move(self, action: Migrate) -> None:
         self._move_away(action.request, Reason.MOVED)
 
     def _move_away(self, number: int, why: Reason) -> None:
@@ -380,8 +382,8 @@
             self.observer.closed(held.id, why)
             self.ended(AttemptId(held.number, held.attempts - 1), Outcome.CANCELLED)
 
-    def _wake(self, action: Wake) -> None:
-        self.deadlines.after(span(action.in_ms), self.tell, Woken(action.token))
+    def _wake(self, action: ScheduleTimer) -> None:
+        self.deadlines.after(span(action.in_ms), self.tell, TimerFired(action.token))
 
     def _log(self, action: Log) -> None:
         log.info("module: {text}", text=action.text)
--- a/puffindeck/core/reachability.py
+++ b/puffindeck/core/reachability.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from puffindeck.core.clock import ZERO, Clock, span
-from puffindeck.interface import Entry, ListKind, Settings, State
+from puffindeck.interface import EndpointEntry, EndpointStatus, ListUpdateKind, Settings
 
 DRAIN_MARGIN = span(100)  # how long before the end of a drain's grace nothing more is begun
 
@@ -26,13 +26,13 @@
         """Another grace from now on."""
         self.grace = max(ZERO, span(settings.drain_grace_ms) - DRAIN_MARGIN)
 
-    def listed(self, kind: ListKind, entries: Iterable[Entry]) -> None:
+    def listed(self, kind: ListUpdateKind, entries: Iterable[EndpointEntry]) -> None:
         """News of the list; of one that could not be had there are no entries."""
         now, state_of = self._clock.now(), {entry.server: entry.state for entry in entries}
-        fit = {server for server, state in state_of.items() if state == State.READY}
-        draining = {server for server, state in state_of.items() if state == State.DRAINING}
-        gone = {server for server, state in state_of.items() if state == State.GONE}
-        if kind in (ListKind.FULL, ListKind.CACHED):  # who is not named is gone
+        fit = {server for server, state in state_of.items() if state == EndpointStatus.READY}
+        draining = {server for server, state in state_of.items() if state == EndpointStatus.DRAINING}
+        gone = {server for server, state in state_of.items() if state == EndpointStatus.GONE}
+        if kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED):  # who is not named is gone
             gone |= self._listed - fit - draining
         self._listed = (self._listed | fit | draining) - gone
         for server in draining | gone:
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -7,7 +7,7 @@
 
 from puffindeck.core.clock import ZERO
 from puffindeck.core.timer_queue import Deadline
-from puffindeck.interface import Facts
+from puffindeck.interface import ConnectionInfo
 
 
 class AttemptId(NamedTuple):
@@ -61,7 +61,7 @@
     hint: float = 0.0
     group: int = 0
     returning: bool = False
-    facts: Facts | None = None  # what routes may go by
+    facts: ConnectionInfo | None = None  # what routes may go by
     id: str = ""  # the client's own, where its wire has one: the log names the request by it
 
 
--- a/puffindeck/crowd/member.py
+++ b/puffindeck/crowd/member.py
@@ -20,14 +20,14 @@
 from puffindeck.hashes import mixed
 from puffindeck.interface import (
     Action,
-    Attached,
+    AttemptEnded,
     Cancel,
-    Ended,
+    EndpointAttached,
+    EndpointListUpdated,
     Event,
-    Listed,
-    ListKind,
+    ListUpdateKind,
     Outcome,
-    Requested,
+    RequestArrived,
     Settings,
 )
 from puffindeck.records import INF, Request, Server
@@ -62,8 +62,8 @@
         """How long ago the roster last gave a sign of life; infinite before the first."""
         return now_ms - self.heard_ms
 
-    def _listed(self, event: Listed) -> None:
-        if event.kind != ListKind.FAILED:
+    def _listed(self, event: EndpointListUpdated) -> None:
+        if event.kind != ListUpdateKind.FAILED:
             self.heard(self.now)
         super()._listed(event)
 
@@ -75,7 +75,7 @@
         self._warm.clear()
         super().arrange()
 
-    def _attached(self, event: Attached) -> None:
+    def _attached(self, event: EndpointAttached) -> None:
         """Put back, it is cold and fills by lot: hundreds that all send it their next one would end it."""
         super()._attached(event)
         self.returned.clear()
@@ -145,7 +145,7 @@
         """Of what a client asks one key may be all; of what the fleet is asked it is still one among many."""
         return 0.0
 
-    def _requested(self, event: Requested) -> None:
+    def _requested(self, event: RequestArrived) -> None:
         self.admission.arrived(self.now)
         super()._requested(event)
 
@@ -177,7 +177,7 @@
 
     # How servers do
 
-    def _ended(self, event: Ended) -> None:
+    def _ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is not None and request.begun:
             self.admission.ended(event.took_ms)
--- a/puffindeck/interface.py
+++ b/puffindeck/interface.py
@@ -26,7 +26,7 @@
     CELL = 2
 
 
-class State(IntEnum):
+class EndpointStatus(IntEnum):
     """What the server list says of a server's process."""
 
     GONE = 0
@@ -34,7 +34,7 @@
     DRAINING = 2
 
 
-class ListKind(IntEnum):
+class ListUpdateKind(IntEnum):
     """How a piece of list news is to be read."""
 
     FULL = 0
@@ -57,7 +57,7 @@
     NO_RESOURCE = 9  # this machine had no descriptor, port or memory to begin it: no server is to blame
 
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.NO_RESOURCE})
+NOT_PROCESSED = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.NO_RESOURCE})
 
 
 @dataclass(slots=True, frozen=True)
@@ -110,29 +110,29 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class EndpointEntry:
     """One server as the list has it."""
 
     server: int
     zone: int
     kind: int
     cell: int
-    state: State
+    state: EndpointStatus
     weight: float
     started_ms: float
 
 
 @dataclass(slots=True)
-class Listed:
+class EndpointListUpdated:
     """News of the server list."""
 
-    kind: ListKind
+    kind: ListUpdateKind
     version: int
-    entries: list[Entry]
+    entries: list[EndpointEntry]
 
 
 @dataclass(slots=True, frozen=True)
-class Facts:
+class ConnectionInfo:
     """What a front knows of who asks, for routes. What it does not know is empty or 0."""
 
     source: str = ""  # the client's IP address and port
@@ -143,7 +143,7 @@
 
 
 @dataclass(slots=True)
-class Requested:
+class RequestArrived:
     """A client asks for a connection."""
 
     request: int
@@ -155,11 +155,11 @@
     group: int
     mid_flow: bool = False
     returning: bool = False
-    facts: Facts | None = None
+    facts: ConnectionInfo | None = None
 
 
 @dataclass(slots=True)
-class Opened:
+class ConnectionRestored:
     """A connection that was open through this gateway when the instance started."""
 
     request: int
@@ -172,7 +172,7 @@
 
 
 @dataclass(slots=True)
-class Began:
+class AttemptEstablished:
     """The connection stands."""
 
     request: int
@@ -182,7 +182,7 @@
 
 
 @dataclass(slots=True)
-class LoadTold:
+class LoadReported:
     """A connection's load is now this much work a second."""
 
     request: int
@@ -191,7 +191,7 @@
 
 
 @dataclass(slots=True)
-class DelayTold:
+class LatencyReported:
     """A message now takes this long at the server."""
 
     request: int
@@ -200,7 +200,7 @@
 
 
 @dataclass(slots=True)
-class Ended:
+class AttemptEnded:
     """An attempt has ended; `final` if the request has, too."""
 
     request: int
@@ -212,42 +212,42 @@
 
 
 @dataclass(slots=True)
-class ClientLeft:
+class ClientDisconnected:
     """The client no longer waits."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Dismissed:
+class RequestAborted:
     """The gateway ends: whatever the request waits for, it has to be answered now."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Woken:
+class TimerFired:
     """A timer asked for has come due."""
 
     token: int
 
 
 @dataclass(slots=True)
-class Detached:
+class EndpointDetached:
     """Staff take a server out: nothing new goes there, whatever the list says, and what stands leaves."""
 
     server: int
 
 
 @dataclass(slots=True)
-class Attached:
+class EndpointAttached:
     """Staff put a server back. It was restarted meanwhile, and is cold."""
 
     server: int
 
 
 @dataclass(slots=True)
-class Recalled:
+class LoadLimitRestored:
     """A process that this one follows has seen that a server bears no more load from this gateway."""
 
     server: int
@@ -255,7 +255,7 @@
 
 
 @dataclass(slots=True)
-class Retuned:
+class SettingsChanged:
     """Other settings from now on. Requests and connections keep the rules that they began with.
 
     A class keeps its number as long as anything has it.
@@ -265,20 +265,20 @@
 
 
 Event = (
-    Listed
-    | Requested
-    | Opened
-    | Began
-    | LoadTold
-    | DelayTold
-    | Ended
-    | ClientLeft
-    | Dismissed
-    | Woken
-    | Detached
-    | Attached
-    | Recalled
-    | Retuned
+    EndpointListUpdated
+    | RequestArrived
+    | ConnectionRestored
+    | AttemptEstablished
+    | LoadReported
+    | LatencyReported
+    | AttemptEnded
+    | ClientDisconnected
+    | RequestAborted
+    | TimerFired
+    | EndpointDetached
+    | EndpointAttached
+    | LoadLimitRestored
+    | SettingsChanged
 )
 
 
@@ -296,7 +296,7 @@
 
 
 @dataclass(slots=True)
-class Refuse:
+class Reject:
     """Final answer: a retry does no harm."""
 
     request: int
@@ -319,14 +319,14 @@
 
 
 @dataclass(slots=True)
-class Move:
+class Migrate:
     """End an open connection politely; its client comes again."""
 
     request: int
 
 
 @dataclass(slots=True)
-class Wake:
+class ScheduleTimer:
     """Ask for a timer."""
 
     in_ms: float
@@ -334,7 +334,7 @@
 
 
 @dataclass(slots=True)
-class Follow:
+class WatchEndpoints:
     """Ask for the server list's changes from now on."""
 
 
@@ -345,4 +345,4 @@
     text: str
 
 
-Action = Send | Refuse | Fail | Cancel | Move | Wake | Follow | Log
+Action = Send | Reject | Fail | Cancel | Migrate | ScheduleTimer | WatchEndpoints | Log
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -9,7 +9,7 @@
 from puffindeck.core.clock import ZERO
 from puffindeck.core.request_observer import Answer, Reason
 from puffindeck.core.requests import Request
-from puffindeck.interface import Facts, Outcome
+from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.net.client_connection import FIRST_LINE, OVER, SERVED, UNASKED, ConnectionState
 from puffindeck.net.closing import drain_receive_buffer, flush
 from puffindeck.net.request_line import CRLF, RequestLine, RequestLineError
@@ -83,10 +83,10 @@
         else:
             self.request = self.engine.request(self, asked)
 
-    def _facts(self) -> Facts:
+    def _facts(self) -> ConnectionInfo:
         """What routes may go by."""
         peer, here = self.transport.getPeer(), self.transport.getHost()
-        return Facts(peer.host, peer.port, here.port, self.listener)
+        return ConnectionInfo(peer.host, peer.port, here.port, self.listener)
 
     def lineLengthExceeded(self, line: bytes) -> None:
         self._turn_away("over 4 KiB")
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -14,7 +14,7 @@
 from puffindeck.config import Members
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import Deadline, TimerQueue
-from puffindeck.interface import ListKind
+from puffindeck.interface import ListUpdateKind
 from puffindeck.net.listing import Endpoints, WatchLines, WholeList
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.watch import (
@@ -188,7 +188,7 @@
 
     def _failed(self, why: str) -> None:
         log.warn("discovery: watch broken: {why}", why=why)
-        self._engine.listed(ListKind.FAILED)
+        self._engine.listed(ListUpdateKind.FAILED)
         self._heard()
 
     def _drop(self) -> None:
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -10,7 +10,7 @@
 
 from puffindeck.core.clock import ms
 from puffindeck.core.engine import Decisions
-from puffindeck.interface import Facts, Requested
+from puffindeck.interface import ConnectionInfo, RequestArrived
 from puffindeck.net.parts import Parts
 
 log = Logger("puffindeck")
@@ -85,12 +85,12 @@
 
         return region_of
 
-    def _view(self, event: Requested) -> Any:
+    def _view(self, event: RequestArrived) -> Any:
         """What is known of a request, for the conditions of tenants and services."""
         from puffindeck.routing import View
 
         cls = self.engine.settings.classes[event.cls].name
-        return View(event.facts or Facts(), cls, lambda pool: 0, event.group)
+        return View(event.facts or ConnectionInfo(), cls, lambda pool: 0, event.group)
 
     def _tenant(self, view: Any) -> str:
         """The first tenant whose conditions hold; else `default`."""
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -14,7 +14,7 @@
 from puffindeck.config import Node as Told
 from puffindeck.core.clock import span
 from puffindeck.core.datagram_port import listen_datagrams
-from puffindeck.interface import ListKind, Settings
+from puffindeck.interface import ListUpdateKind, Settings
 from puffindeck.net.admin import Admin
 from puffindeck.net.client import ClientLine
 from puffindeck.net.discovery import Watch
@@ -74,7 +74,7 @@
             )
         known = self.told.known
         entries = self.directory.entries(known, self.deadlines.clock.now())
-        self.engine.listed(ListKind.CACHED, known.rev, entries)
+        self.engine.listed(ListUpdateKind.CACHED, known.rev, entries)
         if self.told.quic is not None:
             self._start_quic(self.told.quic)
         if self.told.operator is not None:
@@ -181,7 +181,7 @@
             self.watch.ask()
         elif told.discovery is None and told.known != before.known:
             entries = self.directory.entries(told.known, self.deadlines.clock.now())
-            self.engine.listed(ListKind.FULL, told.known.rev, entries)
+            self.engine.listed(ListUpdateKind.FULL, told.known.rev, entries)
         host, port = told.discovery or ("none", 0)
         log.info("reload: done, discovery {host}:{port}", host=host, port=port)
 
--- a/puffindeck/net/succession.py
+++ b/puffindeck/net/succession.py
@@ -8,7 +8,7 @@
 from twisted.logger import Logger
 
 from puffindeck.core.clock import monotonic_ms, span
-from puffindeck.interface import Recalled
+from puffindeck.interface import LoadLimitRestored
 from puffindeck.net.parts import Parts
 
 log = Logger("puffindeck")
@@ -47,7 +47,7 @@
                 word = self.generation.word(monotonic_ms())
                 self.engine.tell(
                     *(
-                        Recalled(self.directory.number(host), inf if c is None else c)
+                        LoadLimitRestored(self.directory.number(host), inf if c is None else c)
                         for host, c in word.items()
                     )
                 )
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -26,7 +26,7 @@
 from puffindeck.core.generational_arena import GenerationalArena
 from puffindeck.core.requests import AttemptId, Link, Request
 from puffindeck.core.timer_queue import TimerQueue
-from puffindeck.interface import Facts, Outcome
+from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.quic import packets
 from puffindeck.quic.ids import Ids
 from puffindeck.quic.packets import Kind, Packet
@@ -384,7 +384,7 @@
 
     def _asked(self, address: Address, left: timedelta) -> Request:
         """The key is the client's host: it comes back to the box that may know it."""
-        facts = Facts(address[0], address[1], self.told.listen[1], "quic")
+        facts = ConnectionInfo(address[0], address[1], self.told.listen[1], "quic")
         return Request(self.told.cls, number(address[0].encode()), left, facts=facts)
 
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
--- a/puffindeck/records.py
+++ b/puffindeck/records.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from puffindeck.hashes import mixed
-from puffindeck.interface import Effect, Opened, Requested, Scope, Settings, State
+from puffindeck.interface import ConnectionRestored, Effect, EndpointStatus, RequestArrived, Scope, Settings
 
 INF = float("inf")
 
@@ -13,7 +13,7 @@
 
     # defaults stand on the class: a list names many servers, and a gateway comes to use few of them
     zone = kind = cell = -1
-    state, weight, started = State.GONE, 1.0, 0.0
+    state, weight, started = EndpointStatus.GONE, 1.0, 0.0
     size = 1.0  # its capacity against the others', warmth included
     load = 0.0
     pending = 0  # attempts out whose connection does not stand yet
@@ -44,7 +44,9 @@
     ran: Server | None = None  # where the first attempt that may have run was sent, and when
     ran_ms = sent_ms = came_ms = 0.0
 
-    def __init__(self, event: Requested | Opened, settings: Settings, load: float, deadline: float) -> None:
+    def __init__(
+        self, event: RequestArrived | ConnectionRestored, settings: Settings, load: float, deadline: float
+    ) -> None:
         self.id, self.cls, self.tenant = event.request, event.cls, event.tenant
         self.rules, self.most = settings.classes[event.cls], settings.max_attempts
         self.group = event.group
--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from puffindeck.hashes import key_number
-from puffindeck.interface import Facts
+from puffindeck.interface import ConnectionInfo
 
 # what a condition may be on, and the ways in which it may be held against values, the usual one first
 TEXTS = ("exact", "prefix", "suffix", "contains", "regex")
@@ -33,7 +33,7 @@
 class View(NamedTuple):
     """What is known of a request when its route is looked for."""
 
-    facts: Facts
+    facts: ConnectionInfo
     cls: str
     usable: Callable[[str], int]  # how many servers of a pool are fit to serve now
     group: int = 0  # whom the client belongs to, as the decision module has it
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -10,38 +10,38 @@
 from puffindeck.hashes import lot
 from puffindeck.interface import (
     Action,
-    Attached,
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     Cancel,
-    ClientLeft,
-    DelayTold,
-    Detached,
-    Dismissed,
-    Ended,
-    Entry,
+    ClientDisconnected,
+    ConnectionInfo,
+    ConnectionRestored,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
     Event,
-    Facts,
     Fail,
-    Follow,
-    Listed,
-    LoadTold,
+    LatencyReported,
+    LoadLimitRestored,
+    LoadReported,
     Log,
-    Opened,
-    Recalled,
-    Refuse,
-    Requested,
-    Retuned,
+    Reject,
+    RequestAborted,
+    RequestArrived,
+    ScheduleTimer,
     Settings,
-    State,
-    Wake,
-    Woken,
+    SettingsChanged,
+    TimerFired,
+    WatchEndpoints,
 )
 from puffindeck.records import Request
 from puffindeck.routing.conditions import View
 from puffindeck.routing.pools import Pool, Routing, named
 from puffindeck.routing.tier import TierBalancer
 
-UNKNOWN = Facts()
+UNKNOWN = ConnectionInfo()
 AGAIN_MS = 1000.0  # a client that has no place now may come again about then
 
 
@@ -75,7 +75,7 @@
     """Where a request is."""
 
     tier: Tier
-    asked: Requested | None
+    asked: RequestArrived | None
     before: int = 0  # attempts that other tiers have made
 
 
@@ -116,20 +116,20 @@
         self._begun = False
         self._out: list[Action] = []
         self._do: dict[type[Any], Callable[[Any], None]] = {
-            Listed: self._listed,
-            Requested: self._requested,
-            Opened: self._opened,
-            Woken: self._woken,
-            Detached: self._of_server,
-            Attached: self._of_server,
-            Recalled: self._of_server,
-            Retuned: self._retuned,
-            Began: self._of_attempt,
-            Ended: self._of_attempt,
-            LoadTold: self._of_request,
-            DelayTold: self._of_request,
-            ClientLeft: self._of_request,
-            Dismissed: self._of_request,
+            EndpointListUpdated: self._listed,
+            RequestArrived: self._requested,
+            ConnectionRestored: self._opened,
+            TimerFired: self._woken,
+            EndpointDetached: self._of_server,
+            EndpointAttached: self._of_server,
+            LoadLimitRestored: self._of_server,
+            SettingsChanged: self._retuned,
+            AttemptEstablished: self._of_attempt,
+            AttemptEnded: self._of_attempt,
+            LoadReported: self._of_request,
+            LatencyReported: self._of_request,
+            ClientDisconnected: self._of_request,
+            RequestAborted: self._of_request,
         }
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
@@ -161,11 +161,11 @@
     def _tell(self, tier: Tier, *events: Event) -> None:
         """Hand events to a tier's module, and its actions on."""
         for action in tier.balancer.handle(self.now, events):
-            if isinstance(action, Wake):
+            if isinstance(action, ScheduleTimer):
                 self._wake += 1
                 self._wakes[self._wake] = tier, action.token
-                self._out.append(Wake(action.in_ms, self._wake))
-            elif isinstance(action, Follow):
+                self._out.append(ScheduleTimer(action.in_ms, self._wake))
+            elif isinstance(action, WatchEndpoints):
                 if tier is self.tiers[0]:  # the list is asked for once, not by each tier
                     self._out.append(action)
             elif isinstance(action, Cancel):
@@ -173,7 +173,7 @@
                 self._out.append(Cancel(action.request, action.attempt + before))
             else:
                 self._out.append(action)
-                if isinstance(action, (Refuse, Fail)):
+                if isinstance(action, (Reject, Fail)):
                     self._settle(action.request)
         while tier.balancer.handed:
             self._hand_over(tier.balancer.handed.pop(0))
@@ -184,44 +184,44 @@
         if place is not None and request not in place.tier.balancer.requests:
             del self.places[request]
 
-    def _woken(self, event: Woken) -> None:
+    def _woken(self, event: TimerFired) -> None:
         known = self._wakes.pop(event.token, None)
         if known is not None:
-            self._tell(known[0], Woken(known[1]))
+            self._tell(known[0], TimerFired(known[1]))
 
     # The list, staff, settings
 
-    def _entry(self, pool: Pool, tier: int, entry: Entry) -> Entry | None:
+    def _entry(self, pool: Pool, tier: int, entry: EndpointEntry) -> EndpointEntry | None:
         """A server as a tier is to see it; None where it is not in this tier."""
         name = self._name(entry.server)
         if pool.tier_of(name) != tier:
             return None
-        if entry.state == State.READY and named(name, pool.drained):
-            return replace(entry, state=State.DRAINING)
+        if entry.state == EndpointStatus.READY and named(name, pool.drained):
+            return replace(entry, state=EndpointStatus.DRAINING)
         return entry
 
-    def _listed(self, event: Listed) -> None:
+    def _listed(self, event: EndpointListUpdated) -> None:
         for tier in self.tiers:
             pool = tier.pool.pool
             seen = [
                 own for entry in event.entries if (own := self._entry(pool, tier.number, entry)) is not None
             ]
-            self._tell(tier, Listed(event.kind, event.version, seen))
+            self._tell(tier, EndpointListUpdated(event.kind, event.version, seen))
 
-    def _of_server(self, event: Detached | Attached | Recalled) -> None:
+    def _of_server(self, event: EndpointDetached | EndpointAttached | LoadLimitRestored) -> None:
         name = self._name(event.server)
         for tier in self.tiers:
             if tier.pool.pool.tier_of(name) == tier.number:
                 self._tell(tier, event)
 
-    def _retuned(self, event: Retuned) -> None:
+    def _retuned(self, event: SettingsChanged) -> None:
         self.settings = event.settings
         for tier in self.tiers:
-            self._tell(tier, Retuned(tier.pool.pool.settings(event.settings)))
+            self._tell(tier, SettingsChanged(tier.pool.pool.settings(event.settings)))
 
     # Requests
 
-    def _requested(self, event: Requested) -> None:
+    def _requested(self, event: RequestArrived) -> None:
         if event.request in self.places:
             return
         cls = self.settings.classes[event.cls].name
@@ -237,7 +237,7 @@
 
     def _refuse(self, request: int) -> None:
         wait = min(self.settings.max_wait_ms, AGAIN_MS * (0.5 + self.random.random()))
-        self._out.append(Refuse(request, wait))
+        self._out.append(Reject(request, wait))
 
     def pick(self, pool: PoolState, key: int) -> Tier:
         """The first tier that is fit to serve; the first of all where none is.
@@ -310,20 +310,22 @@
         self._tell(tier, replace(place.asked, left_ms=left))
         self._settle(request.id)
 
-    def _opened(self, event: Opened) -> None:
+    def _opened(self, event: ConnectionRestored) -> None:
         name = self._name(event.server)
         tier = next((t for t in self.tiers if t.pool.pool.tier_of(name) == t.number), self.tiers[0])
         self.places[event.request] = Place(tier, None)
         self._tell(tier, event)
 
-    def _of_attempt(self, event: Began | Ended) -> None:
+    def _of_attempt(self, event: AttemptEstablished | AttemptEnded) -> None:
         place = self.places.get(event.request)
         if place is None:
             return
         self._tell(place.tier, replace(event, attempt=event.attempt - place.before))
         self._settle(event.request)
 
-    def _of_request(self, event: LoadTold | DelayTold | ClientLeft | Dismissed) -> None:
+    def _of_request(
+        self, event: LoadReported | LatencyReported | ClientDisconnected | RequestAborted
+    ) -> None:
         place = self.places.get(event.request)
         if place is not None:
             self._tell(place.tier, event)
--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -13,7 +13,7 @@
 
 from puffindeck.core.clock import ZERO, span
 from puffindeck.core.requests import AttemptId, Link, Request
-from puffindeck.interface import Facts, Outcome
+from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.rpc.attempt import NOTHING, Attempt
 from puffindeck.rpc.replay import Replay
 from puffindeck.rpc.shared import Shared
@@ -22,7 +22,7 @@
 from puffindeck.service_discovery.keys import number
 
 MIXED = "The iterator and the write style can't be mixed: this call was given an iterator"
-FACTS = Facts(listener="rpc")  # what routes may go by, beside the class
+FACTS = ConnectionInfo(listener="rpc")  # what routes may go by, beside the class
 AGAIN = span(50)  # how soon a call that waits for a server asks anew, where it was told no time
 
 
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -25,7 +25,7 @@
 from puffindeck.core.engine import Engine
 from puffindeck.core.requests import AttemptId, Link, Request
 from puffindeck.core.timer_queue import Deadline, TimerQueue
-from puffindeck.interface import ListKind, Outcome, Settings
+from puffindeck.interface import ListUpdateKind, Outcome, Settings
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.keys import number
 
@@ -73,11 +73,11 @@
         now = self.deadlines.clock.now()
         entries = self.directory.entries(members, now)
         self.directory.hear(now)
-        self.engine.listed(ListKind.FULL, self._version, entries)
+        self.engine.listed(ListUpdateKind.FULL, self._version, entries)
 
     def unlisted(self) -> None:
         """The list could not be had; the old one stays."""
-        self.engine.listed(ListKind.FAILED)
+        self.engine.listed(ListUpdateKind.FAILED)
 
     def retune(self, settings: Settings) -> None:
         """Other settings from now on. Endpoints that were handed out keep their class's number."""
--- a/puffindeck/rpc/roster.py
+++ b/puffindeck/rpc/roster.py
@@ -13,7 +13,7 @@
 
 from puffindeck.config import Members
 from puffindeck.core.engine import Engine
-from puffindeck.interface import ListKind
+from puffindeck.interface import ListUpdateKind
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.watch import ANSWER, MOST, SILENT, WatchError, WatchState, kind
 
@@ -65,7 +65,7 @@
         self._task = None
         if not self._stopped:
             log.warn("discovery: watch broken: {why}", why=why)
-            self._engine.listed(ListKind.FAILED)
+            self._engine.listed(ListUpdateKind.FAILED)
 
     async def _whole(self, client: httpx.AsyncClient) -> None:
         async with asyncio.timeout(ANSWER.total_seconds()):
--- a/puffindeck/rpc/shared.py
+++ b/puffindeck/rpc/shared.py
@@ -14,7 +14,7 @@
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.crowd import Member
-from puffindeck.interface import ListKind, Woken
+from puffindeck.interface import ListUpdateKind, TimerFired
 from puffindeck.rpc.roster import Roster
 from puffindeck.service_discovery.directory import Directory
 
@@ -49,11 +49,11 @@
             Roster(told.discovery, self.directory, self.engine, self._heard) if told.discovery else None
         )
         if told.known.targets:
-            kind = ListKind.CACHED if self.roster else ListKind.FULL
+            kind = ListUpdateKind.CACHED if self.roster else ListUpdateKind.FULL
             entries = self.directory.entries(told.known, self.clock.now())
             self.engine.listed(kind, told.known.rev, entries)
         else:
-            self.engine.tell(Woken(0))  # the module's first word: it asks for the list
+            self.engine.tell(TimerFired(0))  # the module's first word: it asks for the list
 
     def _decisions(self) -> Any:
         told = self.told
--- a/puffindeck/service_discovery/directory.py
+++ b/puffindeck/service_discovery/directory.py
@@ -10,11 +10,15 @@
 
 from puffindeck.config import ConfigError, Members, Target, address
 from puffindeck.core.clock import ms
-from puffindeck.interface import Entry, State
+from puffindeck.interface import EndpointEntry, EndpointStatus
 from puffindeck.service_discovery.start_times import StartTimes
 
 log = Logger("puffindeck")
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {
+    "SERVING": EndpointStatus.READY,
+    "DRAINING": EndpointStatus.DRAINING,
+    "DELETED": EndpointStatus.GONE,
+}
 
 
 class Directory:
@@ -55,11 +59,11 @@
         """At this moment discovery has said that all its news is told."""
         self._heard_ms = ms(now)
 
-    def entries(self, members: Members, now: timedelta) -> list[Entry]:
+    def entries(self, members: Members, now: timedelta) -> list[EndpointEntry]:
         """A piece of list news for the module. An entry that can't be used is left out, with a line."""
         return [entry for target in members.targets if (entry := self._entry(target, ms(now))) is not None]
 
-    def _entry(self, target: Target, now_ms: float) -> Entry | None:
+    def _entry(self, target: Target, now_ms: float) -> EndpointEntry | None:
         state = STATES.get(target.state)
         if state is None:
             log.warn("list: host {uid}: no such state: {state}", uid=target.uid, state=target.state)
@@ -73,9 +77,9 @@
                 return None
         zone = self.zone(target.az)
         kind = self._kinds.setdefault(target.model, len(self._kinds))
-        if state == State.GONE:
+        if state == EndpointStatus.GONE:
             self._starts.forget((server,))
             started_ms = target.boot_ms
         else:
             started_ms = self._starts.started(server, target.boot_ms, now_ms, self._heard_ms)
-        return Entry(server, zone, kind, target.pod_group, state, target.capacity_hint, started_ms)
+        return EndpointEntry(server, zone, kind, target.pod_group, state, target.capacity_hint, started_ms)
--- a/puffindeck/service_discovery/watch.py
+++ b/puffindeck/service_discovery/watch.py
@@ -11,7 +11,7 @@
 
 from puffindeck.config import Members
 from puffindeck.core.clock import span
-from puffindeck.interface import ListKind
+from puffindeck.interface import ListUpdateKind
 
 PATH = "/catalog/members"
 # What changes counts as told 6 s after discovery had it and could be reached, whatever failed before. So a
@@ -95,6 +95,6 @@
         return members
 
 
-def kind(members: Members) -> ListKind:
+def kind(members: Members) -> ListUpdateKind:
     """What a piece of list news is to the decision module."""
-    return ListKind.FULL if members.all else ListKind.CHANGES
+    return ListUpdateKind.FULL if members.all else ListUpdateKind.CHANGES
--- a/puffindeck/wire.py
+++ b/puffindeck/wire.py
@@ -8,28 +8,28 @@
 
 from puffindeck.interface import (
     Action,
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     Cancel,
-    ClientLeft,
-    DelayTold,
-    Ended,
-    Entry,
+    ClientDisconnected,
+    ConnectionRestored,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
     Event,
     Fail,
-    Follow,
-    Listed,
-    ListKind,
-    LoadTold,
+    LatencyReported,
+    ListUpdateKind,
+    LoadReported,
     Log,
-    Move,
-    Opened,
+    Migrate,
     Outcome,
-    Refuse,
-    Requested,
+    Reject,
+    RequestArrived,
+    ScheduleTimer,
     Send,
-    State,
-    Wake,
-    Woken,
+    TimerFired,
+    WatchEndpoints,
 )
 
 BATCH = Struct("<IIdI")  # bytes that follow, records, clock, batch number
@@ -58,8 +58,8 @@
 FROM = Struct("<BIH")
 
 
-KINDS = {int(kind): kind for kind in ListKind}
-STATES = (State.GONE, State.READY, State.DRAINING)
+KINDS = {int(kind): kind for kind in ListUpdateKind}
+STATES = (EndpointStatus.GONE, EndpointStatus.READY, EndpointStatus.DRAINING)
 OUTCOMES = {int(outcome): outcome for outcome in Outcome}  # one not known may have run: as an error
 
 
@@ -96,39 +96,39 @@
         raise WireError("truncated frame: the server list is cut short")
     rows = ENTRY.iter_unpack(data[LIST.size : LIST.size + count * ENTRY.size])
     entries = [
-        Entry(server, zone, machine, cell, STATES[state], weight, started)
+        EndpointEntry(server, zone, machine, cell, STATES[state], weight, started)
         for server, zone, machine, cell, state, weight, started in rows
         if state < len(STATES)
     ]
-    return Listed(KINDS[kind], version, entries)
+    return EndpointListUpdated(KINDS[kind], version, entries)
 
 
 def _requested(data: bytes) -> Event:
     request, cls, tenant, key, left, hint, group, flags = _fields(REQUEST, data)
-    return Requested(
+    return RequestArrived(
         request, cls, tenant, key, left, hint if flags & 1 else 0.0, group, bool(flags & 8), bool(flags & 16)
     )
 
 
 def _opened(data: bytes) -> Event:
     request, server, cls, tenant, hint, group, key, _left, flags = _fields(OPEN, data)
-    return Opened(request, server, cls, tenant, hint if flags & 1 else 0.0, group, key)
+    return ConnectionRestored(request, server, cls, tenant, hint if flags & 1 else 0.0, group, key)
 
 
 def _began(data: bytes) -> Event:
-    return Began(*_fields(STREAMING, data))
+    return AttemptEstablished(*_fields(STREAMING, data))
 
 
 def _noted(data: bytes) -> Event | None:
     request, _attempt, server, sort, level = _fields(INTERIM, data)
     if sort == 1:
-        return LoadTold(request, server, level)
-    return DelayTold(request, server, level) if sort == 2 else None
+        return LoadReported(request, server, level)
+    return LatencyReported(request, server, level) if sort == 2 else None
 
 
 def _ended(data: bytes) -> Event:
     request, outcome, server, attempt, final, took = _fields(DONE, data)
-    return Ended(request, OUTCOMES.get(outcome, Outcome.ERROR), server, attempt, bool(final), took)
+    return AttemptEnded(request, OUTCOMES.get(outcome, Outcome.ERROR), server, attempt, bool(final), took)
 
 
 READERS: dict[int, Callable[[bytes], Event | None]] = {
@@ -136,8 +136,8 @@
     2: _requested,
     3: _began,
     4: _ended,
-    5: lambda data: ClientLeft(*_fields(ID, data)),
-    6: lambda data: Woken(*_fields(ID, data)),
+    5: lambda data: ClientDisconnected(*_fields(ID, data)),
+    6: lambda data: TimerFired(*_fields(ID, data)),
     10: _opened,
     11: _noted,
 }
@@ -156,13 +156,13 @@
 
 WRITERS: dict[type[Any], Callable[[Any], bytes]] = {
     Send: lambda a: SEND.pack(0, 16, a.request, a.server, a.timeout_ms),
-    Refuse: lambda a: REFUSE.pack(1, 12, a.request, a.wait_ms),
+    Reject: lambda a: REFUSE.pack(1, 12, a.request, a.wait_ms),
     Fail: lambda a: PLAIN.pack(2, 4, a.request),
     Cancel: lambda a: CANCEL.pack(3, 5, a.request, a.attempt),
-    Wake: lambda a: WAKE.pack(4, 12, a.in_ms, a.token),
+    ScheduleTimer: lambda a: WAKE.pack(4, 12, a.in_ms, a.token),
     Log: lambda a: _text(8, a.text),
-    Follow: lambda a: FOLLOW.pack(10, 1, 1),
-    Move: lambda a: PLAIN.pack(12, 4, a.request),
+    WatchEndpoints: lambda a: FOLLOW.pack(10, 1, 1),
+    Migrate: lambda a: PLAIN.pack(12, 4, a.request),
 }
 
 
--- a/tests/storeworld.py
+++ b/tests/storeworld.py
@@ -15,21 +15,21 @@
 from puffindeck.choice import Balancer
 from puffindeck.interface import (
     Action,
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     Cancel,
-    Ended,
+    EndpointListUpdated,
     Event,
     Fail,
-    Listed,
-    ListKind,
-    Move,
+    ListUpdateKind,
+    Migrate,
     Outcome,
-    Refuse,
-    Requested,
+    Reject,
+    RequestArrived,
+    ScheduleTimer,
     Send,
     Settings,
-    Wake,
-    Woken,
+    TimerFired,
 )
 from tests.world import entry
 
@@ -71,7 +71,9 @@
         self._due: list[tuple[float, int, Any, tuple[Any, ...]]] = []
         self._order, self._ids = count(), count(1)
         for gateway in range(gateways):
-            self.tell(gateway, Listed(ListKind.FULL, 1, [entry(i) for i in range(1, hosts + 1)]))
+            self.tell(
+                gateway, EndpointListUpdated(ListUpdateKind.FULL, 1, [entry(i) for i in range(1, hosts + 1)])
+            )
 
     def at(self, when: float, act: Any, *what: Any) -> None:
         heappush(self._due, (when, next(self._order), act, what))
@@ -93,15 +95,15 @@
         request = next(self._ids)
         self.clients[client.gateway, request] = client
         left = self.settings.classes[0].deadline_ms
-        self.tell(client.gateway, Requested(request, 0, 0, client.key, left, 0.0, 0))
+        self.tell(client.gateway, RequestArrived(request, 0, 0, client.key, left, 0.0, 0))
 
     def tell(self, gateway: int, event: Event) -> None:
         for action in self.balancers[gateway].handle(self.now, [event]):
             self.do(gateway, action)
 
     def do(self, gateway: int, action: Action) -> None:
-        if isinstance(action, Wake):
-            self.at(self.now + action.in_ms, self.tell, gateway, Woken(action.token))
+        if isinstance(action, ScheduleTimer):
+            self.at(self.now + action.in_ms, self.tell, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
             assert action.request not in self.out[gateway], "two attempts at once"
             number = self.tries[gateway].get(action.request, 0)
@@ -116,10 +118,10 @@
         elif isinstance(action, Cancel):
             attempt = self.out[gateway][action.request]
             self.at(self.now, self.end, action.request, attempt, Outcome.CANCELLED)
-        elif isinstance(action, (Refuse, Fail)):
+        elif isinstance(action, (Reject, Fail)):
             client = self.clients[gateway, action.request]
             self.at(self.now + self.random.uniform(500, 1500), self.ask, client)
-        assert not isinstance(action, Move)
+        assert not isinstance(action, Migrate)
 
     def end(self, request: int, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.over:
@@ -128,7 +130,7 @@
         gateway = attempt.client.gateway
         del self.out[gateway][request]
         final, took = attempt.client.up is not None, self.now - attempt.sent
-        self.tell(gateway, Ended(request, outcome, attempt.server, attempt.number, final, took))
+        self.tell(gateway, AttemptEnded(request, outcome, attempt.server, attempt.number, final, took))
 
     def work(self) -> None:
         if not self.busy and self.queue:
@@ -144,5 +146,5 @@
             del self.out[client.gateway][request]
             client.up = self.now
             took = self.now - attempt.sent
-            self.tell(client.gateway, Began(request, attempt.server, took, attempt.number))
+            self.tell(client.gateway, AttemptEstablished(request, attempt.server, took, attempt.number))
         self.work()
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -9,7 +9,7 @@
 
 from puffindeck.core.clock import span
 from puffindeck.core.requests import AttemptId
-from puffindeck.interface import ClientLeft, Effect, Ended, Outcome
+from puffindeck.interface import AttemptEnded, ClientDisconnected, Effect, Outcome
 from puffindeck.net import upstream_connection
 from puffindeck.net.client_connection import ConnectionState
 from puffindeck.net.upstream_connection import HostLine, Link
@@ -37,7 +37,7 @@
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.links)
         self.assertFalse(self.reached())
-        self.assertEqual(len(self.ends(ClientLeft)), 1)
+        self.assertEqual(len(self.ends(ClientDisconnected)), 1)
 
     async def test_no_byte_goes_out_where_the_client_left_while_the_connect_took_its_time(self) -> None:
         self.build()
@@ -48,7 +48,7 @@
             await host.ended()
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.ends(Ended)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_a_connection_that_comes_up_when_its_request_was_given_up_is_ended_unused(self) -> None:
@@ -63,7 +63,7 @@
             _, host = await self.host_of()
             await host.ended()
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.ends(Ended)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
 
     async def test_no_further_attempt_for_a_client_that_left_when_the_first_one_failed(self) -> None:
         self.build()
@@ -90,7 +90,7 @@
             _, host = await self.host_of()
             await host.ended()
             self.assertEqual(host.received, b"")
-            self.assertEqual(self.ends(Ended)[0].outcome, Outcome.CONNECT_FAILED)
+            self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.KEYED, window_ms=400.0),))
@@ -154,13 +154,13 @@
         host.write(b"UP r")
         host.transport.loseConnection()
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.ends(Ended)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
 
     async def test_an_answer_that_never_ends_is_a_failed_attempt(self) -> None:
         client, host = await self.hung(effect=Effect.UNSAFE)
         host.write(b"UP " + b"r" * 5000)
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.ends(Ended)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
         await host.ended()
 
     async def test_an_answer_behind_the_end_of_an_attempt_is_not_heard(self) -> None:
@@ -171,4 +171,4 @@
         await client.ended()
         self.assertTrue(client.left(b""))
         self.assertTrue(link.done)
-        self.assertEqual([e.outcome for e in self.ends(Ended)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -14,24 +14,24 @@
 from puffindeck.choice.known import BOUND
 from puffindeck.choice.walk import FLOOR
 from puffindeck.interface import (
-    Attached,
-    Began,
-    ClientLeft,
-    DelayTold,
-    Detached,
-    Ended,
+    AttemptEnded,
+    AttemptEstablished,
+    ClientDisconnected,
+    ConnectionRestored,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointStatus,
     Fail,
-    Follow,
-    ListKind,
-    LoadTold,
-    Move,
-    Opened,
+    LatencyReported,
+    ListUpdateKind,
+    LoadLimitRestored,
+    LoadReported,
+    Migrate,
     Outcome,
-    Recalled,
-    Refuse,
-    Retuned,
-    State,
-    Woken,
+    Reject,
+    SettingsChanged,
+    TimerFired,
+    WatchEndpoints,
 )
 from tests.world import SETTINGS, Gateway, asked, entry, listed, sends
 
@@ -85,7 +85,7 @@
     gateway.end(1, outcome, final=True)
     gateway.ask(2, group=3)
     gateway.begin(2)
-    gateway.do(LoadTold(2, gateway.at[2], 900.0))
+    gateway.do(LoadReported(2, gateway.at[2], 900.0))
     gateway.end(2, outcome, final=True)
     gateway.end(2, outcome, final=True)  # told twice: nothing more
     for server in gateway.balancer.ready.values():
@@ -98,9 +98,9 @@
 
 def test_a_connection_open_at_the_start_counts_and_is_not_sent() -> None:
     gateway = Gateway()
-    assert not sends(gateway.do(Opened(9, 3, 0, 0, 0.0, 0, 5)))
+    assert not sends(gateway.do(ConnectionRestored(9, 3, 0, 0, 0.0, 0, 5)))
     assert gateway.balancer.servers[3].load > 0
-    gateway.do(Ended(9, Outcome.OK, 3, 0, True, 10.0))
+    gateway.do(AttemptEnded(9, Outcome.OK, 3, 0, True, 10.0))
     assert gateway.balancer.servers[3].load == pytest.approx(0)
 
 
@@ -108,14 +108,14 @@
     gateway = Gateway()
     home = gateway.ask(1, key=42)
     assert home is not None
-    gateway.do(listed(entry(home, State.DRAINING), kind=ListKind.CHANGES, version=2))
+    gateway.do(listed(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
     assert gateway.ask(2, key=42) not in (home, None)
 
 
 def test_a_stale_change_of_the_list_is_passed_over() -> None:
     gateway = Gateway()
-    gateway.do(listed(entry(1, State.GONE), kind=ListKind.CHANGES, version=5))
-    gateway.do(listed(entry(1), kind=ListKind.CHANGES, version=4))
+    gateway.do(listed(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
+    gateway.do(listed(entry(1), kind=ListUpdateKind.CHANGES, version=4))
     assert 1 not in gateway.balancer.ready
 
 
@@ -130,7 +130,7 @@
 def test_with_no_server_ever_it_is_answered_in_time() -> None:
     gateway = Gateway(servers=0)
     gateway.ask(1)
-    answers = [a for a in gateway.wait(1200) if isinstance(a, (Refuse, Fail))]
+    answers = [a for a in gateway.wait(1200) if isinstance(a, (Reject, Fail))]
     assert len(answers) == 1
 
 
@@ -142,8 +142,8 @@
         due, token = min(gateway.wakes)
         gateway.wakes.remove((due, token))
         gateway.now = max(gateway.now + 0.002, due - 0.0004)
-        gateway.do(Woken(token))
-        if any(isinstance(a, (Refuse, Fail)) for a in gateway.actions):
+        gateway.do(TimerFired(token))
+        if any(isinstance(a, (Reject, Fail)) for a in gateway.actions):
             break
     assert 2199 < gateway.now <= 2200 + SETTINGS.answer_slack_ms
 
@@ -156,7 +156,7 @@
         gateway.connect(1, key=number)
     young = [entry(i, started=1000.0) for i in (1, 2, 3)]
     for gateway in gateways:
-        gateway.do(listed(*young, kind=ListKind.CHANGES, version=2))
+        gateway.do(listed(*young, kind=ListUpdateKind.CHANGES, version=2))
     sent = 0
     for step in range(20):  # the first two seconds, in a storm of five returns a gateway
         for number, gateway in enumerate(gateways):
@@ -206,15 +206,15 @@
             gateway.balancer.servers[server].ceiling = 0.0
             gateway.end(request, Outcome.FULL, final=True)
     assert len(tried) <= 6
-    assert any(isinstance(a, Refuse) for a in gateway.wait(1300))
+    assert any(isinstance(a, Reject) for a in gateway.wait(1300))
 
 
 def test_a_list_that_fails_is_asked_for_again_within_the_limit() -> None:
     gateway = Gateway(replace(SETTINGS, must_ask=True, ask_within_ms=4000))
-    assert sum(isinstance(a, Follow) for a in gateway.actions) == 1
+    assert sum(isinstance(a, WatchEndpoints) for a in gateway.actions) == 1
     for _ in range(8):
-        gateway.do(listed(kind=ListKind.FAILED))
-        assert any(isinstance(a, Follow) for a in gateway.wait(4000))
+        gateway.do(listed(kind=ListUpdateKind.FAILED))
+        assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(4000))
     assert gateway.ask(1) is not None  # the list it had still serves
 
 
@@ -225,7 +225,7 @@
         gateway.connect(request, key=request)
     home = gateway.at[1]
     held = len(gateway.balancer.servers[home].conns)
-    gateway.do(*(Ended(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
+    gateway.do(*(AttemptEnded(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
     request = 100
     while gateway.balancer.servers[home].connect_fails < 2 and request < 1000:
         request += 1
@@ -234,9 +234,11 @@
             assert gateway.at[request] != home
             gateway.wait(1100)
         if gateway.tries[request] and gateway.balancer.requests.get(request):
-            gateway.do(Ended(request, Outcome.OK, gateway.at[request], gateway.tries[request] - 1, True, 1))
+            gateway.do(
+                AttemptEnded(request, Outcome.OK, gateway.at[request], gateway.tries[request] - 1, True, 1)
+            )
     gateway.wait(10000)
-    moved = [a for a in gateway.actions if isinstance(a, Move)]
+    moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) >= held // 2
     assert {gateway.at[a.request] for a in moved} == {home}
 
@@ -257,7 +259,7 @@
     assert home is not None
     gateway.end(1, Outcome.CONNECT_FAILED)
     assert gateway.ask(2, key=42) != home
-    gateway.do(listed(entry(home, started=gateway.now), kind=ListKind.CHANGES, version=2))
+    gateway.do(listed(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     assert gateway.ask(3, key=42) == home
 
 
@@ -309,7 +311,7 @@
     moves = []
     for _ in range(3):
         gateway.delay(home, 200)
-        moves += [a for a in gateway.wait(1000) if isinstance(a, Move)]
+        moves += [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
     assert 0 < len(moves) < before
     assert {gateway.at[a.request] for a in moves} == {home}
     assert all(gateway.ask(r, key=r) != home for r in range(500, 520))
@@ -330,7 +332,7 @@
     gateway = filled()
     for server in range(1, 7):
         gateway.delay(server, 500)
-    assert any(isinstance(a, Move) for a in gateway.wait(1000))
+    assert any(isinstance(a, Migrate) for a in gateway.wait(1000))
     for _ in range(4):
         for server in range(1, 7):
             gateway.delay(server, 500)
@@ -340,7 +342,7 @@
             gateway.end(request, Outcome.CANCELLED, final=True)
     for request in range(1000, 1200):
         gateway.ask(request, key=request)
-    refused = [a for a in gateway.wait(300) if isinstance(a, Refuse)]
+    refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]
     assert refused
 
 
@@ -355,7 +357,7 @@
         gateway.wait(1000)
     for request in range(1000, 1020):
         gateway.ask(request, key=request)
-    refused = [a for a in gateway.wait(300) if isinstance(a, Refuse)]  # their time would be up at 1200
+    refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]  # their time would be up at 1200
     assert len(refused) > 2
     assert all(min(longest, 500) <= a.wait_ms <= longest for a in refused)
     assert longest != 1500 or len({a.wait_ms for a in refused}) == len(refused)  # not all at the same time
@@ -392,7 +394,7 @@
     gateway.connect(21, group=2, load=1000.0)
     gateway.wait(2000)
     gateway.delay(1, 300)
-    moves = [a for a in gateway.wait(1000) if isinstance(a, Move)]
+    moves = [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
     assert moves
     assert moves[0].request == 21
 
@@ -413,7 +415,7 @@
 
 def test_a_cold_server_is_let_in_slowly_even_in_a_storm() -> None:
     gateway = filled()
-    gateway.do(listed(entry(9, started=gateway.now), kind=ListKind.CHANGES, version=2))
+    gateway.do(listed(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     for request in range(1000, 1100):
         gateway.ask(request, key=request)
         gateway.wait(10)
@@ -442,7 +444,7 @@
     gateway.wait(2000)
     gateway.delay(1, 500)
     gateway.do(asked(50))
-    assert any(isinstance(a, Refuse) and a.request == 50 for a in gateway.wait(300))
+    assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.wait(300))
 
 
 def test_events_of_what_is_unknown_or_over_change_nothing() -> None:
@@ -450,12 +452,12 @@
     gateway.ask(1)
     gateway.end(1, Outcome.ERROR, final=True)
     gateway.do(
-        ClientLeft(1),
-        Woken(0),
-        Began(1, 2, 5.0, 0),
-        LoadTold(1, 2, 5.0),
-        DelayTold(9, 99, 5.0),
-        Ended(77, Outcome.OK, 3, 0, True, 1.0),
+        ClientDisconnected(1),
+        TimerFired(0),
+        AttemptEstablished(1, 2, 5.0, 0),
+        LoadReported(1, 2, 5.0),
+        LatencyReported(9, 99, 5.0),
+        AttemptEnded(77, Outcome.OK, 3, 0, True, 1.0),
     )
     assert not gateway.balancer.requests
 
@@ -529,7 +531,7 @@
         gateway.connect(request)
     server = gateway.ask(50, key=7)
     assert server is not None
-    gateway.do(Ended(50, Outcome.TIMEOUT, server, 0, False, 1.0))
+    gateway.do(AttemptEnded(50, Outcome.TIMEOUT, server, 0, False, 1.0))
     assert not gateway.balancer.failing
     gateway.end(50, Outcome.TIMEOUT, took=300.0)
     assert len(gateway.balancer.failing) == 1
@@ -575,7 +577,7 @@
             gateway.connect(request, key=request)
         gateway.wait(5000)
         gateway.delay(gateway.at[1], 400)
-        assert [a for a in gateway.wait(250) if isinstance(a, Move)]
+        assert [a for a in gateway.wait(250) if isinstance(a, Migrate)]
 
 
 def test_a_server_is_held_back_before_its_messages_are_late() -> None:
@@ -599,13 +601,13 @@
     standing = {r for r, server in gateway.at.items() if server == out}
     late = next(r for r in range(31, 99) if gateway.ask(r, key=r) == out)
     for _ in range(2):
-        gateway.do(Detached(out))
+        gateway.do(EndpointDetached(out))
     gateway.begin(late)  # its attempt was under way
-    moved = [a for a in gateway.actions if isinstance(a, Move)]
+    moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) < len(standing)
     gateway.do(listed(*(entry(i) for i in (1, 2, 3)), version=2))
     gateway.wait(1300)
-    assert {a.request for a in gateway.actions if isinstance(a, Move)} == standing | {late}
+    assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == standing | {late}
     assert out not in {gateway.ask(r, key=r) for r in range(100, 140)}
 
 
@@ -615,10 +617,10 @@
         for request in range(1, 31):
             gateway.connect(request, key=request)
         gateway.wait(600)
-        gateway.do(Detached(1))
+        gateway.do(EndpointDetached(1))
         gateway.wait(2000)
         gateway.do(listed(entry(1, started=told), entry(2), entry(3), version=2))
-        gateway.do(Attached(1))
+        gateway.do(EndpointAttached(1))
         server = gateway.balancer.servers[1]
         assert server.started == (told or gateway.now)
         assert gateway.balancer._warmth(server) < 0.5
@@ -636,11 +638,11 @@
     gateway = Gateway(servers=3)
     gateway.ask(1, key=1)
     strict = replace(SETTINGS.classes[0], name="strict", deadline_ms=200)
-    gateway.do(Retuned(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1)))
+    gateway.do(SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1)))
     gateway.end(1, Outcome.CONNECT_FAILED)
     assert gateway.tries[1] == 2
     gateway.ask(2, key=2, cls=1)
-    assert [a for a in gateway.end(2, Outcome.CONNECT_FAILED) if isinstance(a, Refuse)]
+    assert [a for a in gateway.end(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
 
 
 def test_what_the_process_before_saw_of_a_server_holds() -> None:
@@ -650,7 +652,7 @@
     strained = before.at[1]
     before.delay(strained, 900)
     for server, ceiling in before.balancer.ceilings().items():
-        after.do(Recalled(server, ceiling))
+        after.do(LoadLimitRestored(server, ceiling))
     for request in range(1, 31):
         after.ask(request, group=7)
     held = after.balancer.servers[strained]
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from puffindeck.choice.cold import FULL
-from puffindeck.interface import ListKind, Outcome, Send, State
+from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Send
 from tests.world import SETTINGS, Gateway, asked, entry, listed
 
 COLD = replace(SETTINGS, gateways=2, cold_ms=24000.0, cold_from=0.13, fall_multiple=4, fall_ms=1000.0)
@@ -18,14 +18,16 @@
     gateway.wait(5000)
     gateway.do(
         listed(
-            *(replace(entry(i), state=State.DRAINING) for i in range(1, 6)), kind=ListKind.CHANGES, version=2
+            *(replace(entry(i), state=EndpointStatus.DRAINING) for i in range(1, 6)),
+            kind=ListUpdateKind.CHANGES,
+            version=2,
         )
     )
     for request in range(1, standing + 1):
         gateway.end(request, Outcome.CANCELLED, final=True)
     gateway.wait(1000)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
-    gateway.do(listed(*fresh, kind=ListKind.FULL, version=3))
+    gateway.do(listed(*fresh, kind=ListUpdateKind.FULL, version=3))
 
 
 def placed(gateway: Gateway, clients: int, rounds: int) -> int:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -14,7 +14,16 @@
 
 import pytest
 
-from puffindeck.interface import Attached, Detached, Fail, ListKind, Outcome, Refuse, Send, Settings
+from puffindeck.interface import (
+    EndpointAttached,
+    EndpointDetached,
+    Fail,
+    ListUpdateKind,
+    Outcome,
+    Reject,
+    Send,
+    Settings,
+)
 from tests.world import SETTINGS, Gateway, entry, listed
 
 COLD = replace(
@@ -71,7 +80,7 @@
             for gateway in self.fleet:
                 gateway.now = self.begun
         for gateway in self.fleet:
-            gateway.do(listed(*news, kind=ListKind.FULL, version=2))
+            gateway.do(listed(*news, kind=ListUpdateKind.FULL, version=2))
         for n in () if gateways_too else lost:
             at, _ = self.where[n]
             self.fleet[at].end(n, Outcome.RESET, final=True)
@@ -101,7 +110,7 @@
                     if isinstance(action, Send):
                         sent.append((now, action.server))
                         gateway.begin(action.request)
-                    elif isinstance(action, Refuse | Fail):
+                    elif isinstance(action, Reject | Fail):
                         heappush(coming, now + 100 + 900 * self.random.random())
         return sent
 
@@ -154,9 +163,9 @@
     for seed in (1, 2, 3, 4):
         crowd = Crowd(gateways, COLD, seed)
         for gateway in crowd.fleet:
-            gateway.do(Detached(1))
+            gateway.do(EndpointDetached(1))
             gateway.wait(5000)
-            gateway.do(Attached(1))
+            gateway.do(EndpointAttached(1))
         crowd.begun = crowd.fleet[0].now
         sent = crowd.play([], rate=4.0)
         assert held_to(crowd, sent, range(1, 2)) > 0
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -18,21 +18,21 @@
 from puffindeck.crowd.ring import EVENNESS, EvenBalancer
 from puffindeck.hashes import points
 from puffindeck.interface import (
-    Attached,
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     ClassSettings,
-    Detached,
-    Ended,
-    Entry,
-    Listed,
-    ListKind,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
+    ListUpdateKind,
     Outcome,
-    Refuse,
-    Requested,
-    Retuned,
+    Reject,
+    RequestArrived,
     Send,
     Settings,
-    State,
+    SettingsChanged,
 )
 
 SETTINGS = Settings(
@@ -57,37 +57,39 @@
     return sorted(owners), owners
 
 
-def entries(servers: list[int], state: State = State.READY, started: float = 0.0) -> list[Entry]:
-    return [Entry(server, 0, 0, 0, state, 1.0, started) for server in servers]
+def entries(
+    servers: list[int], state: EndpointStatus = EndpointStatus.READY, started: float = 0.0
+) -> list[EndpointEntry]:
+    return [EndpointEntry(server, 0, 0, 0, state, 1.0, started) for server in servers]
 
 
-def members(count: int, listed: list[Entry], at: float = START) -> list[Member]:
+def members(count: int, listed: list[EndpointEntry], at: float = START) -> list[Member]:
     """Clients that have all just had the same list."""
     made = [Member(SETTINGS, seed) for seed in range(count)]
     for member in made:
-        member.handle(at, [Listed(ListKind.FULL, 1, listed)])
+        member.handle(at, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
     return made
 
 
 def ask(member: Balancer, now: float, request: int, key: int, **more: Any) -> Any:
     """The one answer or attempt that a request brings."""
-    actions = member.handle(now, [Requested(request, 0, 0, key, 1200, 0.0, 0, **more)])
-    return next((a for a in actions if isinstance(a, (Send, Refuse))), None)
+    actions = member.handle(now, [RequestArrived(request, 0, 0, key, 1200, 0.0, 0, **more)])
+    return next((a for a in actions if isinstance(a, (Send, Reject))), None)
 
 
 def serve(member: Balancer, now: float, sent: Send, attempt: int = 0) -> None:
-    member.handle(now, [Began(sent.request, sent.server, 5.0, attempt)])
+    member.handle(now, [AttemptEstablished(sent.request, sent.server, 5.0, attempt)])
 
 
 def alike(gateway: Balancer) -> float:
     """The part of 400 keys, each for a short connection, that a gateway and clients place alike."""
-    gateway.handle(START, [Listed(ListKind.FULL, 1, entries(SERVERS))])
+    gateway.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
     random, same = Random(5), 0
     for i, member in enumerate(members(400, entries(SERVERS))):
         key = random.getrandbits(63)
         sent = ask(gateway, START + i, i + 1, key)
         serve(gateway, START + i, sent)
-        gateway.handle(START + i, [Ended(sent.request, Outcome.OK, sent.server, 0, True, 6.0)])
+        gateway.handle(START + i, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 6.0)])
         same += ask(member, START, 1, key).server == sent.server
     return same / 400
 
@@ -204,7 +206,7 @@
             for member in made:
                 now = START + 20000 * draw
                 sent = ask(member, now, draw + 1, random.getrandbits(63))
-                member.handle(now, [Ended(sent.request, Outcome.OK, sent.server, 0, True, 9.0)])
+                member.handle(now, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 9.0)])
                 counts[sent.server] += 1
             assert len(counts) == 15
             fullest.append(max(counts.values()) / 40)
@@ -218,9 +220,9 @@
 
     def test_another_evenness_is_taken_up_by_a_running_gateway(self) -> None:
         gateway = EvenBalancer(replace(SETTINGS, evenness=1.2), 1)
-        gateway.handle(START, [Listed(ListKind.FULL, 1, entries(SERVERS))])
+        gateway.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
         assert max(shares(gateway.whole(None)).values()) * 15 > 1.1
-        gateway.handle(START, [Retuned(replace(SETTINGS, evenness=1.01))])
+        gateway.handle(START, [SettingsChanged(replace(SETTINGS, evenness=1.01))])
         assert max(shares(gateway.whole(None)).values()) * 15 < 1.02
 
     def test_one_key_stays_at_its_home_however_often_it_is_asked_for(self) -> None:
@@ -229,7 +231,9 @@
         for i in range(30):
             sent = ask(member, START + 100 * i, i + 1, 4711)
             serve(member, START + 100 * i + 5, sent)
-            member.handle(START + 100 * i + 9, [Ended(sent.request, Outcome.OK, sent.server, 0, True, 9.0)])
+            member.handle(
+                START + 100 * i + 9, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 9.0)]
+            )
             homes.add(sent.server)
         assert len(homes) == 1
 
@@ -255,13 +259,15 @@
             now = START + step * 15.0
             if step == 2000:
                 for member in made:
-                    member.handle(now, [Listed(ListKind.CHANGES, 2, entries([cold], started=now))])
+                    member.handle(
+                        now, [EndpointListUpdated(ListUpdateKind.CHANGES, 2, entries([cold], started=now))]
+                    )
                 back = now
             i = random.randrange(200)
             numbers[i] += 1
             sent = ask(made[i], now, numbers[i], random.getrandbits(63))
             serve(made[i], now, sent)
-            made[i].handle(now + 1, [Ended(sent.request, Outcome.OK, sent.server, 0, True, 9.0)])
+            made[i].handle(now + 1, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 9.0)])
             if step > 2000 and sent.server == cold:
                 used.append(now - back)
         assert used[0] < 3000
@@ -273,7 +279,7 @@
         member = members(1, entries(SERVERS))[0]
         sent = ask(member, START, 1, 4711)
         now = START + 20000  # nothing was heard for 20 s
-        member.handle(now, [Ended(1, Outcome.CONNECT_FAILED, sent.server, 0, True, 1.0)])
+        member.handle(now, [AttemptEnded(1, Outcome.CONNECT_FAILED, sent.server, 0, True, 1.0)])
         assert member.servers[sent.server].connect_fails == 1
         home = sent.server
         again = None
@@ -292,9 +298,9 @@
     def test_the_rosters_age_is_known(self) -> None:
         member = Member(SETTINGS, 1)
         assert member.age_ms(START) == float("inf")
-        member.handle(START, [Listed(ListKind.FULL, 1, entries(SERVERS))])
+        member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
         assert member.age_ms(START + 20000) == 20000
-        member.handle(START + 20000, [Listed(ListKind.FAILED, 0, [])])
+        member.handle(START + 20000, [EndpointListUpdated(ListUpdateKind.FAILED, 0, [])])
         assert member.age_ms(START + 20000) == 20000
         member.heard(START + 20000)
         assert member.age_ms(START + 20000) == 0
@@ -303,9 +309,9 @@
         waits = set()
         for seed in range(30):
             member = Member(SETTINGS, seed)
-            member.handle(START, [Listed(ListKind.FAILED, 0, [])])
+            member.handle(START, [EndpointListUpdated(ListUpdateKind.FAILED, 0, [])])
             refused = ask(member, START + 24000, 65536, 4711)
-            assert isinstance(refused, Refuse)
+            assert isinstance(refused, Reject)
             waits.add(refused.wait_ms)
         assert len(waits) == 30  # each by its own lot, though all have the same numbers for their requests
         assert all(500 <= wait <= 1500 for wait in waits)
@@ -313,26 +319,28 @@
     def test_before_the_first_word_of_the_roster_a_request_waits(self) -> None:
         member = Member(SETTINGS, 1)
         assert ask(member, START, 1, 4711) is None
-        actions = member.handle(START + 50, [Listed(ListKind.FULL, 1, entries(SERVERS))])
+        actions = member.handle(START + 50, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
         actions += member.handle(START + 100, [])
         assert any(isinstance(a, Send) for a in actions)
 
     def test_a_server_that_is_put_back_does_not_get_everybodys_next_request(self) -> None:
         back, went = SERVERS[4], 0
         for member in members(200, entries(SERVERS)):
-            member.handle(START + 10, [Detached(back)])
-            member.handle(START + 5000, [Attached(back)])
+            member.handle(START + 10, [EndpointDetached(back)])
+            member.handle(START + 5000, [EndpointAttached(back)])
             went += ask(member, START + 5001, 1, member.random.getrandbits(63)).server == back
         assert went <= 3
 
     def test_a_zone_with_a_price_on_crossing_is_even_within_itself(self) -> None:
         priced = replace(SETTINGS, cross_zone_price=1.0)
-        listed = [Entry(s, i % 3, 0, 0, State.READY, 1.0, 0.0) for i, s in enumerate(SERVERS)]
+        listed = [
+            EndpointEntry(s, i % 3, 0, 0, EndpointStatus.READY, 1.0, 0.0) for i, s in enumerate(SERVERS)
+        ]
         counts: Counter[int] = Counter()
         random = Random(8)
         for seed in range(200):
             member = Member(priced, seed)
-            member.handle(START, [Listed(ListKind.FULL, 1, listed)])
+            member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
             counts[ask(member, START, 1, random.getrandbits(63)).server] += 1
         assert set(counts) == set(SERVERS[::3])
         assert max(counts.values()) / 40 <= 1.35
@@ -347,7 +355,7 @@
                 if isinstance(sent, Send):
                     serve(member, START + 10 * i, sent)
                 if isinstance(sent, Send) and i % 7 == 0:
-                    member.handle(START + 10 * i, [Ended(i, Outcome.RESET, sent.server, 0, True, 9.0)])
+                    member.handle(START + 10 * i, [AttemptEnded(i, Outcome.RESET, sent.server, 0, True, 9.0)])
             return found
 
         with_it = choices()
@@ -357,9 +365,12 @@
 
     def test_weights_make_shares(self) -> None:
         weighted = replace(SETTINGS, weighted=True)
-        listed = [Entry(s, 0, 0, 0, State.READY, 3.0 if s == SERVERS[0] else 1.0, 0.0) for s in SERVERS]
+        listed = [
+            EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 3.0 if s == SERVERS[0] else 1.0, 0.0)
+            for s in SERVERS
+        ]
         member = Member(weighted, 1)
-        member.handle(START, [Listed(ListKind.FULL, 1, listed)])
+        member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
         found = shares(member.whole(None))
         assert max(found, key=lambda s: found[s]) == SERVERS[0]
         for server, share in found.items():
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,7 +16,7 @@
 from puffindeck.config import Node as Told
 from puffindeck.config import Target
 from puffindeck.core.clock import Clock, span
-from puffindeck.interface import Listed, ListKind
+from puffindeck.interface import EndpointListUpdated, ListUpdateKind
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
@@ -54,8 +54,8 @@
         watch.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return watch
 
-    def lists(self) -> list[tuple[ListKind, int]]:
-        return [(e.kind, e.version) for e in self.ends(Listed)]
+    def lists(self) -> list[tuple[ListUpdateKind, int]]:
+        return [(e.kind, e.version) for e in self.ends(EndpointListUpdated)]
 
     async def pause(self, seconds: float) -> None:
         waiting: list[int] = []
@@ -78,7 +78,7 @@
             await self.whole(44, self.target("h1"))  # to the call beside it
             await mute.ended()
             await self.followed(44)
-            await self.until(lambda: self.lists()[-1] == (ListKind.FULL, 44), "what changed meanwhile")
+            await self.until(lambda: self.lists()[-1] == (ListUpdateKind.FULL, 44), "what changed meanwhile")
         self.assertFalse(self.node.engine.known(self.node.directory.number("h0")))
 
     async def test_an_agent_with_nothing_new_makes_the_node_ready_all_the_same(self) -> None:
@@ -86,7 +86,7 @@
         watch = await self.watched()
         watch.write(chunk(b"\n"))
         await self.until(lambda: self.node.ready, "readiness")
-        self.assertEqual([kind for kind, _ in self.lists()], [ListKind.CACHED])  # no break
+        self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
 
     async def test_silence_counts_from_the_last_octet(self) -> None:
         with patch.object(discovery, "SILENT", span(150)):
@@ -98,9 +98,9 @@
             for at in range(0, len(line), 24):
                 watch.write(chunk(line[at : at + 24]))
                 await self.pause(0.05)
-            await self.until(lambda: (ListKind.CHANGES, 43) in self.lists(), "the list in pieces")
+            await self.until(lambda: (ListUpdateKind.CHANGES, 43) in self.lists(), "the list in pieces")
             self.assertGreater(self.node.deadlines.clock.now() - begun, span(200))
-            self.assertNotIn(ListKind.FAILED, [kind for kind, _ in self.lists()])
+            self.assertNotIn(ListUpdateKind.FAILED, [kind for kind, _ in self.lists()])
 
     async def test_an_indented_list_on_a_watch_is_one_list(self) -> None:
         self.build(must_ask=False)
@@ -108,7 +108,7 @@
         watch = await self.followed(41)
         text = listing(43, False, self.target("h0", "DRAINING"), self.target("h1"), indent=2)
         watch.write(chunk(text[:60]) + chunk(text[60:] + b"\n") + chunk(b"\n"))
-        await self.until(lambda: self.lists()[-1] == (ListKind.CHANGES, 43), "the indented list")
+        await self.until(lambda: self.lists()[-1] == (ListUpdateKind.CHANGES, 43), "the indented list")
 
     async def test_a_list_that_does_not_end_breaks_the_watch_though_it_is_alive(self) -> None:
         with patch.object(discovery, "LIST", span(150)):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 import pytest
 
 from puffindeck.choice.ring import PLAN_MS, PLANNED
-from puffindeck.interface import LoadTold
+from puffindeck.interface import LoadReported
 from tests.world import SETTINGS, Gateway, entry, listed
 
 ZONES = 4
@@ -44,7 +44,7 @@
         zone = gateway.balancer.settings.zone
         for key in range(1, 6):
             server = gateway.connect(key, key=key + 100 * zone)
-            gateway.do(LoadTold(key, server, 1.0))
+            gateway.do(LoadReported(key, server, 1.0))
             assert server % ZONES == zone
 
 
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -6,7 +6,7 @@
 from unittest.mock import patch
 
 from puffindeck.core.clock import span
-from puffindeck.interface import Ended, Outcome
+from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.net import node as node_module
 from puffindeck.net.client import ClientLine
 from puffindeck.net.client_connection import NEXT, OVER, ConnectionState
@@ -161,7 +161,7 @@
             host.write(b"M ")
             self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.left(b"M "))  # no MOVE has its place in the middle of a line
-        self.assertEqual(self.ends(Ended)[-1].outcome, Outcome.RESET)
+        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.RESET)
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     def test_silence_ends_well_before_seven_seconds(self) -> None:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -18,7 +18,16 @@
 from puffindeck import config
 from puffindeck.core.clock import ms, span
 from puffindeck.core.requests import AttemptId
-from puffindeck.interface import DelayTold, Effect, Ended, Listed, ListKind, Opened, Outcome, Retuned
+from puffindeck.interface import (
+    AttemptEnded,
+    ConnectionRestored,
+    Effect,
+    EndpointListUpdated,
+    LatencyReported,
+    ListUpdateKind,
+    Outcome,
+    SettingsChanged,
+)
 from puffindeck.net import admission, client_connection, discovery, listening, logs, node
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.request_line import RequestLine, RequestLineError
@@ -52,9 +61,9 @@
             await self.until(partial(client.left, piece.rsplit(b"\n", 1)[-1]), "the piece")
         host.transport.loseConnection()
         self.assertEqual([await client.line() for _ in range(5)][::2], [b"LOAD 7.5", b"x" * 100, b"BYE"])
-        self.assertEqual([e.delay_ms for e in self.ends(DelayTold)], [7.5])
+        self.assertEqual([e.delay_ms for e in self.ends(LatencyReported)], [7.5])
         self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertEqual(self.ends(Ended)[-1].outcome, Outcome.OK)
+        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.OK)
 
     async def test_a_line_reads_the_same_wherever_it_is_cut(self) -> None:
         self.build()
@@ -87,10 +96,12 @@
         await host.line()
         host.write(b"UP r\r\n")
         self.assertEqual(await client.line(), b"UP r")
-        self.assertEqual([e.server for e in self.ends(Opened)], [self.node.directory.number("h1")])
+        self.assertEqual(
+            [e.server for e in self.ends(ConnectionRestored)], [self.node.directory.number("h1")]
+        )
         host.transport.abortConnection()
         self.assertEqual(await client.ended(), "ConnectionLost")
-        self.assertEqual([e.outcome for e in self.ends(Ended)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
 
     async def test_pong_comes_only_once_ready_and_not_while_stopping(self) -> None:
         self.build()
@@ -109,7 +120,7 @@
             self.assertEqual(await host.line(), b"M 1")
             self.assertEqual(await client.line(), b"MOVE")
             self.assertEqual(await client.ended(), "ConnectionDone")
-            self.assertEqual(self.ends(Ended)[-1].outcome, Outcome.RESET)
+            self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.RESET)
 
     async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
         self.build()
@@ -184,13 +195,13 @@
             if not said:
                 host.transport.abortConnection()
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
-            self.assertEqual(self.ends(Ended)[-1].outcome, outcome)
+            self.assertEqual(self.ends(AttemptEnded)[-1].outcome, outcome)
             server = self.node.engine.balancer.servers[self.node.directory.number("h0")]
             server.suspect_until, server.ceiling = 0.0, float("inf")  # each as if it were the first
         await self.hosts["h0"].port.stopListening()
         client = await self.client(ASK)
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
-        self.assertEqual(self.ends(Ended)[-1].outcome, Outcome.CONNECT_FAILED)
+        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_host_that_is_down_costs_the_client_nothing(self) -> None:
         self.build()
@@ -201,7 +212,7 @@
             await host.line()
             host.write(b"UP r\r\n")
             self.assertEqual(await client.line(), b"UP r")
-        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.ends(Ended)])
+        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.ends(AttemptEnded)])
 
     async def test_a_host_that_says_nothing_is_given_up_and_the_client_answered_in_time(self) -> None:
         self.build(hosts=1)
@@ -220,7 +231,7 @@
         _, host = await self.host_of()
         client.transport.abortConnection()
         await host.ended()
-        self.assertEqual(self.ends(Ended)[-1].outcome, Outcome.CANCELLED)
+        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.CANCELLED)
         self.assertEqual(len(self.node.engine.held), 0)
 
     async def test_lines_that_cant_be_read_get_a_plain_failure(self) -> None:
@@ -338,7 +349,7 @@
         client.write(ASK.encode() + b"\r\n")
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
-        self.assertEqual([e.outcome for e in self.ends(Ended)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(len(self.node.engine.held), 0)
 
     async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
@@ -370,7 +381,7 @@
         watch = await self.watched()
         client, uid, host = await self.served(ASK)
         self.news(watch, 2, False, self.target(uid, "DRAINING"))
-        await self.until(lambda: self.ends(Listed)[-1].version == 2, "the news")
+        await self.until(lambda: self.ends(EndpointListUpdated)[-1].version == 2, "the news")
         for _ in range(4):
             other = await self.client(ASK)
             reached, peer = await self.host_of()
@@ -391,7 +402,7 @@
                 await host.ended()
                 self.assertEqual(host.buffer, b"")
             self.assertTrue(asked.called)
-        self.assertEqual(self.ends(Ended)[0].outcome, Outcome.CONNECT_FAILED)
+        self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_watch_that_breaks_or_falls_silent_or_talks_nonsense_is_asked_for_again(self) -> None:
         with patch.object(discovery, "SILENT", span(100)):
@@ -399,15 +410,24 @@
             self.node.engine.balancer.random.seed(1)
             watch = await self.discovery.next()
             watch.write(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
-            await self.until(lambda: self.ends(Listed)[-1].kind == ListKind.FAILED, "its failure")
+            await self.until(
+                lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+            )
             await watch.ended()
-            self.assertEqual([e.kind for e in self.ends(Listed)], [ListKind.CACHED, ListKind.FAILED])
+            self.assertEqual(
+                [e.kind for e in self.ends(EndpointListUpdated)],
+                [ListUpdateKind.CACHED, ListUpdateKind.FAILED],
+            )
             for ill in (b"", b"3\r\n{]\n\r\n"):
                 watch = await self.watched()
                 self.news(watch, 5, True, *(self.target(uid) for uid in self.hosts))
-                await self.until(lambda: self.ends(Listed)[-1].kind == ListKind.FULL, "the list")
+                await self.until(
+                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
+                )
                 watch.write(ill)
-                await self.until(lambda: self.ends(Listed)[-1].kind == ListKind.FAILED, "its failure")
+                await self.until(
+                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+                )
             again = await self.discovery.next()
             self.assertIn(b"after=5", await again.line())
 
@@ -424,7 +444,7 @@
         self.assertNotEqual(first, second)
         self.assertIsNone(slots.get(first))
         self.node.engine.ended(AttemptId(first, 0), Outcome.OK)
-        self.assertEqual(self.ends(Ended), [])
+        self.assertEqual(self.ends(AttemptEnded), [])
         slots.drop(second)
 
     def test_a_head_is_read_in_place(self) -> None:
@@ -488,7 +508,9 @@
         listing.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
         watch = await other.next()
         self.assertIn(b"watch=1&after=1 ", await watch.line())
-        self.assertEqual([(e.kind, len(e.entries)) for e in self.ends(Listed)][-1], (ListKind.FULL, 2))
+        self.assertEqual(
+            [(e.kind, len(e.entries)) for e in self.ends(EndpointListUpdated)][-1], (ListUpdateKind.FULL, 2)
+        )
         self.assertEqual(len(gone.peers), 1)  # the old one is not asked again
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
@@ -522,7 +544,7 @@
         limits = table["limits"] | {"maxAttempts": 1}
         with patch.object(node, "DROPPED", span(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
-        self.assertEqual([e.settings.max_attempts for e in self.ends(Retuned)][-1], 1)
+        self.assertEqual([e.settings.max_attempts for e in self.ends(SettingsChanged)][-1], 1)
         self.assertEqual((old.most, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
         now = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
--- a/tests/test_quic.py
+++ b/tests/test_quic.py
@@ -23,7 +23,7 @@
 
 from puffindeck.config import Quic
 from puffindeck.core.clock import ms, span
-from puffindeck.interface import Ended, Outcome
+from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import front, packets
 from puffindeck.quic.ids import Ids
 from tests.stories import Story, reactor
@@ -302,7 +302,7 @@
         (end,) = caller.of(events.ConnectionTerminated)
         self.assertEqual(end.error_code, packets.REFUSED)
         self.assertRegex(end.reason_phrase, "^busy")
-        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.ends(Ended)])
+        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.ends(AttemptEnded)])
 
     async def test_a_box_that_dies_later_ends_its_flow(self) -> None:
         self.build_quic(boxes=1)
@@ -313,10 +313,10 @@
 
         def ended() -> list[Any]:
             caller.say(b".")
-            return self.ends(Ended)
+            return self.ends(AttemptEnded)
 
         await self.until(ended, "the flow's end")
-        self.assertEqual(self.ends(Ended)[0].outcome, Outcome.RESET)
+        self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.RESET)
 
     async def test_a_full_table_refuses_and_a_deadline_answers(self) -> None:
         self.build_quic(connections=1, deadline=300.0)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -15,21 +15,21 @@
 from puffindeck.interface import (
     Cancel,
     ClassSettings,
-    ClientLeft,
-    Detached,
+    ClientDisconnected,
+    ConnectionInfo,
+    ConnectionRestored,
     Effect,
-    Facts,
+    EndpointDetached,
+    EndpointStatus,
     Fail,
-    ListKind,
+    ListUpdateKind,
     Log,
-    Opened,
     Outcome,
-    Refuse,
-    Requested,
-    Retuned,
+    Reject,
+    RequestArrived,
     Scope,
     Send,
-    State,
+    SettingsChanged,
 )
 from puffindeck.routing import Condition, ConditionError, Pool, Pooled, Route, RouteTable, Routing, View
 from tests.world import SETTINGS, Gateway, RuleBook, asked, entry, listed, sends
@@ -51,7 +51,7 @@
 
 
 def view(cls: str = "chat", usable: int = 1, **facts: object) -> View:
-    return View(Facts(**facts), cls, lambda pool: usable)  # type: ignore[arg-type]
+    return View(ConnectionInfo(**facts), cls, lambda pool: usable)  # type: ignore[arg-type]
 
 
 MAIN = Pool("main", (names(1, 2, 3), names(4, 5)))
@@ -127,7 +127,7 @@
     seen: dict[str, set[int]] = {"127.0.0.1": set(), "10.0.0.1": set()}
     for request in range(1, 200):
         source = "127.0.0.1" if request % 2 else "10.0.0.1"
-        world.do(Requested(request, 0, 0, request, 1200, 0.0, 0, facts=Facts(source)))
+        world.do(RequestArrived(request, 0, 0, request, 1200, 0.0, 0, facts=ConnectionInfo(source)))
         seen[source].add(world.at[request])
     assert seen["127.0.0.1"] == {1, 2}
     assert seen["10.0.0.1"] == {3, 4, 5}
@@ -137,14 +137,21 @@
     world = gateway(MAIN, default="")
     world.balancer.routing = Routing(RouteTable((), ""), (MAIN,))
     (refusal,) = world.do(asked(1))
-    assert isinstance(refusal, Refuse)
+    assert isinstance(refusal, Reject)
     assert 0 < refusal.wait_ms <= RULES.max_wait_ms
     assert not world.balancer.places
 
 
 def test_backups_stay_idle_while_one_primary_is_fit() -> None:
     world = gateway(MAIN)
-    world.do(listed(entry(1, State.GONE), entry(2, State.GONE), kind=ListKind.CHANGES, version=2))
+    world.do(
+        listed(
+            entry(1, EndpointStatus.GONE),
+            entry(2, EndpointStatus.GONE),
+            kind=ListUpdateKind.CHANGES,
+            version=2,
+        )
+    )
     assert {world.connect(request, key=request) for request in range(1, 60)} == {3}
 
 
@@ -152,10 +159,12 @@
     """Primaries that come back are cold: they get by lot what they are warm enough for, not all at once."""
     world = gateway(MAIN)
     assert {world.connect(r, key=r) for r in range(1, 60)} == {1, 2, 3}
-    world.do(listed(*(entry(i, State.GONE) for i in (1, 2, 3)), kind=ListKind.CHANGES, version=2))
+    world.do(
+        listed(*(entry(i, EndpointStatus.GONE) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=2)
+    )
     assert {world.connect(r, key=r) for r in range(100, 160)} == {4, 5}
     back = world.now
-    world.do(listed(*(entry(i, started=back) for i in (1, 2, 3)), kind=ListKind.CHANGES, version=3))
+    world.do(listed(*(entry(i, started=back) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=3))
     parts = []
     for second in range(12):
         placed = Counter(
@@ -184,7 +193,7 @@
     assert world.tries[1] == 3
     final = world.end(1, Outcome.CONNECT_FAILED)
     final += world.wait(500)
-    assert [type(a) for a in final if isinstance(a, (Refuse, Fail))] == [Refuse]
+    assert [type(a) for a in final if isinstance(a, (Reject, Fail))] == [Reject]
     assert not world.balancer.places
 
 
@@ -192,7 +201,7 @@
     world = gateway(Pool("main", (names(1), names(2))), servers=2)
     world.ask(1, key=1)
     world.end(1, Outcome.CONNECT_FAILED)
-    (cancel,) = [a for a in world.do(ClientLeft(1)) if isinstance(a, Cancel)]
+    (cancel,) = [a for a in world.do(ClientDisconnected(1)) if isinstance(a, Cancel)]
     assert cancel.attempt == 1
 
 
@@ -211,9 +220,9 @@
 
 def test_backups_in_order_stand_in_one_after_another() -> None:
     world = gateway(Pool("main", (names(1), names(2), names(3))), servers=3)
-    world.do(listed(entry(1, State.DRAINING), kind=ListKind.CHANGES, version=2))
+    world.do(listed(entry(1, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
     assert {world.connect(r, key=r) for r in range(1, 20)} == {2}
-    world.do(Detached(2))
+    world.do(EndpointDetached(2))
     assert {world.connect(r, key=r) for r in range(20, 40)} == {3}
 
 
@@ -222,30 +231,32 @@
     for request in range(1, 6):
         world.connect(request, key=request)
     assert Counter(world.at.values())[1] <= 2
-    assert [type(a) for a in world.do(asked(6))] == [Refuse]
+    assert [type(a) for a in world.do(asked(6))] == [Reject]
     world.end(1, Outcome.OK, final=True)
     assert world.connect(7) in (1, 2)
     small = gateway(Pool("main", (names(1, 2),), server_limits={"1": 1, "2": 1}), servers=2)
     assert {small.connect(1, key=1), small.connect(2, key=2)} == {1, 2}
-    assert [type(a) for a in small.do(asked(3)) if isinstance(a, Refuse)] == [Refuse]
+    assert [type(a) for a in small.do(asked(3)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_a_drained_server_takes_nothing_new_and_keeps_what_it_has() -> None:
     world = gateway(Pool("main", (names(1, 2),), drained=names(1)), servers=2)
-    world.do(Opened(50, 1, 0, 0, 0.0, 0, 5))
+    world.do(ConnectionRestored(50, 1, 0, 0, 0.0, 0, 5))
     assert {world.connect(r, key=r) for r in range(1, 30)} == {2}
     assert not [a for a in world.actions if type(a).__name__ == "Move"]
 
 
 def test_with_nobody_left_in_any_tier_the_answer_comes_at_once() -> None:
     world = gateway(MAIN, servers=5)
-    world.do(listed(*(entry(i, State.GONE) for i in range(1, 6)), kind=ListKind.CHANGES, version=2))
-    assert [type(a) for a in world.do(asked(1)) if isinstance(a, Refuse)] == [Refuse]
+    world.do(
+        listed(*(entry(i, EndpointStatus.GONE) for i in range(1, 6)), kind=ListUpdateKind.CHANGES, version=2)
+    )
+    assert [type(a) for a in world.do(asked(1)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_before_the_first_list_a_request_waits_for_it() -> None:
     world = gateway(MAIN, servers=0)
-    assert not [a for a in world.do(asked(1)) if isinstance(a, (Refuse, Fail, Send))]
+    assert not [a for a in world.do(asked(1)) if isinstance(a, (Reject, Fail, Send))]
     world.do(listed(entry(1)))
     assert sends(world.wait(500))
 
@@ -255,7 +266,7 @@
     world.do(listed(entry(1)))
     assert [type(a).__name__ for a in world.actions].count("Follow") == 1
     before = len(world.actions)
-    world.do(listed(kind=ListKind.FAILED))
+    world.do(listed(kind=ListUpdateKind.FAILED))
     world.wait(2000)
     assert [type(a).__name__ for a in world.actions[before:]].count("Follow") == 1
 
@@ -263,10 +274,10 @@
 def test_a_pools_own_attempts_and_what_a_retune_leaves_of_them() -> None:
     world = gateway(Pool("main", (names(1, 2, 3),), attempts=1))
     world.ask(1, key=1)
-    assert [type(a) for a in world.end(1, Outcome.ERROR) if isinstance(a, (Refuse, Fail))] == [Refuse]
-    world.do(Retuned(replace(RULES, max_attempts=2)))
+    assert [type(a) for a in world.end(1, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
+    world.do(SettingsChanged(replace(RULES, max_attempts=2)))
     world.ask(2, key=2)
-    assert [type(a) for a in world.end(2, Outcome.ERROR) if isinstance(a, (Refuse, Fail))] == [Refuse]
+    assert [type(a) for a in world.end(2, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_tried_in_another_tier() -> None:
@@ -274,7 +285,7 @@
     world = Gateway(RULES, 2, balancer=pooled(Pool("main", (names(1), names(2))), classes=unsafe))
     world.ask(1, key=1)
     end = world.end(1, Outcome.RESET)
-    assert [type(a) for a in end + world.wait(1300) if isinstance(a, (Send, Refuse, Fail))] == [Fail]
+    assert [type(a) for a in end + world.wait(1300) if isinstance(a, (Send, Reject, Fail))] == [Fail]
 
 
 CLASSES = (
--- a/tests/test_rpc_outcomes.py
+++ b/tests/test_rpc_outcomes.py
@@ -11,7 +11,7 @@
 from puffindeck.config import ConfigError
 from puffindeck.config.client import client
 from puffindeck.core.clock import ZERO
-from puffindeck.interface import NEVER_RAN, Outcome
+from puffindeck.interface import NOT_PROCESSED, Outcome
 from puffindeck.rpc.outcomes import outcome
 from puffindeck.rpc.status import Final, comes_back, failed, moved, refused
 
@@ -68,7 +68,7 @@
 
 def test_only_what_never_ran_is_held_to_be_so() -> None:
     told = {outcome(code, "", heard) for code in range(17) for heard in (False, True)}
-    assert told & NEVER_RAN == {Outcome.FULL}
+    assert told & NOT_PROCESSED == {Outcome.FULL}
 
 
 def test_a_refusal_tells_when_to_come_back_in_both_ways() -> None:
--- a/tests/test_rpc_roster.py
+++ b/tests/test_rpc_roster.py
@@ -215,11 +215,11 @@
 
 
 def _request(key: str) -> Request:
-    from puffindeck.interface import Requested
+    from puffindeck.interface import RequestArrived
     from puffindeck.service_discovery.keys import number
     from tests.rpc_world import SETTINGS
 
-    return Request(Requested(1, 0, 0, number(key.encode()), 1200, 0.0, 0), SETTINGS, 1.0, 0.0)
+    return Request(RequestArrived(1, 0, 0, number(key.encode()), 1200, 0.0, 0), SETTINGS, 1.0, 0.0)
 
 
 def test_a_channel_without_a_loop_says_nothing_until_it_is_used() -> None:
--- a/tests/test_rpc_routing.py
+++ b/tests/test_rpc_routing.py
@@ -14,7 +14,7 @@
 from puffindeck import config
 from puffindeck.config.client import client
 from puffindeck.crowd.pooled import PooledMember
-from puffindeck.interface import ListKind, Outcome, Refuse, State
+from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
 from tests.rpc_world import Stub, World, keyed, told, until
 from tests.world import SETTINGS, Gateway, asked, entry, listed
@@ -50,8 +50,15 @@
     one.end(1, Outcome.CONNECT_FAILED)
     assert one.at[1] == 4
     one.begin(1)
-    one.do(listed(entry(1, State.GONE), entry(4, State.GONE), kind=ListKind.CHANGES, version=2))
-    assert [type(a) for a in one.do(asked(2)) if isinstance(a, Refuse)] == [Refuse]
+    one.do(
+        listed(
+            entry(1, EndpointStatus.GONE),
+            entry(4, EndpointStatus.GONE),
+            kind=ListUpdateKind.CHANGES,
+            version=2,
+        )
+    )
+    assert [type(a) for a in one.do(asked(2)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_what_a_client_knows_of_the_roster_is_known_over_all_pools() -> None:
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -12,7 +12,7 @@
 
 from puffindeck.config import Node as Told
 from puffindeck.core.clock import span
-from puffindeck.interface import Attached, Detached
+from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import node, operator
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from tests.stories import Peer, Story
@@ -72,7 +72,7 @@
             ("PUT /_hosts/attach?member=h7", 404),
         ):
             self.assertEqual(await self.call(odd), status, odd)
-        self.assertEqual(self.ends(Detached), [])
+        self.assertEqual(self.ends(EndpointDetached), [])
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         self.assertEqual(await self.call("GET /_ready"), 503)
         self.assertEqual(await self.call("PUT /_lameduck/off", "Content-Length: 2\r\n\r\nhi"), 200)
@@ -102,7 +102,7 @@
             _, reached, _ = await self.served(ASK)
             self.assertNotEqual(reached, uid)
         self.assertEqual(await self.call(f"PUT /_hosts/attach?member={uid}"), 200)
-        self.assertEqual((len(self.ends(Detached)), len(self.ends(Attached))), (1, 1))
+        self.assertEqual((len(self.ends(EndpointDetached)), len(self.ends(EndpointAttached))), (1, 1))
         await self.until(lambda: self.back_in_use(uid), "its use")
 
     def back_in_use(self, uid: str) -> bool:
@@ -127,16 +127,16 @@
         marker = self.folder / "detached" / b"h0".hex()
         marker.touch()
         (self.folder / "detached" / "not ours").touch()
-        await self.until(lambda: self.ends(Detached), "the other's word")
+        await self.until(lambda: self.ends(EndpointDetached), "the other's word")
         marker.unlink()
-        await self.until(lambda: self.ends(Attached), "the other's word")
+        await self.until(lambda: self.ends(EndpointAttached), "the other's word")
         number = self.node.directory.number("h0")
         records = self.folder / "detached"
         records.rename(self.folder / "away")
         records.touch()  # no folder: nothing can be recorded
         self.assertEqual(await self.call("PUT /_hosts/detach?member=h0"), 507)
         # it counts 1 s after the call whatever was answered, so it holds here
-        self.assertEqual(len(self.ends(Detached)), 2)
+        self.assertEqual(len(self.ends(EndpointDetached)), 2)
         self.assertIn(number, self.node.engine.reachability.detached_since)
         records.unlink()
         await self.until(lambda: records.is_dir() and marker.exists(), "its record, once there is a folder")
@@ -160,7 +160,7 @@
         marker.unlink()
         records.rmdir()
         await self.until(marker.exists, "its record")
-        self.assertFalse(self.ends(Attached))
+        self.assertFalse(self.ends(EndpointAttached))
 
     async def test_a_lame_duck_says_no_serves_a_little_moves_all_and_takes_clients_again(self) -> None:
         self.build()
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -14,7 +14,7 @@
 
 from puffindeck.choice import balancer
 from puffindeck.core.clock import ms, span
-from puffindeck.interface import Follow, ListKind
+from puffindeck.interface import ListUpdateKind, WatchEndpoints
 from puffindeck.net import discovery
 from puffindeck.service_discovery.watch import ANSWER, BESIDE, LIST, SILENT, WatchError, WatchState
 from tests.stories import Peer
@@ -40,9 +40,9 @@
 def test_however_often_it_failed_a_list_is_asked_for_within_a_second(seed: int) -> None:
     gateway = Gateway(replace(SETTINGS, must_ask=True, ask_within_ms=60000), seed=seed)
     for failed in range(30):
-        gateway.do(listed(kind=ListKind.FAILED))
+        gateway.do(listed(kind=ListUpdateKind.FAILED))
         most = ms(MOST_WAIT if failed else FIRST_WAIT)
-        assert any(isinstance(a, Follow) for a in gateway.wait(most)), failed
+        assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(most)), failed
 
 
 class AskedStories(ListStory):
@@ -64,7 +64,7 @@
             + b"Transfer-Encoding: chunked\r\n\r\n"
             + chunk(listing(60, False, self.target("h0", "DRAINING")) + b"\n")
         )
-        await self.until(lambda: (ListKind.CHANGES, 60) in self.lists(), "the drain")
+        await self.until(lambda: (ListUpdateKind.CHANGES, 60) in self.lists(), "the drain")
         self.assertLess(self.node.deadlines.clock.now() - since, TOLD / 10)
 
     async def test_a_call_lost_in_the_return_of_discovery_after_many_failures(self) -> None:
@@ -113,7 +113,7 @@
             await self.pause(0.01)
         self.assertLess(self.node.deadlines.clock.now() - begun, span(1000))
         await self.whole(70, self.target("h1"))
-        await self.until(lambda: (ListKind.FULL, 70) in self.lists(), "the whole list")
+        await self.until(lambda: (ListUpdateKind.FULL, 70) in self.lists(), "the whole list")
 
     def reload_to_whole(self) -> None:
         """As a new configuration does where discovery has another address."""
@@ -127,34 +127,34 @@
         self.quick()
         watch = await self.watched()
         self.news(watch, 40, True, *self.all())
-        await self.until(lambda: (ListKind.FULL, 40) in self.lists(), "the list")
+        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         self.news(watch, 3, False, self.target("h0", "DRAINING"))
         await self.whole(4, self.target("h1"))
-        await self.until(lambda: (ListKind.FULL, 4) in self.lists(), "the list of the new count")
+        await self.until(lambda: (ListUpdateKind.FULL, 4) in self.lists(), "the list of the new count")
         self.assertFalse(self.node.engine.known(self.node.directory.number("h0")))
 
     async def test_what_the_older_discovery_says_after_a_reload_is_not_heard(self) -> None:
         self.quick()
         watch = await self.watched()
         self.news(watch, 40, True, *self.all())
-        await self.until(lambda: (ListKind.FULL, 40) in self.lists(), "the list")
+        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.write(chunk(listing(41, False, self.target("h0", "DRAINING")) + b"\n"))  # on its way
         self.reload_to_whole()
         await self.whole(7, *self.all())
-        await self.until(lambda: (ListKind.FULL, 7) in self.lists(), "the new list")
+        await self.until(lambda: (ListUpdateKind.FULL, 7) in self.lists(), "the new list")
         await watch.ended()
-        self.assertNotIn((ListKind.CHANGES, 41), self.lists())
+        self.assertNotIn((ListUpdateKind.CHANGES, 41), self.lists())
 
     async def test_a_watch_that_ends_in_the_moment_of_a_reload_fails_nothing_of_the_new_one(self) -> None:
         self.quick()
         watch = await self.watched()
         self.news(watch, 40, True, *self.all())
-        await self.until(lambda: (ListKind.FULL, 40) in self.lists(), "the list")
+        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.transport.abortConnection()
         self.reload_to_whole()
         await self.whole(7, *self.all())
         await self.followed(7)
-        self.assertNotIn(ListKind.FAILED, [kind for kind, _ in self.lists()])
+        self.assertNotIn(ListUpdateKind.FAILED, [kind for kind, _ in self.lists()])
 
 
 class PushedStories(ListStory):
@@ -175,7 +175,7 @@
         self.assertEqual(await ping.line(), b"PONG")  # an agent that is silent keeps nobody from being ready
         body = listing(50, True, self.target("h1"))
         back.write(OK + b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
-        await self.until(lambda: (ListKind.FULL, 50) in self.lists(), "the list")
+        await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
         await lost.ended()  # one list is enough
         await self.followed(50)
 
@@ -185,7 +185,7 @@
         await self.silent()
         body = listing(50, True, *self.all())
         slow.write(OK + b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
-        await self.until(lambda: (ListKind.FULL, 50) in self.lists(), "the list")
+        await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
 
     async def test_a_silent_agent_is_asked_by_a_few_calls_at_once(self) -> None:
         with patch.object(discovery, "AT_ONCE", span(20)):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,7 +14,15 @@
 import pytest
 
 from puffindeck import benchlink, config, wire
-from puffindeck.interface import DelayTold, Ended, Listed, LoadTold, Outcome, Requested, State
+from puffindeck.interface import (
+    AttemptEnded,
+    EndpointListUpdated,
+    EndpointStatus,
+    LatencyReported,
+    LoadReported,
+    Outcome,
+    RequestArrived,
+)
 
 ROOT = Path(__file__).parent.parent
 LONGEST_MODULE = 300  # lines of a module of the decision package
@@ -90,20 +98,20 @@
 def test_unknown_codes_and_trailing_fields_are_skipped() -> None:
     assert wire.event(99, b"abc") is None
     data = struct.pack("<IBIBBd", 5, 6, 9, 1, 1, 2.5)
-    assert wire.event(4, data + b"\x01later fields") == Ended(5, Outcome.RESET, 9, 1, True, 2.5)
+    assert wire.event(4, data + b"\x01later fields") == AttemptEnded(5, Outcome.RESET, 9, 1, True, 2.5)
 
 
 def test_fields_left_off_read_as_zero() -> None:
     event = wire.event(2, struct.pack("<IB", 5, 0))
-    assert event == Requested(5, 0, 0, 0, 0.0, 0.0, 0)
+    assert event == RequestArrived(5, 0, 0, 0, 0.0, 0.0, 0)
 
 
 def test_notes_and_lists() -> None:
-    assert wire.event(11, struct.pack("<IBIBf", 5, 0, 9, 1, 2.0)) == LoadTold(5, 9, 2.0)
-    assert wire.event(11, struct.pack("<IBIBf", 5, 0, 9, 2, 8.0)) == DelayTold(5, 9, 8.0)
+    assert wire.event(11, struct.pack("<IBIBf", 5, 0, 9, 1, 2.0)) == LoadReported(5, 9, 2.0)
+    assert wire.event(11, struct.pack("<IBIBf", 5, 0, 9, 2, 8.0)) == LatencyReported(5, 9, 8.0)
     listed = wire.event(1, struct.pack("<BII", 4, 3, 1) + struct.pack("<IHBHBfd", 7, 1, 2, 3, 2, 1.5, 9.0))
-    assert isinstance(listed, Listed)
-    assert listed.entries[0].state == State.DRAINING
+    assert isinstance(listed, EndpointListUpdated)
+    assert listed.entries[0].state == EndpointStatus.DRAINING
     assert listed.entries[0].cell == 3
 
 
@@ -128,7 +136,7 @@
 
 def test_an_outcome_not_known_may_have_run() -> None:
     event = wire.event(4, struct.pack("<IBIBBd", 5, 66, 9, 1, 0, 2.5))
-    assert isinstance(event, Ended)
+    assert isinstance(event, AttemptEnded)
     assert event.outcome == Outcome.ERROR
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -12,33 +12,33 @@
 
 from puffindeck.choice import Balancer
 from puffindeck.interface import (
-    NEVER_RAN,
+    NOT_PROCESSED,
     Action,
-    Attached,
-    Began,
+    AttemptEnded,
+    AttemptEstablished,
     Cancel,
     ClassSettings,
-    ClientLeft,
-    DelayTold,
-    Detached,
+    ClientDisconnected,
     Effect,
-    Ended,
-    Entry,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
     Event,
     Fail,
-    Listed,
-    ListKind,
-    LoadTold,
-    Move,
+    LatencyReported,
+    ListUpdateKind,
+    LoadReported,
+    Migrate,
     Outcome,
-    Refuse,
-    Requested,
+    Reject,
+    RequestArrived,
+    ScheduleTimer,
     Scope,
     Send,
     Settings,
-    State,
-    Wake,
-    Woken,
+    TimerFired,
 )
 
 FULLEST = 3.75  # of the mean a server holds: what the book lets one hold at most when full
@@ -58,17 +58,24 @@
 
 
 def entry(
-    server: int, state: State = State.READY, *, zone: int = 0, cell: int = 0, started: float = 0
-) -> Entry:
-    return Entry(server, zone, 0, cell, state, 1.0, started)
+    server: int,
+    state: EndpointStatus = EndpointStatus.READY,
+    *,
+    zone: int = 0,
+    cell: int = 0,
+    started: float = 0,
+) -> EndpointEntry:
+    return EndpointEntry(server, zone, 0, cell, state, 1.0, started)
 
 
-def listed(*entries: Entry, kind: ListKind = ListKind.FULL, version: int = 1) -> Listed:
-    return Listed(kind, version, list(entries))
+def listed(
+    *entries: EndpointEntry, kind: ListUpdateKind = ListUpdateKind.FULL, version: int = 1
+) -> EndpointListUpdated:
+    return EndpointListUpdated(kind, version, list(entries))
 
 
-def asked(request: int, *, group: int = 0, key: int = 0, left: float = 1200, cls: int = 0) -> Requested:
-    return Requested(request, cls, 0, key, left, 0.0, group)
+def asked(request: int, *, group: int = 0, key: int = 0, left: float = 1200, cls: int = 0) -> RequestArrived:
+    return RequestArrived(request, cls, 0, key, left, 0.0, group)
 
 
 def sends(actions: list[Action]) -> list[Send]:
@@ -93,7 +100,7 @@
     def do(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
-            if isinstance(action, Wake):
+            if isinstance(action, ScheduleTimer):
                 self.wakes.append((self.now + action.in_ms, action.token))
             elif isinstance(action, Send):
                 self.at[action.request] = action.server
@@ -108,7 +115,7 @@
             first = min(due)
             self.wakes.remove(first)
             self.now = max(self.now, first[0])
-            self.do(Woken(first[1]))
+            self.do(TimerFired(first[1]))
         self.now = until
         return self.actions[done:]
 
@@ -118,7 +125,7 @@
         return self.at.get(request)
 
     def begin(self, request: int, took: float = 20.0) -> None:
-        self.do(Began(request, self.at[request], took, self.tries[request] - 1))
+        self.do(AttemptEstablished(request, self.at[request], took, self.tries[request] - 1))
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
         """A connection that stands, with its load told."""
@@ -126,15 +133,15 @@
         assert server is not None
         self.begin(request)
         if load:
-            self.do(LoadTold(request, server, load))
+            self.do(LoadReported(request, server, load))
         return server
 
     def end(self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0) -> list[Action]:
-        return self.do(Ended(request, outcome, self.at[request], self.tries[request] - 1, final, took))
+        return self.do(AttemptEnded(request, outcome, self.at[request], self.tries[request] - 1, final, took))
 
     def delay(self, server: int, ms: float) -> list[Action]:
         held = next(iter(self.balancer.servers[server].conns), 0)
-        return self.do(DelayTold(held, server, ms))
+        return self.do(LatencyReported(held, server, ms))
 
 
 @dataclass
@@ -168,7 +175,7 @@
         self.now = 1000.0
         self.cases: dict[int, Case] = {}
         self.wakes: list[tuple[float, int]] = []
-        self.servers: dict[int, Entry] = {}
+        self.servers: dict[int, EndpointEntry] = {}
         self.told: dict[int, float] = {}  # when a server was told not ready
         self.out: dict[int, float] = {}  # taken out by staff, since when
         self.pushes: dict[int, list[float]] = {}
@@ -177,36 +184,36 @@
         self.version = 1
         for i in range(1, 6):
             self.servers[i] = entry(i, zone=i % 2, cell=i % 3)
-        self.hand([listed(*self.servers.values(), kind=ListKind.CACHED)])
+        self.hand([listed(*self.servers.values(), kind=ListUpdateKind.CACHED)])
 
     def hand(self, events: list[Event]) -> None:
         for action in self.balancer.handle(self.now, events):
             self.check(action)
 
     def check(self, action: Action) -> None:
-        if isinstance(action, Wake):
+        if isinstance(action, ScheduleTimer):
             assert action.in_ms >= 0
             self.wakes.append((self.now + action.in_ms, action.token))
         elif isinstance(action, Send):
             self.check_send(action)
-        elif isinstance(action, (Refuse, Fail)):
+        elif isinstance(action, (Reject, Fail)):
             case = self.cases[action.request]
             assert not case.answered, "a second final answer"
             assert self.now <= case.deadline + self.settings.answer_slack_ms, "answered too late"
-            if isinstance(action, Refuse):
+            if isinstance(action, Reject):
                 self.check_refusal(case)
             case.answered = True
         elif isinstance(action, Cancel):
             case = self.cases[action.request]
             case.attempts[action.attempt].cancelled = True
-        elif isinstance(action, Move):
+        elif isinstance(action, Migrate):
             case = self.cases[action.request]
             assert case.begun or case.answered
             case.answered = True
 
     @staticmethod
     def ran(case: Case) -> list[Attempt]:
-        return [a for a in case.attempts if a.outcome is None or a.outcome not in NEVER_RAN]
+        return [a for a in case.attempts if a.outcome is None or a.outcome not in NOT_PROCESSED]
 
     def check_refusal(self, case: Case) -> None:
         keyed_to_some = case.cls.effect == Effect.KEYED and case.cls.scope != Scope.ALL
@@ -220,7 +227,7 @@
         assert len(case.attempts) < self.settings.max_attempts
         server = self.servers[action.server]
         assert action.server not in self.out, "sent to a server taken out"
-        if server.state != State.READY:
+        if server.state != EndpointStatus.READY:
             grace_ends = self.told[action.server] + self.settings.drain_grace_ms
             assert self.now <= grace_ends, "sent to a drained server"
         ran = self.ran(case)
@@ -251,7 +258,7 @@
         recent = [t for t in pushes if t > self.now - s.fall_ms and t >= started]
         warmth = s.cold_from + (1 - s.cold_from) * (self.now - started) / s.cold_ms
         live = self.lived()
-        ready = sum(e.state == State.READY for e in self.servers.values())
+        ready = sum(e.state == EndpointStatus.READY for e in self.servers.values())
         most = FULLEST * s.fall_multiple * warmth * max(1.0, live / max(1, ready)) * s.fall_ms / s.cold_ms
         assert len(recent) <= most + 3, f"a cold server was pushed: {len(recent)} sends, at most {most:.1f}"
 
@@ -263,7 +270,7 @@
             self.staff()
         due = [w for w in self.wakes if w[0] <= self.now]
         self.wakes = [w for w in self.wakes if w[0] > self.now]
-        events += [Woken(token) for _, token in due]
+        events += [TimerFired(token) for _, token in due]
         for request, case in self.cases.items():
             events += self.attempt_events(request, case)
         if random.random() < 0.3:
@@ -272,15 +279,15 @@
             events += self.list_change()
         if random.random() < 0.02:
             server = random.choice(list(self.servers))
-            events.append(DelayTold(random.randrange(1, 50), server, random.uniform(0, 500)))
+            events.append(LatencyReported(random.randrange(1, 50), server, random.uniform(0, 500)))
         if random.random() < 0.03 and self.cases:
             request = random.choice(list(self.cases))
-            events.append(LoadTold(request, 1, random.uniform(0, 3000)))
+            events.append(LoadReported(request, 1, random.uniform(0, 3000)))
         if random.random() < 0.02 and self.cases:
             request = random.choice(list(self.cases))
             if not self.cases[request].begun:
                 left.append(request)
-                events.append(ClientLeft(request))
+                events.append(ClientDisconnected(request))
         self.lived()
         if events:
             self.hand(events)
@@ -294,11 +301,11 @@
         since = self.out.pop(server, None)
         if since is None:
             self.out[server] = self.now
-            self.hand([Detached(server)])
+            self.hand([EndpointDetached(server)])
             return
         if self.servers[server].started_ms < since:
             self.servers[server] = replace(self.servers[server], started_ms=self.now)
-        self.hand([Attached(server)])
+        self.hand([EndpointAttached(server)])
 
     def attempt_events(self, request: int, case: Case) -> list[Event]:
         attempt, number, random = case.out, len(case.attempts) - 1, self.random
@@ -316,7 +323,7 @@
         elif random.random() < 0.1 and not case.answered:
             if random.random() < 0.5:
                 case.begun = True
-                return [Began(request, attempt.server, took, number)]
+                return [AttemptEstablished(request, attempt.server, took, number)]
             outcome = random.choice(
                 [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT]
             )
@@ -325,7 +332,7 @@
         attempt.outcome = outcome
         if case.begun:
             case.answered = True
-        return [Ended(request, outcome, attempt.server, number, case.answered, took)]
+        return [AttemptEnded(request, outcome, attempt.server, number, case.answered, took)]
 
     def arrival(self) -> Event:
         cls = self.random.randrange(len(self.settings.classes))
@@ -340,15 +347,19 @@
         random, self.version = self.random, self.version + 1
         server = random.choice([*self.servers, max(self.servers) + 1])
         old = self.servers.get(server, entry(server, zone=server % 2, cell=server % 3))
-        state = random.choice([State.READY, State.READY, State.DRAINING, State.GONE])
+        state = random.choice(
+            [EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.GONE]
+        )
         new = replace(old, state=state)
-        if state == State.READY and (old.state != State.READY or server not in self.servers):
+        if state == EndpointStatus.READY and (
+            old.state != EndpointStatus.READY or server not in self.servers
+        ):
             new = replace(new, started_ms=self.now)
-        if state != State.READY and old.state == State.READY:
+        if state != EndpointStatus.READY and old.state == EndpointStatus.READY:
             self.told[server] = self.now
         self.told.setdefault(server, self.now)
         self.servers[server] = new
-        return [listed(new, kind=ListKind.CHANGES, version=self.version)]
+        return [listed(new, kind=ListUpdateKind.CHANGES, version=self.version)]
 
     def overdue(self) -> None:
         for request, case in self.cases.items():
