--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/crowd_ways.py
@@ -47,11 +47,11 @@
     max_attempts=3,
     drain_grace_ms=500,
     answer_slack_ms=20,
-    cold_from=0.31,
-    cold_ms=9000,
-    fall_multiple=3,
-    fall_ms=1000,
-    max_wait_ms=1500,
+    slow_start_initial_fraction=0.31,
+    slow_start_ms=9000,
+    slow_start_load_multiple=3,
+    slow_start_window_ms=1000,
+    max_retry_after_ms=1500,
 )
 NOW = 1.8e12
 # servers, those of them that are cold, and keys; the server that each key goes to
--- a/benchmarks/pool_return.py
+++ b/benchmarks/pool_return.py
@@ -58,12 +58,12 @@
     max_attempts=3,
     drain_grace_ms=500,
     answer_slack_ms=20,
-    cold_from=COLD_FROM,
-    cold_ms=COLD_MS,
-    fall_multiple=MULTIPLE,
-    fall_ms=WINDOW,
+    slow_start_initial_fraction=COLD_FROM,
+    slow_start_ms=COLD_MS,
+    slow_start_load_multiple=MULTIPLE,
+    slow_start_window_ms=WINDOW,
     can_cancel=True,
-    max_wait_ms=1500,
+    max_retry_after_ms=1500,
 )
 
 
@@ -72,7 +72,7 @@
 
     def __init__(self, gateways: int, rate: float, stay: float, seed: int, at_once: bool) -> None:
         self.random, self.rate, self.stay = Random(seed), rate, stay
-        told = replace(SETTINGS, gateways=gateways, cold_ms=0.0 if at_once else COLD_MS)
+        told = replace(SETTINGS, gateways=gateways, slow_start_ms=0.0 if at_once else COLD_MS)
         pool = Pool("main", (tuple(map(str, PRIMARIES)), tuple(map(str, BACKUPS))))
         routing = Routing(RouteTable((), "main"), (pool,))
         self.gateways = [
@@ -143,7 +143,7 @@
 
     def do(self, gateway: int, action: Action) -> None:
         if isinstance(action, ScheduleTimer):
-            self.at(self.now + action.in_ms, self.tell, gateway, TimerFired(action.token))
+            self.at(self.now + action.delay_ms, self.tell, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
             number, server = self.tries[gateway, action.request], action.server
             self.tries[gateway, action.request] += 1
@@ -155,7 +155,7 @@
         elif isinstance(action, Reject):
             self.refused += 1
             first, key = self.came[gateway, action.request]
-            self.at(self.now + (action.wait_ms or AGAIN), self.come, first, key)
+            self.at(self.now + (action.retry_after_ms or AGAIN), self.come, first, key)
         else:
             assert not isinstance(action, (Fail, Cancel, Migrate))
 
--- a/packages/fleet/src/puffindeck_fleet/governor.py
+++ b/packages/fleet/src/puffindeck_fleet/governor.py
@@ -137,7 +137,7 @@
             return None
         if not verdict.carried or not verdict.allowed or not self.books.serves(now):
             self.refused += 1
-            return Reject(event.request, min(self.settings.max_wait_ms, AGAIN_MS))
+            return Reject(event.request, min(self.settings.max_retry_after_ms, AGAIN_MS))
         self._order(event.request, verdict)
         return None
 
@@ -187,12 +187,12 @@
         view = self.view(event)
         if self.books is not None and (refusal := self._ruled(now, event, view)) is not None:
             return refusal
-        charge = self.quota.admit(self.tenant(view), now, now + event.left_ms) if self.quota is not None else None
+        charge = self.quota.admit(self.tenant(view), now, now + event.remaining_ms) if self.quota is not None else None
         if isinstance(charge, Refusal):
             self.refused += 1
             if self.books is not None:
                 self._order(event.request, None)
-            return Reject(event.request, min(self.settings.max_wait_ms, charge.wait_ms))
+            return Reject(event.request, min(self.settings.max_retry_after_ms, charge.wait_ms))
         self.held[event.request] = Held(charge, view)
         if charge is not None:
             self._of[charge] = event.request
--- a/packages/residency/tests/test_residency.py
+++ b/packages/residency/tests/test_residency.py
@@ -17,7 +17,7 @@
 
 def gateway(servers: int = 9) -> Any:
     """Servers 1 to 9, three in each region; requests from 100 on are ruled."""
-    balancer = RegionalBalancer(replace(SETTINGS, max_wait_ms=1500.0), 1)
+    balancer = RegionalBalancer(replace(SETTINGS, max_retry_after_ms=1500.0), 1)
     balancer.region_of = lambda zone: REGIONS.get(zone, "")
     made: Any = Gateway(SETTINGS, servers=0, balancer=balancer)
     made.do(listed(*(entry(i, zone=(i - 1) // 3) for i in range(1, servers + 1))))
@@ -84,7 +84,7 @@
         made.begin(request)
         made.wait(20)
     assert set(found) == {"south", "north"}
-    made.wait(SETTINGS.cold_ms + 2000)
+    made.wait(SETTINGS.slow_start_ms + 2000)
     assert {region(ask(made, r, "south", "north")) for r in range(300, 330)} == {"south"}
 
 
@@ -101,7 +101,7 @@
         assert ask(made, request, "south") is None
     refusals = [a for a in made.actions if isinstance(a, Reject)]
     assert len(refusals) == 20
-    assert all(a.wait_ms > 0 for a in refusals)
+    assert all(a.retry_after_ms > 0 for a in refusals)
 
 
 def test_a_server_of_no_known_zone_serves_no_ruled_service() -> None:
--- a/puffindeck/choice/attempts.py
+++ b/puffindeck/choice/attempts.py
@@ -32,7 +32,7 @@
         if event.request in self.requests:
             return
         load = event.hint or self._class_load(event.cls)
-        request = Request(event, self.settings, load, self.now + event.left_ms)
+        request = Request(event, self.settings, load, self.now + event.remaining_ms)
         request.mid_flow, request.returning, request.came_ms = event.mid_flow, event.returning, self.now
         self.requests[request.id] = request
         self._saw(request)
@@ -61,7 +61,7 @@
             return
         server, within = self.walk(request)
         if server is None:
-            waited = self.now - request.came_ms > PATIENCE * request.rules.aim_ms
+            waited = self.now - request.came_ms > PATIENCE * request.rules.latency_objective_ms
             stuck = request.ran is not None and self.now >= self.repeats_until(request)
             if stuck or (waited and not within):
                 self._answer(request)
@@ -75,16 +75,18 @@
 
     def _over_share(self, request: Request) -> bool:
         """Does this gateway hold more of the tenant's connections than its part of the tenant's share?"""
-        quotas = self.settings.tenant_connections[request.tenant : request.tenant + 1]
+        quotas = self.settings.tenant_connection_quotas[request.tenant : request.tenant + 1]
         return any(self.tenants[request.tenant] > quota / self.settings.gateways for quota in quotas)
 
     def _send(self, request: Request, server: Server) -> None:
         left = timeout = request.deadline - self.now
-        if request.rules.effect != Effect.UNSAFE and request.attempts + 1 < request.most:
+        if request.rules.effect != Effect.NOT_IDEMPOTENT and request.attempts + 1 < request.most:
             if self.settings.can_cancel:  # what is slow, this server or all, shows only later
-                self._at(self.now + request.rules.aim_ms, self._late, (request, request.attempts + 1))
+                self._at(
+                    self.now + request.rules.latency_objective_ms, self._late, (request, request.attempts + 1)
+                )
             else:  # so that another try fits
-                timeout = min(left, max(request.rules.aim_ms, left / 2))
+                timeout = min(left, max(request.rules.latency_objective_ms, left / 2))
         if server.started > 0 and self._warmth(server) < 1.0:
             push = max(1.0, request.load / self.mean_load)  # a light one is one more all the same
             server.credit -= push
@@ -137,7 +139,7 @@
             self._failed(server)
             self.actions.append(Cancel(request.id, attempt - 1))
         else:
-            self._at(self.now + request.rules.aim_ms / 2, self._late, sent)
+            self._at(self.now + request.rules.latency_objective_ms / 2, self._late, sent)
 
     def _ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
@@ -175,18 +177,18 @@
         """Its gateway ends. A class that may be repeated may be refused too while an attempt is out."""
         request = self.requests.get(event.request)
         if request is not None and not request.answered and not request.begun:
-            self._answer(request, request.harmless())
+            self._answer(request, request.is_safe_to_retry())
 
     def _answer(self, request: Request, refuse: bool | None = None) -> None:
         """The one final answer; a refusal only where a retry is known to do no harm."""
         if refuse is None:
-            refuse = request.harmless() and not request.out
+            refuse = request.is_safe_to_retry() and not request.out
         self.actions.append(Reject(request.id, self._come_back(request)) if refuse else Fail(request.id))
         self._close(request)
 
     def _come_back(self, request: Request) -> float:
         """When a refused client may come again: after a tick, when ceilings may give; not all at once."""
-        return min(self.settings.max_wait_ms, TICK_MS * (0.5 + lot(request.id, self.settings.zone)))
+        return min(self.settings.max_retry_after_ms, TICK_MS * (0.5 + lot(request.id, self.settings.zone)))
 
     def _close(self, request: Request) -> None:
         """Nothing more is owed; an attempt still out is followed to its outcome."""
--- a/puffindeck/choice/balancer.py
+++ b/puffindeck/choice/balancer.py
@@ -63,7 +63,7 @@
         self.now = now_ms
         self.actions = []
         if self.tick_at == INF:
-            if self.settings.must_ask:
+            if self.settings.must_watch_endpoints:
                 self._ask(None)
             self.tick_ms = now_ms
             self._tick_in(TICK_MS * self.random.random())
@@ -89,7 +89,9 @@
         if event.kind == ListUpdateKind.FAILED:
             # asked again with growing waits. A change counts as told 6 s after it could be had: a call that
             # was lost, a wait and an answer have to fit in that, however often it has failed before
-            wait = min(ASK_MS * 2 ** min(self.list_fails, 9), ASK_MOST_MS, self.settings.ask_within_ms / 4)
+            wait = min(
+                ASK_MS * 2 ** min(self.list_fails, 9), ASK_MOST_MS, self.settings.watch_deadline_ms / 4
+            )
             self.list_fails += 1
             self._at(self.now + wait * (0.5 + self.random.random()), self._ask, None)
             return
--- a/puffindeck/choice/cold.py
+++ b/puffindeck/choice/cold.py
@@ -20,21 +20,28 @@
     def _warmth(self, server: Server) -> float:
         """The least part of its capacity that a server has by now."""
         settings, age = self.settings, self.now - server.started
-        if server.started <= 0 or age >= settings.cold_ms:
+        if server.started <= 0 or age >= settings.slow_start_ms:
             return 1.0
-        return settings.cold_from + (1 - settings.cold_from) * max(0.0, age) / settings.cold_ms
+        return (
+            settings.slow_start_initial_fraction
+            + (1 - settings.slow_start_initial_fraction) * max(0.0, age) / settings.slow_start_ms
+        )
 
     def holds(self) -> float:  # connections that are known to need a place
         return float(len(self.requests))
 
     def measure(self) -> None:
-        weights = [s.weight for s in self.ready.values() if s.weight > 0] if self.settings.weighted else []
+        weights = (
+            [s.weight for s in self.ready.values() if s.weight > 0] if self.settings.uses_weights else []
+        )
         usual = sum(weights) / len(weights) if weights else 1.0
         zones: dict[int | None, float] = {None: 0.0}
         self.cold_size, self.all_warm = 0.0, True
         # who waits for a place counts too, and whom a restart of servers has just cost theirs
         here = self.holds() / max(1, sum(s.state != EndpointStatus.GONE for s in self.servers.values()))
-        faded = self.mean_held * math.exp((self.mean_held_ms - self.now) / max(1.0, self.settings.cold_ms))
+        faded = self.mean_held * math.exp(
+            (self.mean_held_ms - self.now) / max(1.0, self.settings.slow_start_ms)
+        )
         self.mean_held, self.mean_held_ms = max(here, faded), self.now
         for s in self.ready.values():
             s.size = s.weight / usual if weights and s.weight > 0 else 1.0
@@ -52,7 +59,7 @@
         Over more of it where there are more gateways than servers: one request alone is no storm.
         """
         crowd = self.settings.gateways / max(1, len(self.ready))
-        fade = max(1.0, self.settings.fall_ms) * math.sqrt(max(1.0, crowd))
+        fade = max(1.0, self.settings.slow_start_window_ms) * math.sqrt(max(1.0, crowd))
         self.flow = 1.0 + self.flow * math.exp((self.flow_ms - self.now) / fade)
         self.flow_ms, self.flow_fade = self.now, fade
 
@@ -66,21 +73,22 @@
         connection, and spread over them, as none is sent another before it has earned its last one.
         """
         settings = self.settings
-        share = FULL * self.mean_held * settings.fall_multiple / settings.cold_ms
+        share = FULL * self.mean_held * settings.slow_start_load_multiple / settings.slow_start_ms
         rate, own = share * self.cold_size, share * server.size
         fresh = self.credit_ms <= 0.0 or self.credit_ms < server.started  # a debt is paid from now on
         if fresh and self.credit > 0:
             self.credit = -self.random.random()
         saved = 0.0 if fresh else rate * (self.now - self.credit_ms)
-        self.credit = min(max(1.0, rate * settings.fall_ms / 4), self.credit + saved)
+        self.credit = min(max(1.0, rate * settings.slow_start_window_ms / 4), self.credit + saved)
         self.credit_ms = self.now
         server.credit = min(
-            max(0.0, own * settings.fall_ms / 4), server.credit + own * max(0.0, self.now - server.credit_ms)
+            max(0.0, own * settings.slow_start_window_ms / 4),
+            server.credit + own * max(0.0, self.now - server.credit_ms),
         )
         server.credit_ms = self.now
         if self.now - self.returned.get(server.id, -INF) < BACK_MS:
             return self.now >= server.turn_ms and server.credit >= 0  # one shows whether it serves
-        if CALM * self._wanted(server) <= own * settings.fall_ms * settings.gateways:
+        if CALM * self._wanted(server) <= own * settings.slow_start_window_ms * settings.gateways:
             return server.credit > -self.spare
         return self.credit > 0 and server.credit >= 0
 
@@ -97,4 +105,4 @@
         flow = self.flow * math.exp((self.flow_ms - self.now) / self.flow_fade)
         flow += len(self.requests) - self.placed  # those that wait
         part = server.size / max(1e-9, self.zone_sizes[None])
-        return self.settings.gateways * part * flow * self.settings.fall_ms / self.flow_fade
+        return self.settings.gateways * part * flow * self.settings.slow_start_window_ms / self.flow_fade
--- a/puffindeck/choice/judging.py
+++ b/puffindeck/choice/judging.py
@@ -32,7 +32,11 @@
             # a request that no server can read or use must not cost each its count: evidence is that another
             # serves it
             request.failed_at.append(server)
-        elif outcome == Outcome.TIMEOUT and not begun and event.took_ms >= request.rules.aim_ms:
+        elif (
+            outcome == Outcome.TIMEOUT
+            and not begun
+            and event.elapsed_ms >= request.rules.latency_objective_ms
+        ):
             self._failed(server)  # one with less time tells nothing
 
     def _failed(self, server: Server) -> None:
@@ -68,9 +72,9 @@
         server = self.servers.get(event.server)
         if server is None:
             return
-        draining = event.delay_ms < 0.9 * server.delay and self._fresh(server)
-        server.delay, server.delay_ms = event.delay_ms, self.now
-        over = event.delay_ms / self.message_aim
+        draining = event.latency_ms < 0.9 * server.delay and self._fresh(server)
+        server.delay, server.latency_ms = event.latency_ms, self.now
+        over = event.latency_ms / self.message_aim
         if over > STRAINED and not draining:
             self._cut(server, 0.9 if over < 1.5 else 0.75 if over < 6 else 0.6)
 
--- a/puffindeck/choice/known.py
+++ b/puffindeck/choice/known.py
@@ -56,7 +56,9 @@
         known = {c.name: load for c, load in zip(self.settings.classes, self.class_loads, strict=True)}
         self.settings, self.bound = settings, settings.bound or BOUND
         self.class_loads = [known.get(c.name, 0.0) for c in settings.classes]  # mean as told, or 0
-        aims = [c.message_aim_ms for c in settings.classes if c.message_aim_ms > 0]
+        aims = [
+            c.message_latency_objective_ms for c in settings.classes if c.message_latency_objective_ms > 0
+        ]
         self.message_aim = min(aims, default=100.0)
 
     def _at(self, when: float, act: Callable[[Any], None], what: Any) -> None:
--- a/puffindeck/choice/relief.py
+++ b/puffindeck/choice/relief.py
@@ -46,7 +46,7 @@
         self._tick_in(TICK_MS * CALM_TICKS if calm else TICK_MS)
 
     def _fresh(self, server: Server) -> bool:
-        return self.now - server.delay_ms < 1.5 * TICK_MS
+        return self.now - server.latency_ms < 1.5 * TICK_MS
 
     def _relieve(self, server: Server, goal: float) -> None:
         """Move connections worth this much load, those first that cost most for their class.
--- a/puffindeck/choice/ring.py
+++ b/puffindeck/choice/ring.py
@@ -66,20 +66,20 @@
             rules = request.rules
             if self.now >= self.repeats_until(request):
                 return False
-            if rules.effect == Effect.KEYED:
+            if rules.effect == Effect.IDEMPOTENCY_KEY:
                 if rules.scope == Scope.ZONE and server.zone != ran.zone:
                     return False
                 if rules.scope == Scope.CELL and server.cell != ran.cell:
                     return False
-        if server.started > 0 and self.now - server.started < self.settings.cold_ms:
+        if server.started > 0 and self.now - server.started < self.settings.slow_start_ms:
             return self.cold_credit(request, server)  # rule 4
         return True
 
     def repeats_until(self, request: Request) -> float:
         """Until when a request that may have run may begin anew: repeats are discarded for a while only."""
-        if request.rules.effect == Effect.KEYED:
+        if request.rules.effect == Effect.IDEMPOTENCY_KEY:
             return request.ran_ms + request.rules.window_ms - self.settings.period_ms
-        return INF if request.rules.effect == Effect.SAFE else -INF
+        return INF if request.rules.effect == Effect.IDEMPOTENT else -INF
 
     def share(self, request: Request) -> float:
         """The part of all load that a group or key brings, as far as this gateway has seen."""
--- a/puffindeck/choice/walk.py
+++ b/puffindeck/choice/walk.py
@@ -36,7 +36,7 @@
         # near-empty counts (a restart, a storm) must not scatter keys: a group's own cost is in the floor
         floor = (FLOOR + (GROUP_COST if request.group else 0.0)) * self.mean_load
         home, share = self.settings.zone, self.share(request)
-        alone = not request.group and self.settings.cross_zone_price > 0 and home in self.zone_sizes
+        alone = not request.group and self.settings.cross_zone_cost > 0 and home in self.zone_sizes
         zones = (home, None) if alone else (None,)  # a group would be paid for once in each zone
         stops, taken = self._planned(request.group) if request.group and share else (0, dict[int, float]())
         passes = []
--- a/puffindeck/config/tuning.py
+++ b/puffindeck/config/tuning.py
@@ -9,7 +9,7 @@
 from puffindeck.config.checks import ConfigError, figure_list, name_list, need, number, subtable
 from puffindeck.interface import ClassSettings, Effect, Scope, Settings
 
-EFFECTS = {"pure": Effect.SAFE, "token": Effect.KEYED, "side_effect": Effect.UNSAFE}
+EFFECTS = {"pure": Effect.IDEMPOTENT, "token": Effect.IDEMPOTENCY_KEY, "side_effect": Effect.NOT_IDEMPOTENT}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
@@ -19,13 +19,13 @@
     if effect not in EFFECTS or scope not in SCOPES:
         raise ConfigError(f"{at}.repeat or .group is not known")
     return ClassSettings(
-        aim_ms=number(table, "aimMs", where=at),
+        latency_objective_ms=number(table, "aimMs", where=at),
         deadline_ms=number(table, "hardLimitMs", where=at, above=True),
-        worth=number(table, "worth", default=1.0, where=at),
+        priority_weight=number(table, "worth", default=1.0, where=at),
         effect=EFFECTS[effect],
         scope=SCOPES[scope],
         window_ms=number(table, "keyTtlMs", default=0.0, where=at),
-        message_aim_ms=aims[index] if index < len(aims) else 0.0,
+        message_latency_objective_ms=aims[index] if index < len(aims) else 0.0,
         name=str(table.get("name", "")),
     )
 
@@ -59,24 +59,24 @@
         max_attempts=int(number(table, "limits.maxAttempts", 1)),
         drain_grace_ms=number(table, "rules.drainGraceMs"),
         answer_slack_ms=number(table, "rules.answerSlackMs"),
-        cold_from=number(table, "rules.coldFrom"),
-        cold_ms=number(table, "rules.warmAfterMs"),
-        fall_multiple=number(table, "rules.overloadFactor"),
-        fall_ms=number(table, "rules.fallMs"),
+        slow_start_initial_fraction=number(table, "rules.coldFrom"),
+        slow_start_ms=number(table, "rules.warmAfterMs"),
+        slow_start_load_multiple=number(table, "rules.overloadFactor"),
+        slow_start_window_ms=number(table, "rules.fallMs"),
         period_ms=number(table, "periodMs", default=1.0),
         connect_timeout_ms=number(table, "limits.connectTimeoutMs", default=250.0),
-        must_ask=table.get("membershipMode") == "subscribe",
-        ask_within_ms=number(table, "rules.askWithinMs", default=10000.0),
+        must_watch_endpoints=table.get("membershipMode") == "subscribe",
+        watch_deadline_ms=number(table, "rules.askWithinMs", default=10000.0),
         can_cancel=bool(limits.get("cancelling", False)),
-        weighted=table.get("weights", "silent") in ("nominal", "rough"),
-        cross_zone_price=number({"prices": prices}, "prices.crossZone", default=0.0),
-        over_share_worth=number(table, "overShareWorth", default=1.0),
-        tenant_connections=tuple(figure_list(family, "tenantQuotaConnections")),
-        tells_load=bool(family.get("tellsLoad", False)),
-        tells_delay=bool(family.get("tellsDelay", False)),
+        uses_weights=table.get("weights", "silent") in ("nominal", "rough"),
+        cross_zone_cost=number({"prices": prices}, "prices.crossZone", default=0.0),
+        over_quota_weight=number(table, "overShareWorth", default=1.0),
+        tenant_connection_quotas=tuple(figure_list(family, "tenantQuotaConnections")),
+        reports_load=bool(family.get("tellsLoad", False)),
+        reports_latency=bool(family.get("tellsDelay", False)),
         bound=_bound(table),
         evenness=_evenness(table),
-        max_wait_ms=(
+        max_retry_after_ms=(
             number(table, "limits.maxRetryAfterMs", default=0.0) if limits.get("retryAfter") else 0.0
         ),
         zones=name_list(table, "zones"),
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -273,9 +273,9 @@
         held = self._current(ticket)
         if held is None:
             return
-        if self.settings.tells_load:
+        if self.settings.reports_load:
             self.tell(LoadReported(ticket.request, held.server, figure))
-        elif self.settings.tells_delay:
+        elif self.settings.reports_latency:
             self.tell(LatencyReported(ticket.request, held.server, figure))
 
     # The module's actions
@@ -296,7 +296,7 @@
             return
         now = self.clock.now()
         until = min(held.deadline, now + span(action.timeout_ms)) if action.timeout_ms else held.deadline
-        begin = min(until, now + span(action.begin_ms)) if action.begin_ms else until
+        begin = min(until, now + span(action.start_within_ms)) if action.start_within_ms else until
         held.attempts += 1
         held.out, held.server, held.sent = True, action.server, now
         if until <= now:
@@ -345,7 +345,7 @@
         held = self._unanswered(action.request)
         if held is not None:
             self.observer.answered(held.id, Answer.REFUSED, Reason.DECISION)
-            held.client.refuse(span(action.wait_ms))
+            held.client.refuse(span(action.retry_after_ms))
             self._settle(held)
 
     def _fail(self, action: Fail) -> None:
@@ -383,7 +383,7 @@
             self.ended(AttemptId(held.number, held.attempts - 1), Outcome.CANCELLED)
 
     def _wake(self, action: ScheduleTimer) -> None:
-        self.deadlines.after(span(action.in_ms), self.tell, TimerFired(action.token))
+        self.deadlines.after(span(action.delay_ms), self.tell, TimerFired(action.token))
 
     def _log(self, action: Log) -> None:
         log.info("module: {text}", text=action.text)
--- a/puffindeck/crowd/admission.py
+++ b/puffindeck/crowd/admission.py
@@ -57,28 +57,32 @@
 
     def storm(self, now: float, settings: Settings, returning: bool) -> bool:
         """May all clients be coming at once, as far as this one can tell?"""
-        if now - self._lost_ms >= settings.cold_ms:
+        if now - self._lost_ms >= settings.slow_start_ms:
             self._lost = 0  # whoever wanted those back has them
-        recent = sum(now - at < settings.cold_ms for at in self._begun)
-        return returning or recent < 2 or self._lost > 0 or now - self._back_ms < settings.fall_ms
+        recent = sum(now - at < settings.slow_start_ms for at in self._begun)
+        return (
+            returning or recent < 2 or self._lost > 0 or now - self._back_ms < settings.slow_start_window_ms
+        )
 
     def odds(self, now: float, settings: Settings, warmth: float, held: int, returning: bool) -> float:
         """The part of a cold server's usual arrivals that may go there now, from 0 to 1.
 
         `warmth` is the part of its capacity that it has, `held` how many connections this client holds.
         """
-        budget = settings.fall_multiple * warmth
+        budget = settings.slow_start_load_multiple * warmth
         if self.storm(now, settings, returning):
-            return min(1.0, STORM_PART * budget * settings.fall_ms / max(1.0, settings.cold_ms))
-        if self._life_ms < settings.fall_ms and not held:
+            return min(
+                1.0, STORM_PART * budget * settings.slow_start_window_ms / max(1.0, settings.slow_start_ms)
+            )
+        if self._life_ms < settings.slow_start_window_ms and not held:
             return min(1.0, STEADY_PART * budget)
-        others = sum(now - at < settings.cold_ms for at in self._begun) - 1
+        others = sum(now - at < settings.slow_start_ms for at in self._begun) - 1
         return min(1.0, STEADY_PART * budget * max(held, 1) / others)
 
     def admits(
         self, now: float, settings: Settings, server: int, key: int, warmth: float, held: int, returning: bool
     ) -> bool:
         """Does the lot let a request for this key through to the cold server that is its home?"""
-        window = int(now // max(1.0, settings.fall_ms))
+        window = int(now // max(1.0, settings.slow_start_window_ms))
         drawn = lot(mixed(self._salt ^ key), mixed(server ^ window << 32))
         return drawn < self.odds(now, settings, warmth, held, returning)
--- a/puffindeck/crowd/member.py
+++ b/puffindeck/crowd/member.py
@@ -40,7 +40,7 @@
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._warm: dict[int | None, Ring] = {}  # the whole rings, with the cold ones' arcs handed on
-        super().__init__(replace(settings, must_ask=True), seed)
+        super().__init__(replace(settings, must_watch_endpoints=True), seed)
         self.admission = Admission(mixed(self.random.getrandbits(63)))
         self.heard_ms = -INF  # when the roster last gave a sign of life
         self._cold: frozenset[int] = frozenset()
@@ -126,7 +126,9 @@
         """Only a cold server's own keys go there, and of those the part that it may be sent by now."""
         if server is not self.home(request):
             return False
-        server.credit *= math.exp((server.credit_ms - self.now) / max(1.0, self.settings.fall_ms))
+        server.credit *= math.exp(
+            (server.credit_ms - self.now) / max(1.0, self.settings.slow_start_window_ms)
+        )
         server.credit_ms = self.now
         if server.credit <= -1.0:  # what one client sends in a window is bounded, whatever the lots say
             return False
@@ -173,14 +175,14 @@
 
     def _come_back(self, request: Request) -> float:
         """By this client's own lot: numbers of requests are alike in all clients."""
-        return min(self.settings.max_wait_ms, TICK_MS * (0.5 + self.random.random()))
+        return min(self.settings.max_retry_after_ms, TICK_MS * (0.5 + self.random.random()))
 
     # How servers do
 
     def _ended(self, event: AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is not None and request.begun:
-            self.admission.ended(event.took_ms)
+            self.admission.ended(event.elapsed_ms)
             if event.outcome == Outcome.RESET:
                 self.admission.lost(self.now)
         super()._ended(event)
--- a/puffindeck/crowd/ring.py
+++ b/puffindeck/crowd/ring.py
@@ -32,9 +32,9 @@
 
     def sizes(self, zone: int | None) -> dict[int, float]:
         """What is due to each ready server of a zone when warm."""
-        weighted = self.settings.weighted
+        uses_weights = self.settings.uses_weights
         return {
-            s.id: s.weight if weighted and s.weight > 0 else 1.0
+            s.id: s.weight if uses_weights and s.weight > 0 else 1.0
             for s in self.ready.values()
             if zone in (None, s.zone)
         }
@@ -50,7 +50,7 @@
     def first_zone(self) -> int | None:
         """The zone whose servers come first; None where crossing costs nothing."""
         home = self.settings.zone
-        return home if self.settings.cross_zone_price > 0 and home in self.zone_sizes else None
+        return home if self.settings.cross_zone_cost > 0 and home in self.zone_sizes else None
 
     def home(self, request: Request) -> Server | None:
         """Where a request's key is at home while all are warm."""
--- a/puffindeck/interface.py
+++ b/puffindeck/interface.py
@@ -13,9 +13,9 @@
 class Effect(IntEnum):
     """What a second run of the same request would do."""
 
-    SAFE = 0  # repeating changes nothing
-    KEYED = 1  # repeats are discarded by the servers of one scope, for a while
-    UNSAFE = 2  # repeating would act twice
+    IDEMPOTENT = 0  # repeating changes nothing
+    IDEMPOTENCY_KEY = 1  # repeats are discarded by the servers of one scope, for a while
+    NOT_IDEMPOTENT = 2  # repeating would act twice
 
 
 class Scope(IntEnum):
@@ -64,13 +64,13 @@
 class ClassSettings:
     """One class of request."""
 
-    aim_ms: float
+    latency_objective_ms: float
     deadline_ms: float
-    worth: float = 1.0
-    effect: Effect = Effect.SAFE
+    priority_weight: float = 1.0
+    effect: Effect = Effect.IDEMPOTENT
     scope: Scope = Scope.ALL
     window_ms: float = 0.0
-    message_aim_ms: float = 0.0
+    message_latency_objective_ms: float = 0.0
     name: str = ""
 
 
@@ -84,24 +84,24 @@
     max_attempts: int
     drain_grace_ms: float
     answer_slack_ms: float
-    cold_from: float
-    cold_ms: float
-    fall_multiple: float
-    fall_ms: float
+    slow_start_initial_fraction: float
+    slow_start_ms: float
+    slow_start_load_multiple: float
+    slow_start_window_ms: float
     period_ms: float = 1.0
     connect_timeout_ms: float = 250.0
-    must_ask: bool = False  # the server list comes only when asked for
-    ask_within_ms: float = 10000.0
+    must_watch_endpoints: bool = False  # the server list comes only when asked for
+    watch_deadline_ms: float = 10000.0
     can_cancel: bool = False
-    weighted: bool = False  # list weights say something of a server's size
-    cross_zone_price: float = 0.0
-    over_share_worth: float = 1.0
-    tenant_connections: tuple[float, ...] = ()  # open connections within share, all gateways together
-    tells_load: bool = False  # servers tell a connection's load, or how long a message takes there now
-    tells_delay: bool = False
+    uses_weights: bool = False  # list weights say something of a server's size
+    cross_zone_cost: float = 0.0
+    over_quota_weight: float = 1.0
+    tenant_connection_quotas: tuple[float, ...] = ()  # open connections within share, all gateways together
+    reports_load: bool = False  # servers tell a connection's load, or how long a message takes there now
+    reports_latency: bool = False
     bound: float = 0.0  # c of the design, where an operator sets it; 0: the module's own
     evenness: float = 0.0  # the most of a server's share of the ring, by its due; 0: as its points fall
-    max_wait_ms: float = 0.0  # the longest wait that a refused client follows; 0: it is told none
+    max_retry_after_ms: float = 0.0  # the longest wait that a refused client follows; 0: it is told none
     zones: tuple[str, ...] = ()  # the names behind the numbers of zones, and of kinds of machine
     kinds: tuple[str, ...] = ()
 
@@ -150,7 +150,7 @@
     cls: int
     tenant: int
     key: int
-    left_ms: float
+    remaining_ms: float
     hint: float  # expected load; 0 = none told
     group: int
     mid_flow: bool = False
@@ -177,7 +177,7 @@
 
     request: int
     server: int
-    took_ms: float
+    elapsed_ms: float
     attempt: int
 
 
@@ -196,7 +196,7 @@
 
     request: int
     server: int
-    delay_ms: float
+    latency_ms: float
 
 
 @dataclass(slots=True)
@@ -208,7 +208,7 @@
     server: int
     attempt: int
     final: bool
-    took_ms: float
+    elapsed_ms: float
 
 
 @dataclass(slots=True)
@@ -292,7 +292,7 @@
     request: int
     server: int
     timeout_ms: float
-    begin_ms: float = 0.0  # how long its first byte may yet go out; 0: as long as the attempt has
+    start_within_ms: float = 0.0  # how long its first byte may yet go out; 0: as long as the attempt has
 
 
 @dataclass(slots=True)
@@ -300,7 +300,7 @@
     """Final answer: a retry does no harm."""
 
     request: int
-    wait_ms: float
+    retry_after_ms: float
 
 
 @dataclass(slots=True)
@@ -329,7 +329,7 @@
 class ScheduleTimer:
     """Ask for a timer."""
 
-    in_ms: float
+    delay_ms: float
     token: int
 
 
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -147,7 +147,7 @@
             self.engine,
             version,
             self._ready,
-            pushed=not self.told.settings.must_ask,
+            pushed=not self.told.settings.must_watch_endpoints,
         )
 
     def reload(self, read: Callable[[Told], tuple[Told, list[str]]]) -> None:
--- a/puffindeck/records.py
+++ b/puffindeck/records.py
@@ -20,7 +20,7 @@
     fails = connect_fails = resets = 0
     suspect_until = reset_ms = 0.0
     ceiling, cut_ms = INF, -INF  # the most load it has been seen to bear; when last cut
-    delay, delay_ms, failed_ms, good_ms = 0.0, -INF, -INF, -INF
+    delay, latency_ms, failed_ms, good_ms = 0.0, -INF, -INF, -INF
     newest_ms = -INF  # when the newest of the attempts that came up was sent
     back_ms = turn_ms = -INF  # when it was last put back, and when this gateway may see whether it serves
     credit, credit_ms = 0.0, -INF  # connections that it may be sent while cold, and when that was reckoned
@@ -56,7 +56,11 @@
         self.tried: set[int] = set()
         self.failed_at: list[Server] = []  # where it was not served though the server spoke: whose fault?
 
-    def harmless(self) -> bool:
+    def is_safe_to_retry(self) -> bool:
         """Would a second run of it change nothing, as far as is known (rule 2)?"""
         effect, scope = self.rules.effect, self.rules.scope
-        return effect == Effect.SAFE or (effect == Effect.KEYED and scope == Scope.ALL) or not self.ran
+        return (
+            effect == Effect.IDEMPOTENT
+            or (effect == Effect.IDEMPOTENCY_KEY and scope == Scope.ALL)
+            or not self.ran
+        )
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -164,7 +164,7 @@
             if isinstance(action, ScheduleTimer):
                 self._wake += 1
                 self._wakes[self._wake] = tier, action.token
-                self._out.append(ScheduleTimer(action.in_ms, self._wake))
+                self._out.append(ScheduleTimer(action.delay_ms, self._wake))
             elif isinstance(action, WatchEndpoints):
                 if tier is self.tiers[0]:  # the list is asked for once, not by each tier
                     self._out.append(action)
@@ -236,7 +236,7 @@
         self._settle(event.request)
 
     def _refuse(self, request: int) -> None:
-        wait = min(self.settings.max_wait_ms, AGAIN_MS * (0.5 + self.random.random()))
+        wait = min(self.settings.max_retry_after_ms, AGAIN_MS * (0.5 + self.random.random()))
         self._out.append(Reject(request, wait))
 
     def pick(self, pool: PoolState, key: int) -> Tier:
@@ -298,7 +298,7 @@
         tier = self._elsewhere(place, request)
         if tier is None or left <= 0:
             del self.places[request.id]
-            if request.harmless():
+            if request.is_safe_to_retry():
                 self._refuse(request.id)
             else:  # a tier may have run it
                 self._out.append(Fail(request.id))
@@ -307,7 +307,7 @@
         place.before += request.attempts
         request.attempts = place.before
         tier.balancer.carried[request.id] = request
-        self._tell(tier, replace(place.asked, left_ms=left))
+        self._tell(tier, replace(place.asked, remaining_ms=left))
         self._settle(request.id)
 
     def _opened(self, event: ConnectionRestored) -> None:
--- a/puffindeck/routing/pools.py
+++ b/puffindeck/routing/pools.py
@@ -37,7 +37,7 @@
             given,
             max_attempts=attempts,
             bound=self.bound or given.bound,
-            cold_ms=given.cold_ms if self.warm_ms < 0 else self.warm_ms,
+            slow_start_ms=given.slow_start_ms if self.warm_ms < 0 else self.warm_ms,
         )
 
 
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -77,7 +77,7 @@
 
     def _place(self, request: Request) -> None:
         waits = not (request.answered or request.out) and request.id in self.requests
-        stuck = request.ran is not None and request.rules.effect == Effect.UNSAFE
+        stuck = request.ran is not None and request.rules.effect == Effect.NOT_IDEMPOTENT
         if waits and not stuck and request.attempts < request.most and self._leaves(request):
             request.answered = True  # here; it is owed its answer elsewhere
             self._drop(request)
--- a/puffindeck/wire.py
+++ b/puffindeck/wire.py
@@ -156,10 +156,10 @@
 
 WRITERS: dict[type[Any], Callable[[Any], bytes]] = {
     Send: lambda a: SEND.pack(0, 16, a.request, a.server, a.timeout_ms),
-    Reject: lambda a: REFUSE.pack(1, 12, a.request, a.wait_ms),
+    Reject: lambda a: REFUSE.pack(1, 12, a.request, a.retry_after_ms),
     Fail: lambda a: PLAIN.pack(2, 4, a.request),
     Cancel: lambda a: CANCEL.pack(3, 5, a.request, a.attempt),
-    ScheduleTimer: lambda a: WAKE.pack(4, 12, a.in_ms, a.token),
+    ScheduleTimer: lambda a: WAKE.pack(4, 12, a.delay_ms, a.token),
     Log: lambda a: _text(8, a.text),
     WatchEndpoints: lambda a: FOLLOW.pack(10, 1, 1),
     Migrate: lambda a: PLAIN.pack(12, 4, a.request),
--- a/tests/storeworld.py
+++ b/tests/storeworld.py
@@ -103,7 +103,7 @@
 
     def do(self, gateway: int, action: Action) -> None:
         if isinstance(action, ScheduleTimer):
-            self.at(self.now + action.in_ms, self.tell, gateway, TimerFired(action.token))
+            self.at(self.now + action.delay_ms, self.tell, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
             assert action.request not in self.out[gateway], "two attempts at once"
             number = self.tries[gateway].get(action.request, 0)
--- a/tests/stories.py
+++ b/tests/stories.py
@@ -21,14 +21,14 @@
 reactor: Any = default_reactor
 SETTINGS: Settings = replace(
     WORLD,
-    classes=(ClassSettings(300, 1200, message_aim_ms=60, name="chat"),),
-    must_ask=True,
+    classes=(ClassSettings(300, 1200, message_latency_objective_ms=60, name="chat"),),
+    must_watch_endpoints=True,
     can_cancel=True,
     max_attempts=3,
-    max_wait_ms=1500,
+    max_retry_after_ms=1500,
     connect_timeout_ms=250,
     zones=("a",),
-    tells_delay=True,
+    reports_latency=True,
     kinds=("m",),
 )
 
--- a/tests/test_attempts.py
+++ b/tests/test_attempts.py
@@ -93,7 +93,7 @@
             self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
-        self.build(classes=(replace(CHAT, effect=Effect.KEYED, window_ms=400.0),))
+        self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
         client = await self.client(ASK)
         uid, host = await self.host_of()
         await host.line()
@@ -118,7 +118,7 @@
 
     async def test_up_that_has_come_when_the_deadline_expires_is_handed_on(self) -> None:
         # timers go before octets: a node that was held up gave up what had been answered in time
-        client, host = await self.hung(effect=Effect.UNSAFE)
+        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.clients
         host.transport.getHandle().send(b"UP r9\r\n")
         self.node.engine._expired(AttemptId(line.request, 0))
@@ -126,7 +126,7 @@
         self.assertIs(line.state, ConnectionState.RELAYING)
 
     async def test_an_attempt_without_an_answer_ends_with_its_deadline(self) -> None:
-        client, host = await self.hung(effect=Effect.UNSAFE)
+        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.clients
         self.node.engine._expired(AttemptId(line.request, 0))
         self.assertEqual(await client.line(), b"ERR")
@@ -150,21 +150,21 @@
         self.assertEqual(host.received, b"")
 
     async def test_an_answer_cut_in_the_middle_is_a_failed_attempt(self) -> None:
-        client, host = await self.hung(effect=Effect.UNSAFE)
+        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP r")
         host.transport.loseConnection()
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
 
     async def test_an_answer_that_never_ends_is_a_failed_attempt(self) -> None:
-        client, host = await self.hung(effect=Effect.UNSAFE)
+        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP " + b"r" * 5000)
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
         await host.ended()
 
     async def test_an_answer_behind_the_end_of_an_attempt_is_not_heard(self) -> None:
-        client, host = await self.hung(effect=Effect.UNSAFE)
+        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         (link,) = self.node.links
         host.transport.getHandle().send(b"ERR\r\nUP r9\r\n")
         self.assertEqual(await client.line(), b"ERR")
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -166,8 +166,10 @@
                 if 1000 + step in gateway.at:
                     gateway.end(1000 + step, Outcome.OK, final=True)
     held, s = 40.0, SETTINGS
-    warmth = s.cold_from + (1 - s.cold_from) * 2000 / s.cold_ms
-    held_alike = 3 * s.fall_multiple * warmth * held * s.fall_ms / s.cold_ms  # did a full one hold the mean
+    warmth = s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) * 2000 / s.slow_start_ms
+    held_alike = (
+        3 * s.slow_start_load_multiple * warmth * held * s.slow_start_window_ms / s.slow_start_ms
+    )  # did a full one hold the mean
     # servers left idle beside strained ones serve nobody; but nothing is saved up before they start
     assert held_alike / 3 < sent <= FULL * held_alike
 
@@ -210,7 +212,7 @@
 
 
 def test_a_list_that_fails_is_asked_for_again_within_the_limit() -> None:
-    gateway = Gateway(replace(SETTINGS, must_ask=True, ask_within_ms=4000))
+    gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=4000))
     assert sum(isinstance(a, WatchEndpoints) for a in gateway.actions) == 1
     for _ in range(8):
         gateway.do(listed(kind=ListUpdateKind.FAILED))
@@ -254,7 +256,7 @@
 
 
 def test_a_restarted_server_is_trusted_again() -> None:
-    gateway = Gateway(replace(SETTINGS, cold_ms=0.0))
+    gateway = Gateway(replace(SETTINGS, slow_start_ms=0.0))
     home = gateway.ask(1, key=42)
     assert home is not None
     gateway.end(1, Outcome.CONNECT_FAILED)
@@ -348,7 +350,7 @@
 
 @pytest.mark.parametrize("longest", [1500.0, 700.0, 0.0])  # 0: clients here are told none
 def test_a_refused_client_is_told_at_once_when_to_come_back(longest: float) -> None:
-    gateway = Gateway(replace(SETTINGS, max_wait_ms=longest), servers=2)
+    gateway = Gateway(replace(SETTINGS, max_retry_after_ms=longest), servers=2)
     for request in range(1, 41):
         gateway.connect(request, key=request, load=1.0)
     for _ in range(8):
@@ -359,8 +361,10 @@
         gateway.ask(request, key=request)
     refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]  # their time would be up at 1200
     assert len(refused) > 2
-    assert all(min(longest, 500) <= a.wait_ms <= longest for a in refused)
-    assert longest != 1500 or len({a.wait_ms for a in refused}) == len(refused)  # not all at the same time
+    assert all(min(longest, 500) <= a.retry_after_ms <= longest for a in refused)
+    assert longest != 1500 or len({a.retry_after_ms for a in refused}) == len(
+        refused
+    )  # not all at the same time
 
 
 def test_gateways_do_not_all_fill_an_empty_server_under_its_ceiling() -> None:
@@ -427,7 +431,7 @@
 
 
 def test_home_zone_first_where_crossing_costs_and_abroad_when_home_is_strained() -> None:
-    gateway = Gateway(replace(SETTINGS, cross_zone_price=0.05), servers=0)
+    gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), servers=0)
     gateway.do(listed(*(entry(i, zone=i % 2) for i in range(1, 7))))
     assert all(gateway.connect(r, key=r, load=1000.0) % 2 == 0 for r in range(1, 31))
     gateway.wait(2000)
@@ -438,7 +442,7 @@
 
 
 def test_a_tenant_over_its_share_is_turned_away_first_when_servers_are_full() -> None:
-    gateway = Gateway(replace(SETTINGS, tenant_connections=(2.0,)), servers=1)
+    gateway = Gateway(replace(SETTINGS, tenant_connection_quotas=(2.0,)), servers=1)
     for request in range(1, 10):
         gateway.connect(request, group=1, load=1000.0)  # while there is room nobody is turned away
     gateway.wait(2000)
@@ -561,7 +565,7 @@
 
 def test_a_small_home_zone_is_not_filled_beyond_the_fleets_mean() -> None:
     """One server at home, four elsewhere: the other gateway's clients can't fill those four alone."""
-    gateway = Gateway(replace(SETTINGS, cross_zone_price=0.01), servers=0)
+    gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.01), servers=0)
     gateway.do(listed(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
     for request in range(1, 61):
         gateway.connect(request, key=request)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,7 +8,14 @@
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Send
 from tests.world import SETTINGS, Gateway, asked, entry, listed
 
-COLD = replace(SETTINGS, gateways=2, cold_ms=24000.0, cold_from=0.13, fall_multiple=4, fall_ms=1000.0)
+COLD = replace(
+    SETTINGS,
+    gateways=2,
+    slow_start_ms=24000.0,
+    slow_start_initial_fraction=0.13,
+    slow_start_load_multiple=4,
+    slow_start_window_ms=1000.0,
+)
 
 
 def released(gateway: Gateway, standing: int) -> None:
@@ -62,7 +69,7 @@
 
 def test_those_that_wait_are_wanted_however_long_ago_they_came() -> None:
     """A crowd that waits for cold servers must not pass for a calm once nobody new has come for long."""
-    slow = replace(COLD.classes[0], aim_ms=60000.0, deadline_ms=60000.0)
+    slow = replace(COLD.classes[0], latency_objective_ms=60000.0, deadline_ms=60000.0)
     gateway = Gateway(replace(COLD, gateways=20, classes=(slow,)), servers=5)
     for request in range(1, 21):
         gateway.connect(request, key=request)
@@ -71,8 +78,11 @@
         gateway.do(asked(request, key=request, left=60000))
     held = 60 / 5  # those that wait need a place too
     for second in range(10):
-        warmth = COLD.cold_from + (1 - COLD.cold_from) * (second + 1) * 1000 / COLD.cold_ms
-        part = 5 * FULL * held * COLD.fall_multiple * warmth * 1000 / COLD.cold_ms
+        warmth = (
+            COLD.slow_start_initial_fraction
+            + (1 - COLD.slow_start_initial_fraction) * (second + 1) * 1000 / COLD.slow_start_ms
+        )
+        part = 5 * FULL * held * COLD.slow_start_load_multiple * warmth * 1000 / COLD.slow_start_ms
         assert sum(isinstance(action, Send) for action in gateway.wait(1000)) <= part + 2, second
 
 
@@ -80,5 +90,5 @@
     gateway = Gateway(COLD, servers=5)
     released(gateway, 46)
     before = gateway.balancer.mean_held
-    gateway.wait(3 * COLD.cold_ms)
+    gateway.wait(3 * COLD.slow_start_ms)
     assert gateway.balancer.mean_held < 0.06 * before
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -28,14 +28,16 @@
 
 COLD = replace(
     SETTINGS,
-    cold_ms=9000.0,
-    cold_from=0.31,
-    fall_multiple=3.0,
-    fall_ms=1000.0,
+    slow_start_ms=9000.0,
+    slow_start_initial_fraction=0.31,
+    slow_start_load_multiple=3.0,
+    slow_start_window_ms=1000.0,
     max_attempts=3,
-    max_wait_ms=1500.0,
+    max_retry_after_ms=1500.0,
 )
-SLOW = replace(COLD, cold_ms=24000.0, cold_from=0.13, fall_multiple=4.0)  # next to nothing at first
+SLOW = replace(
+    COLD, slow_start_ms=24000.0, slow_start_initial_fraction=0.13, slow_start_load_multiple=4.0
+)  # next to nothing at first
 SERVERS, HOLDS, LIFE_MS = 16, 30, 30000.0  # a server's connections when it is full, and how long one lasts
 LOAD = 0.35  # what the servers hold of that
 STEP_MS = 5.0
@@ -117,8 +119,11 @@
     def most(self, at: float) -> float:
         """What a cold server may be sent from a moment on, in the time in which it falls."""
         s = self.settings
-        warmth = s.cold_from + (1 - s.cold_from) * (at - self.begun) / s.cold_ms
-        n = s.fall_multiple * warmth * HOLDS * s.fall_ms / s.cold_ms
+        warmth = (
+            s.slow_start_initial_fraction
+            + (1 - s.slow_start_initial_fraction) * (at - self.begun) / s.slow_start_ms
+        )
+        n = s.slow_start_load_multiple * warmth * HOLDS * s.slow_start_window_ms / s.slow_start_ms
         return n + 2 * sqrt(n) + 2
 
 
@@ -140,7 +145,7 @@
         placed += len(times)
         first = 0
         for last, at in enumerate(times):
-            while times[first] < at - crowd.told.fall_ms:
+            while times[first] < at - crowd.told.slow_start_window_ms:
                 first += 1
             assert last - first + 1 <= crowd.most(times[first]), (crowd.seed, server, at - crowd.begun)
     return placed
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -42,11 +42,11 @@
     max_attempts=3,
     drain_grace_ms=500,
     answer_slack_ms=20,
-    cold_from=0.31,
-    cold_ms=9000,
-    fall_multiple=3,
-    fall_ms=1000,
-    max_wait_ms=1500,
+    slow_start_initial_fraction=0.31,
+    slow_start_ms=9000,
+    slow_start_load_multiple=3,
+    slow_start_window_ms=1000,
+    max_retry_after_ms=1500,
 )
 SERVERS = Random(11).sample(range(1, 2**32), 15)
 START = 1.0e12
@@ -312,7 +312,7 @@
             member.handle(START, [EndpointListUpdated(ListUpdateKind.FAILED, 0, [])])
             refused = ask(member, START + 24000, 65536, 4711)
             assert isinstance(refused, Reject)
-            waits.add(refused.wait_ms)
+            waits.add(refused.retry_after_ms)
         assert len(waits) == 30  # each by its own lot, though all have the same numbers for their requests
         assert all(500 <= wait <= 1500 for wait in waits)
 
@@ -332,7 +332,7 @@
         assert went <= 3
 
     def test_a_zone_with_a_price_on_crossing_is_even_within_itself(self) -> None:
-        priced = replace(SETTINGS, cross_zone_price=1.0)
+        priced = replace(SETTINGS, cross_zone_cost=1.0)
         listed = [
             EndpointEntry(s, i % 3, 0, 0, EndpointStatus.READY, 1.0, 0.0) for i, s in enumerate(SERVERS)
         ]
@@ -364,12 +364,12 @@
         assert len(set(with_it)) > 5
 
     def test_weights_make_shares(self) -> None:
-        weighted = replace(SETTINGS, weighted=True)
+        uses_weights = replace(SETTINGS, uses_weights=True)
         listed = [
             EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 3.0 if s == SERVERS[0] else 1.0, 0.0)
             for s in SERVERS
         ]
-        member = Member(weighted, 1)
+        member = Member(uses_weights, 1)
         member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
         found = shares(member.whole(None))
         assert max(found, key=lambda s: found[s]) == SERVERS[0]
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -68,7 +68,7 @@
 
     async def test_the_agent_is_read_whole_from_the_start_and_anew_after_each_silence(self) -> None:
         with patch.object(discovery, "SILENT", span(100)):
-            self.build(must_ask=False)
+            self.build(must_watch_endpoints=False)
             ping = await self.client("PING")
             await self.whole(41, *self.all())
             self.assertEqual(await ping.line(), b"PONG")  # not before what the agent holds is known
@@ -82,7 +82,7 @@
         self.assertFalse(self.node.engine.known(self.node.directory.number("h0")))
 
     async def test_an_agent_with_nothing_new_makes_the_node_ready_all_the_same(self) -> None:
-        self.build(must_ask=True)  # watched from `known` on: no list has to come
+        self.build(must_watch_endpoints=True)  # watched from `known` on: no list has to come
         watch = await self.watched()
         watch.write(chunk(b"\n"))
         await self.until(lambda: self.node.ready, "readiness")
@@ -90,7 +90,7 @@
 
     async def test_silence_counts_from_the_last_octet(self) -> None:
         with patch.object(discovery, "SILENT", span(150)):
-            self.build(must_ask=False)
+            self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
             begun = self.node.deadlines.clock.now()
@@ -103,7 +103,7 @@
             self.assertNotIn(ListUpdateKind.FAILED, [kind for kind, _ in self.lists()])
 
     async def test_an_indented_list_on_a_watch_is_one_list(self) -> None:
-        self.build(must_ask=False)
+        self.build(must_watch_endpoints=False)
         await self.whole(41, *self.all())
         watch = await self.followed(41)
         text = listing(43, False, self.target("h0", "DRAINING"), self.target("h1"), indent=2)
@@ -112,7 +112,7 @@
 
     async def test_a_list_that_does_not_end_breaks_the_watch_though_it_is_alive(self) -> None:
         with patch.object(discovery, "LIST", span(150)):
-            self.build(must_ask=False)
+            self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
             watch.write(chunk(b'{"rev": 43,\n'))
@@ -129,7 +129,7 @@
         self.held = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.addCleanup(self.held.close)
         with patch.object(discovery, "SILENT", span(300)):
-            self.build(must_ask=False)
+            self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             await self.followed(41)
             await self.until(lambda: self.node.port, "the first to be ready")
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -67,13 +67,13 @@
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_that_may_have_run_and_must_not_run_twice_is_failed_at_the_end(self) -> None:
-        client, host = await self.hung(effect=Effect.UNSAFE)
+        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         self.leaving()._look()
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_whose_repeats_only_a_zone_discards_is_failed_at_the_end(self) -> None:
-        client, _ = await self.hung(effect=Effect.KEYED, scope=Scope.ZONE, window_ms=5000.0)
+        client, _ = await self.hung(effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0)
         self.leaving()._look()
         self.assertEqual(await client.line(), b"ERR")
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -17,7 +17,7 @@
 
 def fleet(gateways: int, servers: int = 16) -> list[Gateway]:
     """Gateways spread over four zones, with the servers of all zones in their lists."""
-    settings = replace(SETTINGS, gateways=gateways, cross_zone_price=0.0067)
+    settings = replace(SETTINGS, gateways=gateways, cross_zone_cost=0.0067)
     made = [Gateway(replace(settings, zone=g % ZONES), servers=0, seed=g) for g in range(gateways)]
     for gateway in made:
         gateway.do(listed(*(entry(s, zone=s % ZONES) for s in range(1, servers + 1))))
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -61,7 +61,7 @@
             await self.until(partial(client.left, piece.rsplit(b"\n", 1)[-1]), "the piece")
         host.transport.loseConnection()
         self.assertEqual([await client.line() for _ in range(5)][::2], [b"LOAD 7.5", b"x" * 100, b"BYE"])
-        self.assertEqual([e.delay_ms for e in self.ends(LatencyReported)], [7.5])
+        self.assertEqual([e.latency_ms for e in self.ends(LatencyReported)], [7.5])
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.OK)
 
@@ -550,7 +550,7 @@
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
         self.assertEqual(tuple(now[self.node.classes[name]].name for name in served), served)
         self.assertEqual(len(set(self.node.classes.values())), len(self.node.classes))
-        self.assertEqual(now[self.node.classes["new"]].effect, Effect.UNSAFE)
+        self.assertEqual(now[self.node.classes["new"]].effect, Effect.NOT_IDEMPOTENT)
         await self.until(lambda: "chat" not in self.node.classes, "the end of the dropped class")
         late = await self.client(ASK)
         self.assertEqual(await late.line(), b"ERR")
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -13,7 +13,10 @@
 
 AIM, DEADLINE = 300.0, 1800.0
 RULES = replace(
-    SETTINGS, classes=(ClassSettings(aim_ms=AIM, deadline_ms=DEADLINE),), max_attempts=3, can_cancel=True
+    SETTINGS,
+    classes=(ClassSettings(latency_objective_ms=AIM, deadline_ms=DEADLINE),),
+    max_attempts=3,
+    can_cancel=True,
 )
 
 
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -34,7 +34,7 @@
 from puffindeck.routing import Condition, ConditionError, Pool, Pooled, Route, RouteTable, Routing, View
 from tests.world import SETTINGS, Gateway, RuleBook, asked, entry, listed, sends
 
-RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_wait_ms=1500)
+RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
 
 
 def names(*servers: int) -> tuple[str, ...]:
@@ -138,7 +138,7 @@
     world.balancer.routing = Routing(RouteTable((), ""), (MAIN,))
     (refusal,) = world.do(asked(1))
     assert isinstance(refusal, Reject)
-    assert 0 < refusal.wait_ms <= RULES.max_wait_ms
+    assert 0 < refusal.retry_after_ms <= RULES.max_retry_after_ms
     assert not world.balancer.places
 
 
@@ -262,7 +262,7 @@
 
 
 def test_the_list_is_asked_for_once_whatever_the_number_of_pools() -> None:
-    world = Gateway(RULES, 0, balancer=pooled(MAIN, Pool("more", (names(6),)), must_ask=True))
+    world = Gateway(RULES, 0, balancer=pooled(MAIN, Pool("more", (names(6),)), must_watch_endpoints=True))
     world.do(listed(entry(1)))
     assert [type(a).__name__ for a in world.actions].count("Follow") == 1
     before = len(world.actions)
@@ -281,7 +281,7 @@
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_tried_in_another_tier() -> None:
-    unsafe = (ClassSettings(300, 1200, effect=Effect.UNSAFE),)
+    unsafe = (ClassSettings(300, 1200, effect=Effect.NOT_IDEMPOTENT),)
     world = Gateway(RULES, 2, balancer=pooled(Pool("main", (names(1), names(2))), classes=unsafe))
     world.ask(1, key=1)
     end = world.end(1, Outcome.RESET)
@@ -289,9 +289,9 @@
 
 
 CLASSES = (
-    ClassSettings(300, 1200, message_aim_ms=60),
-    ClassSettings(300, 1200, 1, Effect.KEYED, Scope.ZONE, 2000, 60),
-    ClassSettings(300, 1200, 1, Effect.UNSAFE, message_aim_ms=60),
+    ClassSettings(300, 1200, message_latency_objective_ms=60),
+    ClassSettings(300, 1200, 1, Effect.IDEMPOTENCY_KEY, Scope.ZONE, 2000, 60),
+    ClassSettings(300, 1200, 1, Effect.NOT_IDEMPOTENT, message_latency_objective_ms=60),
 )
 
 
--- a/tests/test_rpc_endpoint.py
+++ b/tests/test_rpc_endpoint.py
@@ -40,7 +40,9 @@
     def setUp(self) -> None:
         self.ports: dict[str, Any] = {}
         self.calls: list[Any] = []
-        self.balancing = Balancing(reactor, replace(SETTINGS, must_ask=False, connect_timeout_ms=100), 7)
+        self.balancing = Balancing(
+            reactor, replace(SETTINGS, must_watch_endpoints=False, connect_timeout_ms=100), 7
+        )
         self.addCleanup(self.balancing.stop)
 
     def serve(self, name: str) -> None:
--- a/tests/test_rpc_routing.py
+++ b/tests/test_rpc_routing.py
@@ -19,7 +19,7 @@
 from tests.rpc_world import Stub, World, keyed, told, until
 from tests.world import SETTINGS, Gateway, asked, entry, listed
 
-RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_wait_ms=1500, gateways=200)
+RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
 POOL = Pool("main", (("1", "2", "3"), ("4", "5")), server_limits={"1": 1})
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,11 +13,11 @@
 from tests.world import SETTINGS, RuleBook
 
 CLASSES = {
-    "safe": ClassSettings(300, 1200, message_aim_ms=60),
-    "keyed everywhere": ClassSettings(300, 1200, 1, Effect.KEYED, Scope.ALL, 700, 60),
-    "keyed in a zone": ClassSettings(300, 1200, 1, Effect.KEYED, Scope.ZONE, 2000, 60),
-    "keyed in a cell": ClassSettings(300, 1200, 1, Effect.KEYED, Scope.CELL, 150, 60),
-    "unsafe": ClassSettings(300, 1200, 1, Effect.UNSAFE, message_aim_ms=60),
+    "safe": ClassSettings(300, 1200, message_latency_objective_ms=60),
+    "keyed everywhere": ClassSettings(300, 1200, 1, Effect.IDEMPOTENCY_KEY, Scope.ALL, 700, 60),
+    "keyed in a zone": ClassSettings(300, 1200, 1, Effect.IDEMPOTENCY_KEY, Scope.ZONE, 2000, 60),
+    "keyed in a cell": ClassSettings(300, 1200, 1, Effect.IDEMPOTENCY_KEY, Scope.CELL, 150, 60),
+    "unsafe": ClassSettings(300, 1200, 1, Effect.NOT_IDEMPOTENT, message_latency_objective_ms=60),
 }
 
 
@@ -25,7 +25,7 @@
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(random=st.randoms(use_true_random=False), crossing=st.sampled_from([0.0, 0.05]))
 def test_rules_hold_for_each_kind_of_class(name: str, random: Random, crossing: float) -> None:
-    told = replace(SETTINGS, classes=(CLASSES[name],), can_cancel=crossing > 0, cross_zone_price=crossing)
+    told = replace(SETTINGS, classes=(CLASSES[name],), can_cancel=crossing > 0, cross_zone_cost=crossing)
     book = RuleBook(told, Random(random.getrandbits(64)))
     for _ in range(600):
         book.step()
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -38,7 +38,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_however_often_it_failed_a_list_is_asked_for_within_a_second(seed: int) -> None:
-    gateway = Gateway(replace(SETTINGS, must_ask=True, ask_within_ms=60000), seed=seed)
+    gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=60000), seed=seed)
     for failed in range(30):
         gateway.do(listed(kind=ListUpdateKind.FAILED))
         most = ms(MOST_WAIT if failed else FIRST_WAIT)
@@ -53,7 +53,7 @@
         for module, names in times:
             for name in names:
                 self.patch(module, name, getattr(module, name) / 10)
-        self.build(ask_within_ms=60000)
+        self.build(watch_deadline_ms=60000)
 
     async def drained(self, since: Any) -> None:
         """The news of a drain is given with the next call; it must be known in time."""
@@ -167,7 +167,7 @@
         return call
 
     async def test_an_agent_that_is_back_is_heard_though_the_call_before_is_lost(self) -> None:
-        self.build(must_ask=False)
+        self.build(must_watch_endpoints=False)
         lost = await self.silent()
         ping = await self.client("PING")
         back = await self.silent()  # beside the first, which is out still
@@ -180,7 +180,7 @@
         await self.followed(50)
 
     async def test_an_agent_that_answers_late_is_heard_all_the_same(self) -> None:
-        self.build(must_ask=False)
+        self.build(must_watch_endpoints=False)
         slow = await self.silent()
         await self.silent()
         body = listing(50, True, *self.all())
@@ -189,7 +189,7 @@
 
     async def test_a_silent_agent_is_asked_by_a_few_calls_at_once(self) -> None:
         with patch.object(discovery, "AT_ONCE", span(20)):
-            self.build(must_ask=False)
+            self.build(must_watch_endpoints=False)
             calls = [await self.silent() for _ in range(3 * BESIDE)]
             await calls[BESIDE].ended()
         self.assertLessEqual(sum(call.end is None for call in self.discovery.peers), BESIDE + 1)
--- a/tests/world.py
+++ b/tests/world.py
@@ -43,16 +43,16 @@
 
 FULLEST = 3.75  # of the mean a server holds: what the book lets one hold at most when full
 SETTINGS = Settings(
-    classes=(ClassSettings(aim_ms=300, deadline_ms=1200, message_aim_ms=60),),
+    classes=(ClassSettings(latency_objective_ms=300, deadline_ms=1200, message_latency_objective_ms=60),),
     gateways=2,
     zone=0,
     max_attempts=4,
     drain_grace_ms=500,
     answer_slack_ms=8,
-    cold_from=0.2,
-    cold_ms=10000,
-    fall_multiple=3,
-    fall_ms=2000,
+    slow_start_initial_fraction=0.2,
+    slow_start_ms=10000,
+    slow_start_load_multiple=3,
+    slow_start_window_ms=2000,
     period_ms=5,
 )
 
@@ -101,7 +101,7 @@
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, ScheduleTimer):
-                self.wakes.append((self.now + action.in_ms, action.token))
+                self.wakes.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, Send):
                 self.at[action.request] = action.server
                 self.tries[action.request] = self.tries.get(action.request, 0) + 1
@@ -192,8 +192,8 @@
 
     def check(self, action: Action) -> None:
         if isinstance(action, ScheduleTimer):
-            assert action.in_ms >= 0
-            self.wakes.append((self.now + action.in_ms, action.token))
+            assert action.delay_ms >= 0
+            self.wakes.append((self.now + action.delay_ms, action.token))
         elif isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, (Reject, Fail)):
@@ -216,8 +216,8 @@
         return [a for a in case.attempts if a.outcome is None or a.outcome not in NOT_PROCESSED]
 
     def check_refusal(self, case: Case) -> None:
-        keyed_to_some = case.cls.effect == Effect.KEYED and case.cls.scope != Scope.ALL
-        if case.cls.effect == Effect.UNSAFE or keyed_to_some:
+        keyed_to_some = case.cls.effect == Effect.IDEMPOTENCY_KEY and case.cls.scope != Scope.ALL
+        if case.cls.effect == Effect.NOT_IDEMPOTENT or keyed_to_some:
             assert not self.ran(case), "refused though it may have run"
 
     def check_send(self, action: Send) -> None:
@@ -231,14 +231,14 @@
             grace_ends = self.told[action.server] + self.settings.drain_grace_ms
             assert self.now <= grace_ends, "sent to a drained server"
         ran = self.ran(case)
-        if ran and case.cls.effect == Effect.UNSAFE:
+        if ran and case.cls.effect == Effect.NOT_IDEMPOTENT:
             raise AssertionError("an unsafe request was tried again")
-        if ran and case.cls.effect == Effect.KEYED:
+        if ran and case.cls.effect == Effect.IDEMPOTENCY_KEY:
             first = self.servers[ran[0].server]
             assert self.now <= ran[0].sent + case.cls.window_ms, "sent again after its window"
             assert case.cls.scope != Scope.ZONE or server.zone == first.zone
             assert case.cls.scope != Scope.CELL or server.cell == first.cell
-        if server.started_ms > 0 and self.now - server.started_ms < self.settings.cold_ms:
+        if server.started_ms > 0 and self.now - server.started_ms < self.settings.slow_start_ms:
             self.check_cold(action.server, server.started_ms)
         until = min(case.deadline, self.now + action.timeout_ms)
         case.attempts.append(Attempt(action.server, self.now, until))
@@ -246,7 +246,7 @@
     def lived(self) -> float:
         """Requests and connections here, or that were here of late: what servers have shown they hold."""
         live = sum(not c.answered or c.out is not None for c in self.cases.values())
-        fade = math.exp((self.live_at - self.now) / self.settings.cold_ms)
+        fade = math.exp((self.live_at - self.now) / self.settings.slow_start_ms)
         self.live, self.live_at = max(float(live), self.live * fade), self.now
         return self.live
 
@@ -255,11 +255,21 @@
         pushes = self.pushes.setdefault(server, [])
         pushes.append(self.now)
         s = self.settings
-        recent = [t for t in pushes if t > self.now - s.fall_ms and t >= started]
-        warmth = s.cold_from + (1 - s.cold_from) * (self.now - started) / s.cold_ms
+        recent = [t for t in pushes if t > self.now - s.slow_start_window_ms and t >= started]
+        warmth = (
+            s.slow_start_initial_fraction
+            + (1 - s.slow_start_initial_fraction) * (self.now - started) / s.slow_start_ms
+        )
         live = self.lived()
         ready = sum(e.state == EndpointStatus.READY for e in self.servers.values())
-        most = FULLEST * s.fall_multiple * warmth * max(1.0, live / max(1, ready)) * s.fall_ms / s.cold_ms
+        most = (
+            FULLEST
+            * s.slow_start_load_multiple
+            * warmth
+            * max(1.0, live / max(1, ready))
+            * s.slow_start_window_ms
+            / s.slow_start_ms
+        )
         assert len(recent) <= most + 3, f"a cold server was pushed: {len(recent)} sends, at most {most:.1f}"
 
     def step(self) -> None:
