--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/crowd_ways.py
@@ -58,11 +58,11 @@
 Way = Callable[[list[int], list[int], list[int]], list[int]]
 
 
-def listed(servers: list[int], cold: list[int]) -> Event:
+def listed(endpoints: list[int], cold: list[int]) -> Event:
     return EndpointListUpdated(
         ListUpdateKind.FULL,
         1,
-        [EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, NOW if s in cold else 0.0) for s in servers],
+        [EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, NOW if s in cold else 0.0) for s in endpoints],
     )
 
 
@@ -77,33 +77,33 @@
 
 
 def gateway(
-    servers: list[int], cold: list[int], keys: list[int], evenness: float = 0.0, stand: bool = True
+    endpoints: list[int], cold: list[int], keys: list[int], evenness: float = 0.0, stand: bool = True
 ) -> list[int]:
     """One gateway that gets all the connections, as the daemon does; they stand, or end at once."""
     told = replace(SETTINGS, gateways=1, evenness=evenness)
     one = EvenBalancer(told, 1) if evenness else Balancer(told, 1)
-    one.handle(NOW, [listed(servers, cold)])
+    one.handle(NOW, [listed(endpoints, cold)])
     found = []
     for i, key in enumerate(keys):
         send = sent(one, NOW + i, [RequestArrived(i + 1, 0, 0, key, 1200, 0.0, 0)])
-        found.append(send.server if send else 0)
+        found.append(send.endpoint if send else 0)
         if send:
-            one.handle(NOW + i, [AttemptEstablished(send.request, send.server, 5.0, 0)])
+            one.handle(NOW + i, [AttemptEstablished(send.request, send.endpoint, 5.0, 0)])
         if send and not stand:
-            one.handle(NOW + i, [AttemptEnded(send.request, Outcome.OK, send.server, 0, True, 6.0)])
+            one.handle(NOW + i, [AttemptEnded(send.request, Outcome.OK, send.endpoint, 0, True, 6.0)])
     return found
 
 
 def each_alone(kind: type[Balancer], evenness: float = 0.0) -> Way:
     """A client a key, each with decisions of its own; they come spread over the first second."""
 
-    def way(servers: list[int], cold: list[int], keys: list[int]) -> list[int]:
+    def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
         found = []
         for i, key in enumerate(keys):
             one = kind(replace(SETTINGS, evenness=evenness), i)
-            one.handle(NOW, [listed(servers, cold)])
+            one.handle(NOW, [listed(endpoints, cold)])
             send = sent(one, NOW + 1000 * i / len(keys), [RequestArrived(1, 0, 0, key, 1200, 0.0, 0)])
-            found.append(send.server if send else 0)
+            found.append(send.endpoint if send else 0)
         return found
 
     return way
@@ -112,15 +112,15 @@
 def with_points(times: int) -> Way:
     """More points on the ring, cold servers passed by."""
 
-    def drawn(server: int) -> list[int]:
+    def drawn(endpoint: int) -> list[int]:
         return [
             point
             for turn in range(times)
-            for point in points(int.from_bytes(blake2b(b"%d %d" % (server, turn), digest_size=7).digest()))
+            for point in points(int.from_bytes(blake2b(b"%d %d" % (endpoint, turn), digest_size=7).digest()))
         ]
 
-    def way(servers: list[int], cold: list[int], keys: list[int]) -> list[int]:
-        owners = {point: s for s in servers if s not in cold for point in drawn(s)}
+    def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
+        owners = {point: s for s in endpoints if s not in cold for point in drawn(s)}
         ring: Ring = sorted(owners), owners
         return [owner(ring, mixed(key) >> 34) for key in keys]
 
@@ -130,8 +130,8 @@
 def subset(size: int) -> Way:
     """A deterministic subset by the client's number (the aperture): the key chooses within it."""
 
-    def way(servers: list[int], cold: list[int], keys: list[int]) -> list[int]:
-        warm = sorted(s for s in servers if s not in cold)
+    def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
+        warm = sorted(s for s in endpoints if s not in cold)
         found = []
         for i, key in enumerate(keys):
             turn, place = divmod(i * size, len(warm))
@@ -143,8 +143,8 @@
     return way
 
 
-def luck(servers: list[int], cold: list[int], keys: list[int]) -> list[int]:
-    warm = [s for s in servers if s not in cold]
+def luck(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
+    warm = [s for s in endpoints if s not in cold]
     return [warm[mixed(key) % len(warm)] for key in keys]
 
 
@@ -169,7 +169,7 @@
     parser.add_argument("--servers", type=int, default=15)
     told = parser.parse_args()
     rows = []
-    usual = told.clients / told.servers
+    usual = told.clients / told.endpoints
     budget = 3 * 0.31 * usual / 9
     daemons = [(evenness, stand) for evenness in (0.0, EVENNESS) for stand in (False, True)]
     for name, way in WAYS:
@@ -177,19 +177,19 @@
         calm, chilled, moved, coldest = [], [], [], []
         for seed in range(told.seeds):
             random = Random(seed)
-            servers = random.sample(range(1, 2**32), told.servers)
+            endpoints = random.sample(range(1, 2**32), told.endpoints)
             keys = [random.getrandbits(63) for _ in range(told.clients)]
-            chosen = way(servers, [], keys)
+            chosen = way(endpoints, [], keys)
             for (evenness, stand), found in alike.items():
-                by_one = gateway(servers, [], keys, evenness, stand)
+                by_one = gateway(endpoints, [], keys, evenness, stand)
                 found.append(mean(a == b for a, b in zip(chosen, by_one, strict=True)))
             calm.append(max(Counter(chosen).values()) / usual)
-            left = way(servers[1:], [], keys)
-            stayed = [(a, b) for a, b in zip(chosen, left, strict=True) if a != servers[0]]
+            left = way(endpoints[1:], [], keys)
+            stayed = [(a, b) for a, b in zip(chosen, left, strict=True) if a != endpoints[0]]
             moved.append(mean(a != b for a, b in stayed))
-            counts = Counter(way(servers, servers[:3], keys))
-            chilled.append(max(counts[s] for s in servers) / usual)
-            coldest.append(max(counts[s] for s in servers[:3]))
+            counts = Counter(way(endpoints, endpoints[:3], keys))
+            chilled.append(max(counts[s] for s in endpoints) / usual)
+            coldest.append(max(counts[s] for s in endpoints[:3]))
         rows.append(
             [
                 name,
@@ -204,7 +204,7 @@
             ]
         )
     print(
-        f"{told.clients} clients of one connection, {told.servers} servers, {told.seeds} seeds; a cold "
+        f"{told.clients} clients of one connection, {told.endpoints} servers, {told.seeds} seeds; a cold "
         f"server may get {budget:.1f} connections in its first second\n"
     )
     print(
--- a/benchmarks/pool_return.py
+++ b/benchmarks/pool_return.py
@@ -120,21 +120,21 @@
         self.came[gateway, request] = first, key
         self.tell(gateway, RequestArrived(request, 0, 0, key, 1800, 0.0, 0))
 
-    def alive(self, server: int) -> bool:
-        return server in BACKUPS or not DIE <= self.now < BACK
+    def alive(self, endpoint: int) -> bool:
+        return endpoint in BACKUPS or not DIE <= self.now < BACK
 
     def die(self) -> None:
         self.full = sum(self.held[s] for s in PRIMARIES) / len(PRIMARIES)
-        for (gateway, request), server in list(self._places.items()):
-            if server in PRIMARIES:
+        for (gateway, request), endpoint in list(self._places.items()):
+            if endpoint in PRIMARIES:
                 self.leave(gateway, request, Outcome.RESET)
 
     def leave(self, gateway: int, request: int, outcome: Outcome) -> None:
-        server = self._places.pop((gateway, request), None)
-        if server is not None:
-            self.held[server] -= 1
+        endpoint = self._places.pop((gateway, request), None)
+        if endpoint is not None:
+            self.held[endpoint] -= 1
             self.tell(
-                gateway, AttemptEnded(request, outcome, server, self.tries[gateway, request] - 1, True, 0.0)
+                gateway, AttemptEnded(request, outcome, endpoint, self.tries[gateway, request] - 1, True, 0.0)
             )
 
     def tell(self, gateway: int, event: Event) -> None:
@@ -145,13 +145,13 @@
         if isinstance(action, ScheduleTimer):
             self.at(self.now + action.delay_ms, self.tell, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
-            number, server = self.tries[gateway, action.request], action.server
+            number, endpoint = self.tries[gateway, action.request], action.endpoint
             self.tries[gateway, action.request] += 1
-            self.sends[server].append(self.now)
+            self.sends[endpoint].append(self.now)
             if self.now >= TOLD:
-                self.new.append((self.now, server in PRIMARIES))
-            took = SETUP if self.alive(server) else 1.0
-            self.at(self.now + took, self.over, gateway, action.request, server, number, took)
+                self.new.append((self.now, endpoint in PRIMARIES))
+            took = SETUP if self.alive(endpoint) else 1.0
+            self.at(self.now + took, self.over, gateway, action.request, endpoint, number, took)
         elif isinstance(action, Reject):
             self.refused += 1
             first, key = self.came[gateway, action.request]
@@ -159,14 +159,14 @@
         else:
             assert not isinstance(action, (Fail, Cancel, Migrate))
 
-    def over(self, gateway: int, request: int, server: int, number: int, took: float) -> None:
-        if not self.alive(server):
-            self.tell(gateway, AttemptEnded(request, Outcome.CONNECT_FAILED, server, number, False, took))
+    def over(self, gateway: int, request: int, endpoint: int, number: int, took: float) -> None:
+        if not self.alive(endpoint):
+            self.tell(gateway, AttemptEnded(request, Outcome.CONNECT_FAILED, endpoint, number, False, took))
             return
         self.waits.append((self.came[gateway, request][0], self.now - self.came[gateway, request][0]))
-        self.held[server] += 1
-        self._places[gateway, request] = server
-        self.tell(gateway, AttemptEstablished(request, server, took, number))
+        self.held[endpoint] += 1
+        self._places[gateway, request] = endpoint
+        self.tell(gateway, AttemptEstablished(request, endpoint, took, number))
         self.at(self.now + self.random.expovariate(1 / self.stay), self.leave, gateway, request, Outcome.OK)
 
     # Figures
@@ -178,8 +178,8 @@
     def pushed(self) -> float:
         """The most that a cold server was sent in a second, by what it may be sent."""
         worst = 0.0
-        for server in PRIMARIES:
-            times = [t for t in self.sends[server] if BACK <= t < BACK + COLD_MS]
+        for endpoint in PRIMARIES:
+            times = [t for t in self.sends[endpoint] if BACK <= t < BACK + COLD_MS]
             for i, end in enumerate(times):
                 sent = sum(end - WINDOW < t for t in times[: i + 1])
                 warmth = COLD_FROM + (1 - COLD_FROM) * (end - BACK) / COLD_MS
--- a/packages/residency/src/puffindeck_residency/regional.py
+++ b/packages/residency/src/puffindeck_residency/regional.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from puffindeck.choice import Balancer
-from puffindeck.records import Request, Server
+from puffindeck.records import Endpoint, Request
 
 
 class Regional(Balancer):
@@ -33,7 +33,7 @@
     def region_of(self, region_of: Callable[[int], str]) -> None:
         self.__dict__["_region_of"] = region_of
 
-    def _within(self, region: str) -> list[Server]:
+    def _within(self, region: str) -> list[Endpoint]:
         return [s for s in self.ready.values() if self.region_of(s.zone) == region]
 
     def regions(self, order: tuple[str, ...]) -> list[str]:
@@ -43,8 +43,8 @@
         """
         found = []
         for region in order:
-            servers = self._within(region)
-            fit = [s for s in servers if not s.fails]
+            endpoints = self._within(region)
+            fit = [s for s in endpoints if not s.fails]
             if fit:
                 found.append(region)
                 if any(self._warmth(s) >= 1.0 for s in fit):
@@ -53,30 +53,30 @@
 
     # The module's own steps, within that
 
-    def walk(self, request: Request) -> tuple[Server | None, bool]:
+    def walk(self, request: Request) -> tuple[Endpoint | None, bool]:
         order = self.orders.get(request.id)
         if order is None:
             return super().walk(request)
         for region in self.regions(order):
             self._only = region
             try:
-                server, within = super().walk(request)
+                endpoint, within = super().walk(request)
             finally:
                 self._only = None
-            if server is not None:
-                return server, within
+            if endpoint is not None:
+                return endpoint, within
         return None, True
 
-    def _eligible(self, request: Request, server: Server) -> bool:
-        if self._only is not None and self.region_of(server.zone) != self._only:
+    def _eligible(self, request: Request, endpoint: Endpoint) -> bool:
+        if self._only is not None and self.region_of(endpoint.zone) != self._only:
             return False
-        return super()._eligible(request, server)
+        return super()._eligible(request, endpoint)
 
-    def _mean(self, zone: int | None, doubted: dict[int, Server]) -> tuple[float, float]:
+    def _mean(self, zone: int | None, doubted: dict[int, Endpoint]) -> tuple[float, float]:
         if self._only is None:
             return super()._mean(zone, doubted)
-        servers = [s for s in self._within(self._only) if zone in (None, s.zone) and s.id not in doubted]
-        return sum(s.load for s in servers), sum(s.size for s in servers)
+        endpoints = [s for s in self._within(self._only) if zone in (None, s.zone) and s.id not in doubted]
+        return sum(s.load for s in endpoints), sum(s.size for s in endpoints)
 
     def _place(self, request: Request) -> None:
         order = self.orders.get(request.id)
@@ -95,9 +95,9 @@
         found = []
         for number, order in self.orders.items():
             request = self.requests.get(number)
-            if request is None or not request.begun or request.answered or request.server is None:
+            if request is None or not request.begun or request.answered or request.endpoint is None:
                 continue
-            if self.region_of(request.server.zone) not in order:
+            if self.region_of(request.endpoint.zone) not in order:
                 found.append(number)
         return found
 
--- a/packages/residency/tests/test_residency.py
+++ b/packages/residency/tests/test_residency.py
@@ -15,23 +15,23 @@
 REGIONS = {0: "north", 1: "south", 2: "east"}
 
 
-def gateway(servers: int = 9) -> Any:
+def gateway(endpoints: int = 9) -> Any:
     """Servers 1 to 9, three in each region; requests from 100 on are ruled."""
     balancer = RegionalBalancer(replace(SETTINGS, max_retry_after_ms=1500.0), 1)
     balancer.region_of = lambda zone: REGIONS.get(zone, "")
-    made: Any = Gateway(SETTINGS, servers=0, balancer=balancer)
-    made.do(listed(*(entry(i, zone=(i - 1) // 3) for i in range(1, servers + 1))))
+    made: Any = Gateway(SETTINGS, endpoints=0, balancer=balancer)
+    made.do(listed(*(entry(i, zone=(i - 1) // 3) for i in range(1, endpoints + 1))))
     return made
 
 
 def ask(made: Any, request: int, *order: str, key: int = 0) -> int | None:
     made.balancer.orders[request] = order
-    server: int | None = made.ask(request, key=key or request)
-    return server
+    endpoint: int | None = made.ask(request, key=key or request)
+    return endpoint
 
 
-def region(server: int | None) -> str:
-    return "" if server is None else REGIONS[(server - 1) // 3]
+def region(endpoint: int | None) -> str:
+    return "" if endpoint is None else REGIONS[(endpoint - 1) // 3]
 
 
 def test_a_ruled_request_goes_to_the_first_allowed_region_and_others_anywhere() -> None:
@@ -43,10 +43,10 @@
 def test_load_in_a_region_is_bounded_among_its_own_servers() -> None:
     made = gateway()
     for request in range(100, 190):
-        server = ask(made, request, "south")
-        assert server is not None
+        endpoint = ask(made, request, "south")
+        assert endpoint is not None
         made.begin(request)
-    counts = [len(made.balancer.servers[i].conns) for i in (4, 5, 6)]
+    counts = [len(made.balancer.endpoints[i].connections) for i in (4, 5, 6)]
     assert sum(counts) == 90
     assert max(counts) <= 1.5 * 30
 
--- a/puffindeck/choice/attempts.py
+++ b/puffindeck/choice/attempts.py
@@ -19,7 +19,7 @@
     RequestArrived,
     Send,
 )
-from puffindeck.records import INF, Request, Server
+from puffindeck.records import INF, Endpoint, Request
 
 PATIENCE = 0.5  # of the aim: how long a request waits at most while all servers are at their ceilings
 RETRY_MS = 40.0  # how long a request is held before another walk when no server may take it
@@ -47,7 +47,7 @@
         request.attempts, request.out, request.begun = 1, True, True
         self.requests[request.id] = request
         self._saw(request)
-        self._count(request, self._server(event.server))
+        self._count(request, self._server(event.endpoint))
 
     def _place(self, request: Request) -> None:
         """Send a request on, or hold it while a server may still appear."""
@@ -59,8 +59,8 @@
         if self.pending >= self.window:
             self._at(self.now + RETRY_MS, self._place, request)
             return
-        server, within = self.walk(request)
-        if server is None:
+        endpoint, within = self.walk(request)
+        if endpoint is None:
             waited = self.now - request.came_ms > PATIENCE * request.rules.latency_objective_ms
             stuck = request.ran is not None and self.now >= self.repeats_until(request)
             if stuck or (waited and not within):
@@ -71,14 +71,14 @@
         elif not within and self._over_share(request) and request.attempts == 0:
             self._answer(request)
         else:
-            self._send(request, server)
+            self._send(request, endpoint)
 
     def _over_share(self, request: Request) -> bool:
         """Does this gateway hold more of the tenant's connections than its part of the tenant's share?"""
         quotas = self.settings.tenant_connection_quotas[request.tenant : request.tenant + 1]
         return any(self.tenants[request.tenant] > quota / self.settings.gateways for quota in quotas)
 
-    def _send(self, request: Request, server: Server) -> None:
+    def _send(self, request: Request, endpoint: Endpoint) -> None:
         left = timeout = request.deadline - self.now
         if request.rules.effect != Effect.NOT_IDEMPOTENT and request.attempts + 1 < request.most:
             if self.settings.can_cancel:  # what is slow, this server or all, shows only later
@@ -87,39 +87,39 @@
                 )
             else:  # so that another try fits
                 timeout = min(left, max(request.rules.latency_objective_ms, left / 2))
-        if server.started > 0 and self._warmth(server) < 1.0:
+        if endpoint.started > 0 and self._warmth(endpoint) < 1.0:
             push = max(1.0, request.load / self.mean_load)  # a light one is one more all the same
-            server.credit -= push
+            endpoint.credit -= push
             self.credit -= push
         # a connect may take its time, and the first byte must not go out after it
         until = self.repeats_until(request) if request.ran is not None else INF
         begin = max(0.001, until - self.now) if until < INF else 0.0
         request.attempts += 1
         request.out, request.sent_ms = True, self.now
-        request.tried.add(server.id)
+        request.tried.add(endpoint.id)
         if request.ran is None:
-            request.ran, request.ran_ms = server, self.now
-        server.pending += 1
+            request.ran, request.ran_ms = endpoint, self.now
+        endpoint.pending += 1
         self.pending += 1
-        self._count(request, server)
-        self.actions.append(Send(request.id, server.id, timeout, begin))
+        self._count(request, endpoint)
+        self.actions.append(Send(request.id, endpoint.id, timeout, begin))
 
     def _began(self, event: AttemptEstablished) -> None:
         request = self.requests.get(event.request)
-        if request is None or request.server is None or request.begun:
+        if request is None or request.endpoint is None or request.begun:
             return
         request.begun = True
-        server = request.server
-        server.pending -= 1
+        endpoint = request.endpoint
+        endpoint.pending -= 1
         self.pending -= 1
         self.window += 1.0 / max(1.0, self.window)
-        self._trust(server)
-        server.good_ms = self.now
-        self.lately[server.id] = server
-        self.returned.pop(server.id, None)
-        server.newest_ms = max(server.newest_ms, request.sent_ms)
+        self._trust(endpoint)
+        endpoint.good_ms = self.now
+        self.lately[endpoint.id] = endpoint
+        self.returned.pop(endpoint.id, None)
+        endpoint.newest_ms = max(endpoint.newest_ms, request.sent_ms)
         for other in request.failed_at:  # what one server serves the others could have served
-            if other is not server:
+            if other is not endpoint:
                 self._failed(other)
         if request.answered:
             self.actions.append(Migrate(request.id))
@@ -131,12 +131,12 @@
 
         Another try comes only where others, asked later, have set up meanwhile: one if this one is on trial.
         """
-        (request, attempt), server = sent, sent[0].server
-        if request.attempts != attempt or request.begun or request.answered or server is None:
+        (request, attempt), endpoint = sent, sent[0].endpoint
+        if request.attempts != attempt or request.begun or request.answered or endpoint is None:
             return
         quicker = sum(s.newest_ms > request.sent_ms for s in self.lately.values())
-        if quicker >= (1 if server.fails else 2) and server.newest_ms < request.sent_ms:
-            self._failed(server)
+        if quicker >= (1 if endpoint.fails else 2) and endpoint.newest_ms < request.sent_ms:
+            self._failed(endpoint)
             self.actions.append(Cancel(request.id, attempt - 1))
         else:
             self._at(self.now + request.rules.latency_objective_ms / 2, self._late, sent)
@@ -145,11 +145,11 @@
         request = self.requests.get(event.request)
         if request is None or not request.out or event.attempt != request.attempts - 1:
             return
-        server, begun = request.server, request.begun
+        endpoint, begun = request.endpoint, request.begun
         self._uncount(request)
         request.out = False
-        if server is not None:
-            self._judge(server, request, event, begun)
+        if endpoint is not None:
+            self._judge(endpoint, request, event, begun)
         if event.outcome in NOT_PROCESSED and request.ran_ms == request.sent_ms:
             request.ran = None  # the first that may have run did not: the next may again go anywhere
         if event.outcome == Outcome.NO_RESOURCE:
--- a/puffindeck/choice/balancer.py
+++ b/puffindeck/choice/balancer.py
@@ -30,7 +30,7 @@
     TimerFired,
     WatchEndpoints,
 )
-from puffindeck.records import INF, Server
+from puffindeck.records import INF, Endpoint
 
 ASK_MS, ASK_MOST_MS = 250.0, 650.0  # how soon a failed list is asked for again, about
 OUT_MS = 1200.0  # over how long the connections of a server that is taken out are sent away
@@ -101,34 +101,36 @@
         for entry in event.entries:
             self._entry(entry)
         if event.kind != ListUpdateKind.CHANGES:
-            named = {entry.server for entry in event.entries}
-            for server in self.servers.values():
-                if server.id not in named and server.state != EndpointStatus.GONE:
-                    server.state = EndpointStatus.GONE
-        for gone in [s for s in self.servers.values() if s.state == EndpointStatus.GONE and not s.conns]:
-            for known in (self.servers, self.live, self.failing, self.lately, self.returned):
+            named = {entry.endpoint for entry in event.entries}
+            for endpoint in self.endpoints.values():
+                if endpoint.id not in named and endpoint.state != EndpointStatus.GONE:
+                    endpoint.state = EndpointStatus.GONE
+        for gone in [
+            s for s in self.endpoints.values() if s.state == EndpointStatus.GONE and not s.connections
+        ]:
+            for known in (self.endpoints, self.live, self.failing, self.lately, self.returned):
                 known.pop(gone.id, None)
         self.arrange()
 
     def _entry(self, entry: EndpointEntry) -> None:
-        server = self._server(entry.server)
-        if entry.started_ms > server.started:
-            self._renewed(server)
-        server.zone, server.kind, server.cell = entry.zone, entry.kind, entry.cell
-        server.state, server.weight = entry.state, entry.weight
-        server.started = max(entry.started_ms, server.back_ms)
-
-    def _renewed(self, server: Server) -> None:
+        endpoint = self._server(entry.endpoint)
+        if entry.started_ms > endpoint.started:
+            self._renewed(endpoint)
+        endpoint.zone, endpoint.kind, endpoint.cell = entry.zone, entry.kind, entry.cell
+        endpoint.state, endpoint.weight = entry.state, entry.weight
+        endpoint.started = max(entry.started_ms, endpoint.back_ms)
+
+    def _renewed(self, endpoint: Endpoint) -> None:
         """A new process: what the old one did is no guide."""
-        self._trust(server)
-        server.ceiling = INF
+        self._trust(endpoint)
+        endpoint.ceiling = INF
 
     def _detached(self, event: EndpointDetached) -> None:
-        if event.server not in self.detached:
-            self.detached[event.server] = self.now
-            self.returned.pop(event.server, None)
+        if event.endpoint not in self.detached:
+            self.detached[event.endpoint] = self.now
+            self.returned.pop(event.endpoint, None)
             self.arrange()
-            leaving = list(self._server(event.server).conns.values())
+            leaving = list(self._server(event.endpoint).connections.values())
             for i, request in enumerate(leaving):  # before it is restarted, and not as one storm
                 self._at(self.now + OUT_MS * i / len(leaving), self._leave_out, request)
 
@@ -137,15 +139,15 @@
         return {s.id: s.ceiling for s in self.live.values()}
 
     def _recalled(self, event: LoadLimitRestored) -> None:
-        server = self.live[event.server] = self._server(event.server)
-        server.ceiling, server.cut_ms = min(server.ceiling, event.ceiling), self.now
+        endpoint = self.live[event.endpoint] = self._server(event.endpoint)
+        endpoint.ceiling, endpoint.cut_ms = min(endpoint.ceiling, event.ceiling), self.now
 
     def _attached(self, event: EndpointAttached) -> None:
         """Cold since the start that the list tells of, or since now: it may tell of it only seconds later."""
-        if event.server in self.detached:
-            server, out_ms = self._server(event.server), self.detached.pop(event.server)
-            self.back(server)
-            if server.started < out_ms:
-                server.back_ms = server.started = self.now
-                self._renewed(server)
+        if event.endpoint in self.detached:
+            endpoint, out_ms = self._server(event.endpoint), self.detached.pop(event.endpoint)
+            self.back(endpoint)
+            if endpoint.started < out_ms:
+                endpoint.back_ms = endpoint.started = self.now
+                self._renewed(endpoint)
             self.arrange()
--- a/puffindeck/choice/cold.py
+++ b/puffindeck/choice/cold.py
@@ -4,7 +4,7 @@
 
 from puffindeck.choice.known import Known
 from puffindeck.interface import EndpointStatus
-from puffindeck.records import INF, Request, Server
+from puffindeck.records import INF, Endpoint, Request
 
 FULL = 2.0  # of the mean a server holds: what one bears at least when full
 BACK_MS = 5000.0  # how long one that is put back, and has no connection, goes before the ring
@@ -17,10 +17,10 @@
 
     spare = 3.0  # connections beyond its part that a gateway may send a cold server where little is wanted
 
-    def _warmth(self, server: Server) -> float:
+    def _warmth(self, endpoint: Endpoint) -> float:
         """The least part of its capacity that a server has by now."""
-        settings, age = self.settings, self.now - server.started
-        if server.started <= 0 or age >= settings.slow_start_ms:
+        settings, age = self.settings, self.now - endpoint.started
+        if endpoint.started <= 0 or age >= settings.slow_start_ms:
             return 1.0
         return (
             settings.slow_start_initial_fraction
@@ -38,7 +38,7 @@
         zones: dict[int | None, float] = {None: 0.0}
         self.cold_size, self.all_warm = 0.0, True
         # who waits for a place counts too, and whom a restart of servers has just cost theirs
-        here = self.holds() / max(1, sum(s.state != EndpointStatus.GONE for s in self.servers.values()))
+        here = self.holds() / max(1, sum(s.state != EndpointStatus.GONE for s in self.endpoints.values()))
         faded = self.mean_held * math.exp(
             (self.mean_held_ms - self.now) / max(1.0, self.settings.slow_start_ms)
         )
@@ -63,7 +63,7 @@
         self.flow = 1.0 + self.flow * math.exp((self.flow_ms - self.now) / fade)
         self.flow_ms, self.flow_fade = self.now, fade
 
-    def cold_credit(self, request: Request, server: Server) -> bool:
+    def cold_credit(self, request: Request, endpoint: Endpoint) -> bool:
         """May a cold server be sent one more?
 
         Rule 4. A full server is guessed to hold FULL times as much as ours now, and to fill over its whole
@@ -74,35 +74,35 @@
         """
         settings = self.settings
         share = FULL * self.mean_held * settings.slow_start_load_multiple / settings.slow_start_ms
-        rate, own = share * self.cold_size, share * server.size
-        fresh = self.credit_ms <= 0.0 or self.credit_ms < server.started  # a debt is paid from now on
+        rate, own = share * self.cold_size, share * endpoint.size
+        fresh = self.credit_ms <= 0.0 or self.credit_ms < endpoint.started  # a debt is paid from now on
         if fresh and self.credit > 0:
             self.credit = -self.random.random()
         saved = 0.0 if fresh else rate * (self.now - self.credit_ms)
         self.credit = min(max(1.0, rate * settings.slow_start_window_ms / 4), self.credit + saved)
         self.credit_ms = self.now
-        server.credit = min(
+        endpoint.credit = min(
             max(0.0, own * settings.slow_start_window_ms / 4),
-            server.credit + own * max(0.0, self.now - server.credit_ms),
+            endpoint.credit + own * max(0.0, self.now - endpoint.credit_ms),
         )
-        server.credit_ms = self.now
-        if self.now - self.returned.get(server.id, -INF) < BACK_MS:
-            return self.now >= server.turn_ms and server.credit >= 0  # one shows whether it serves
-        if CALM * self._wanted(server) <= own * settings.slow_start_window_ms * settings.gateways:
-            return server.credit > -self.spare
-        return self.credit > 0 and server.credit >= 0
-
-    def back(self, server: Server) -> None:
+        endpoint.credit_ms = self.now
+        if self.now - self.returned.get(endpoint.id, -INF) < BACK_MS:
+            return self.now >= endpoint.turn_ms and endpoint.credit >= 0  # one shows whether it serves
+        if CALM * self._wanted(endpoint) <= own * settings.slow_start_window_ms * settings.gateways:
+            return endpoint.credit > -self.spare
+        return self.credit > 0 and endpoint.credit >= 0
+
+    def back(self, endpoint: Endpoint) -> None:
         """Staff have put it back: when it is this gateway's turn to see whether it serves, at the latest."""
-        self.returned[server.id] = self.now
-        server.turn_ms = self.now + TURN_MS * max(0, self.settings.gateways - FEW) * self.random.random()
+        self.returned[endpoint.id] = self.now
+        endpoint.turn_ms = self.now + TURN_MS * max(0, self.settings.gateways - FEW) * self.random.random()
 
-    def _wanted(self, server: Server) -> float:
+    def _wanted(self, endpoint: Endpoint) -> float:
         """What all gateways together may want of a server in such a time, were all like this one.
 
         A busy group is no more than others: a plan that all make alike spreads it by the servers' sizes.
         """
         flow = self.flow * math.exp((self.flow_ms - self.now) / self.flow_fade)
         flow += len(self.requests) - self.placed  # those that wait
-        part = server.size / max(1e-9, self.zone_sizes[None])
+        part = endpoint.size / max(1e-9, self.zone_sizes[None])
         return self.settings.gateways * part * flow * self.settings.slow_start_window_ms / self.flow_fade
--- a/puffindeck/choice/known.py
+++ b/puffindeck/choice/known.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from puffindeck.interface import Action, Settings
-from puffindeck.records import INF, Request, Server
+from puffindeck.records import INF, Endpoint, Request
 
 BOUND = 1.25  # c of the design: a server takes up to this multiple of the mean; the paper's example
 
@@ -23,11 +23,11 @@
         self.timers: list[tuple[float, int, Callable[[Any], None], Any]] = []
         self.timer_count = 0
         self.wake_at, self.wakes = INF, 0
-        self.servers: dict[int, Server] = {}
+        self.endpoints: dict[int, Endpoint] = {}
         self.version, self.list_fails = -1, 0
         self.ring: list[int] = []
         self.owners: dict[int, int] = {}  # whose a point on the ring is
-        self.ready: dict[int, Server] = {}
+        self.ready: dict[int, Endpoint] = {}
         self.zone_sizes: dict[int | None, float] = {None: 0.0}  # ready ones; None: all
         self.cold_size, self.all_warm = 0.0, False
         self.mean_held, self.mean_held_ms = 0.0, 0.0  # a server's connections from here, now or of late
@@ -35,9 +35,9 @@
         self.flow, self.flow_ms, self.flow_fade = 0.0, 0.0, 1.0  # requests of late, fading
         self.placed = 0  # requests that have a connection, or an attempt on its way to one
         # the few servers that most work is about: in use or under a ceiling, failing, tried of late
-        self.live: dict[int, Server] = {}
-        self.failing: dict[int, Server] = {}
-        self.lately: dict[int, Server] = {}
+        self.live: dict[int, Endpoint] = {}
+        self.failing: dict[int, Endpoint] = {}
+        self.lately: dict[int, Endpoint] = {}
         self.detached: dict[int, float] = {}  # taken out by staff, since when; and put back, not in use yet
         self.returned: dict[int, float] = {}
         self.tick_ms, self.tick_at = 0.0, INF
@@ -65,5 +65,5 @@
         self.timer_count += 1
         heappush(self.timers, (when, self.timer_count, act, what))
 
-    def _server(self, server: int) -> Server:
-        return self.servers.get(server) or self.servers.setdefault(server, Server(server))
+    def _server(self, endpoint: int) -> Endpoint:
+        return self.endpoints.get(endpoint) or self.endpoints.setdefault(endpoint, Endpoint(endpoint))
--- a/puffindeck/choice/ledger.py
+++ b/puffindeck/choice/ledger.py
@@ -2,7 +2,7 @@
 
 from puffindeck.choice.ring import Ring
 from puffindeck.interface import LoadReported
-from puffindeck.records import Request, Server
+from puffindeck.records import Endpoint, Request
 
 GROUP_COST = 2.5  # mean connections that a server pays for a group's first one; a guess, told nowhere
 
@@ -19,41 +19,41 @@
     def _class_load(self, cls: int) -> float:
         return self.class_loads[cls] or self.mean_load
 
-    def _count(self, request: Request, server: Server) -> None:
-        request.server = server
-        server.conns[request.id] = request
+    def _count(self, request: Request, endpoint: Endpoint) -> None:
+        request.endpoint = endpoint
+        endpoint.connections[request.id] = request
         self.placed += 1
-        self.live[server.id] = server
-        server.load += request.load
+        self.live[endpoint.id] = endpoint
+        endpoint.load += request.load
         if request.group:
-            held = server.groups.get(request.group, 0)
-            server.groups[request.group] = held + 1
+            held = endpoint.groups.get(request.group, 0)
+            endpoint.groups[request.group] = held + 1
             if not held:
-                server.load += GROUP_COST * self.mean_load
+                endpoint.load += GROUP_COST * self.mean_load
 
     def _uncount(self, request: Request) -> None:
-        server = request.server
-        if server is None or server.conns.pop(request.id, None) is None:
+        endpoint = request.endpoint
+        if endpoint is None or endpoint.connections.pop(request.id, None) is None:
             return
         self.placed -= 1
-        request.server = None
-        server.load -= request.load
+        request.endpoint = None
+        endpoint.load -= request.load
         if not request.begun:
-            server.pending -= 1
+            endpoint.pending -= 1
             self.pending -= 1
         if request.group:
-            held = server.groups[request.group] - 1
+            held = endpoint.groups[request.group] - 1
             if held:
-                server.groups[request.group] = held
+                endpoint.groups[request.group] = held
             else:
-                del server.groups[request.group]
-                server.load -= GROUP_COST * self.mean_load
+                del endpoint.groups[request.group]
+                endpoint.load -= GROUP_COST * self.mean_load
 
     def _load_told(self, event: LoadReported) -> None:
         request = self.requests.get(event.request)
-        if request is None or request.server is None:
+        if request is None or request.endpoint is None:
             return
-        request.server.load += event.load - request.load
+        request.endpoint.load += event.load - request.load
         request.load, request.told = event.load, True
 
     def _reckon(self) -> None:
@@ -70,9 +70,9 @@
                 self.class_loads[cls] = before + (sums[cls] / count - before) * min(1.0, count / 20)
         if sum(counts):
             self.mean_load = max(1e-9, sum(sums) / sum(counts))
-        for server in self.live.values():
-            server.load = GROUP_COST * self.mean_load * len(server.groups)
-            for request in server.conns.values():
+        for endpoint in self.live.values():
+            endpoint.load = GROUP_COST * self.mean_load * len(endpoint.groups)
+            for request in endpoint.connections.values():
                 if not request.told:
                     request.load = self._class_load(request.cls)
-                server.load += request.load
+                endpoint.load += request.load
--- a/puffindeck/choice/relief.py
+++ b/puffindeck/choice/relief.py
@@ -4,7 +4,7 @@
 
 from puffindeck.choice.ledger import GROUP_COST, Ledger
 from puffindeck.interface import Migrate
-from puffindeck.records import INF, Request, Server
+from puffindeck.records import INF, Endpoint, Request
 
 MEMORY_MS = 60000.0  # how long what was seen of keys' shares counts
 TICK_MS = 1000.0  # how often loads are reckoned anew and relief is given, while there is trouble
@@ -30,41 +30,41 @@
         self.counts = {key: count * fade for key, count in self.counts.items() if count > 0.1}
         self.measure()
         calm = self.all_warm
-        for server in list(self.live.values()):
-            strained = self._fresh(server) and server.delay > STRAINED * self.message_aim
-            if server.connect_fails >= 2:
-                self._relieve(server, server.load / 4)
-            elif server.load > server.ceiling and self.now - server.cut_ms <= TICK_MS:
-                self._relieve(server, server.load - server.ceiling)
-            if server.ceiling < INF and not strained and self.now - server.cut_ms > 2 * TICK_MS:
-                server.ceiling *= REGAIN**passed
-                if server.ceiling > 4 * server.load + self.mean_load:
-                    server.ceiling = INF
-            calm = calm and server.ceiling == INF and not server.connect_fails
-            if not server.conns and server.ceiling == INF and not server.connect_fails:
-                del self.live[server.id]
+        for endpoint in list(self.live.values()):
+            strained = self._fresh(endpoint) and endpoint.delay > STRAINED * self.message_aim
+            if endpoint.connect_fails >= 2:
+                self._relieve(endpoint, endpoint.load / 4)
+            elif endpoint.load > endpoint.ceiling and self.now - endpoint.cut_ms <= TICK_MS:
+                self._relieve(endpoint, endpoint.load - endpoint.ceiling)
+            if endpoint.ceiling < INF and not strained and self.now - endpoint.cut_ms > 2 * TICK_MS:
+                endpoint.ceiling *= REGAIN**passed
+                if endpoint.ceiling > 4 * endpoint.load + self.mean_load:
+                    endpoint.ceiling = INF
+            calm = calm and endpoint.ceiling == INF and not endpoint.connect_fails
+            if not endpoint.connections and endpoint.ceiling == INF and not endpoint.connect_fails:
+                del self.live[endpoint.id]
         self._tick_in(TICK_MS * CALM_TICKS if calm else TICK_MS)
 
-    def _fresh(self, server: Server) -> bool:
-        return self.now - server.latency_ms < 1.5 * TICK_MS
+    def _fresh(self, endpoint: Endpoint) -> bool:
+        return self.now - endpoint.latency_ms < 1.5 * TICK_MS
 
-    def _relieve(self, server: Server, goal: float) -> None:
+    def _relieve(self, endpoint: Endpoint, goal: float) -> None:
         """Move connections worth this much load, those first that cost most for their class.
 
         A connection's part of its group's cost counts: a lone member costs its server most.
         """
 
         def cost(request: Request) -> float:
-            shared = GROUP_COST * self.mean_load / server.groups[request.group] if request.group else 0.0
+            shared = GROUP_COST * self.mean_load / endpoint.groups[request.group] if request.group else 0.0
             usual = max(1e-9, self._class_load(request.cls) * self.mean_load)
             return (request.load + shared) / math.sqrt(usual)
 
-        for request in sorted(server.conns.values(), key=lambda r: (-cost(r), r.id)):
+        for request in sorted(endpoint.connections.values(), key=lambda r: (-cost(r), r.id)):
             if goal <= 0:
                 break
             if request.begun and not request.answered:
                 spared = request.load
-                if server.groups.get(request.group) == 1:
+                if endpoint.groups.get(request.group) == 1:
                     spared += GROUP_COST * self.mean_load
                 if self.random.random() * spared > goal:
                     break  # with few connections each, gateways that all round up would empty the server
@@ -78,5 +78,5 @@
             self.actions.append(Migrate(request.id))
 
     def _leave_out(self, request: Request) -> None:
-        if request.server is not None and request.server.id in self.detached:
+        if request.endpoint is not None and request.endpoint.id in self.detached:
             self._send_off(request)
--- a/puffindeck/choice/ring.py
+++ b/puffindeck/choice/ring.py
@@ -8,7 +8,7 @@
 from puffindeck.choice.cold import Cold
 from puffindeck.hashes import mixed, points
 from puffindeck.interface import Effect, EndpointStatus, Scope
-from puffindeck.records import INF, Request, Server
+from puffindeck.records import INF, Endpoint, Request
 
 PLAN_MS, PLANNED = 500.0, 64  # how long a plan for groups holds, and for how many, those seen most
 PRIOR, GROUP_PRIOR = 8.0, 2.0  # requests: keys, and groups, are held to bring less until more was seen
@@ -22,7 +22,7 @@
         before = self.ready
         self.ready = {
             s.id: s
-            for s in self.servers.values()
+            for s in self.endpoints.values()
             if s.state == EndpointStatus.READY and s.id not in self.detached
         }
         if before.keys() - self.ready.keys():
@@ -36,15 +36,15 @@
         self.plan_ms = -INF
         self.measure()
 
-    def _around(self, start: int) -> Iterator[Server]:
+    def _around(self, start: int) -> Iterator[Endpoint]:
         """The servers on the ring, clockwise from a hash."""
         seen, at = set[int](), bisect_left(self.ring, start >> 34)
         for point in chain(islice(self.ring, at, None), islice(self.ring, at)):
             if self.owners[point] not in seen:
                 seen.add(self.owners[point])
-                yield self.servers[self.owners[point]]
+                yield self.endpoints[self.owners[point]]
 
-    def clockwise(self, request: Request, zone: int | None, skip: set[int], reach: int) -> list[Server]:
+    def clockwise(self, request: Request, zone: int | None, skip: set[int], reach: int) -> list[Endpoint]:
         """The first servers of a zone (None: any) clockwise from a request's hash that may be sent it."""
         return list(
             islice(
@@ -57,9 +57,9 @@
             )
         )
 
-    def _eligible(self, request: Request, server: Server) -> bool:
+    def _eligible(self, request: Request, endpoint: Endpoint) -> bool:
         """May this server be sent this request at all? The rules on sends are kept here."""
-        if server.id not in self.ready:  # rule 3
+        if endpoint.id not in self.ready:  # rule 3
             return False
         ran = request.ran
         if ran is not None:  # rule 2
@@ -67,12 +67,12 @@
             if self.now >= self.repeats_until(request):
                 return False
             if rules.effect == Effect.IDEMPOTENCY_KEY:
-                if rules.scope == Scope.ZONE and server.zone != ran.zone:
+                if rules.scope == Scope.ZONE and endpoint.zone != ran.zone:
                     return False
-                if rules.scope == Scope.CELL and server.cell != ran.cell:
+                if rules.scope == Scope.CELL and endpoint.cell != ran.cell:
                     return False
-        if server.started > 0 and self.now - server.started < self.settings.slow_start_ms:
-            return self.cold_credit(request, server)  # rule 4
+        if endpoint.started > 0 and self.now - endpoint.started < self.settings.slow_start_ms:
+            return self.cold_credit(request, endpoint)  # rule 4
         return True
 
     def repeats_until(self, request: Request) -> float:
@@ -100,9 +100,9 @@
             scale = self.bound / max(1e-9, self.zone_sizes[None])
             for key in sorted(nlargest(PLANNED, self.counts, lambda key: self.counts[key])):
                 before, rest, stops = used.copy(), self._part(key), 0
-                for server in self._around(mixed(key)):
-                    here = min(rest, max(0.0, scale * server.size - used[server.id]))
-                    used[server.id], rest, stops = used[server.id] + here, rest - here, stops + 1
+                for endpoint in self._around(mixed(key)):
+                    here = min(rest, max(0.0, scale * endpoint.size - used[endpoint.id]))
+                    used[endpoint.id], rest, stops = used[endpoint.id] + here, rest - here, stops + 1
                     if rest <= 0:
                         break
                 self.plan[key] = stops, before
--- a/puffindeck/choice/walk.py
+++ b/puffindeck/choice/walk.py
@@ -4,7 +4,7 @@
 from puffindeck.choice.judging import Judging
 from puffindeck.choice.ledger import GROUP_COST
 from puffindeck.hashes import lot
-from puffindeck.records import INF, Request, Server
+from puffindeck.records import INF, Endpoint, Request
 
 STRETCHES = (1.0, 1.5, 2.5)  # how far the bound gives way, in turn, before the start of the walk is kept
 WALK = 8  # servers that a walk looks at for a key without a group
@@ -14,7 +14,7 @@
 class Walk(Judging):
     """The server for a request."""
 
-    def _mean(self, zone: int | None, doubted: dict[int, Server]) -> tuple[float, float]:
+    def _mean(self, zone: int | None, doubted: dict[int, Endpoint]) -> tuple[float, float]:
         """This gateway's load and the size of the ready servers in a zone (None: everywhere)."""
         load, size = 0.0, self.zone_sizes[zone]
         for s in self.live.values():
@@ -22,7 +22,7 @@
                 load += s.load
         return load, size - sum(s.size for s in doubted.values() if zone in (None, s.zone))
 
-    def walk(self, request: Request) -> tuple[Server | None, bool]:
+    def walk(self, request: Request) -> tuple[Endpoint | None, bool]:
         """The server for a request, and whether it was found within the bound."""
         now = self.now
         doubted = {s.id: s for s in self.failing.values() if s.id in self.ready and s.doubted(now)}
@@ -31,7 +31,7 @@
         skip = set(doubted)
         for back, since in self.returned.items():  # its keys have gone elsewhere: one shows that it serves
             s = self._server(back)
-            if now - since < BACK_MS and not (s.conns or s.doubted(now)) and self._eligible(request, s):
+            if now - since < BACK_MS and not (s.connections or s.doubted(now)) and self._eligible(request, s):
                 return s, True
         # near-empty counts (a restart, a storm) must not scatter keys: a group's own cost is in the floor
         floor = (FLOOR + (GROUP_COST if request.group else 0.0)) * self.mean_load
@@ -51,32 +51,32 @@
             near = near or self.clockwise(request, zone, skip, reach)
             mean = (load + request.load) / max(1e-9, size)
             passes.append((near, mean if zone is None else min(mean, fair), max(1e-9, size)))
-        near = [server for servers, _, _ in passes for server in servers]
+        near = [endpoint for endpoints, _, _ in passes for endpoint in endpoints]
         if not near or request.mid_flow:  # the ring home is the likeliest holder
             return (near[0] if near else None), True
         fit = {s.id for s in near if self._bears(s, request)}
         for stretch in STRETCHES:
-            for servers, mean, size in passes:
+            for endpoints, mean, size in passes:
                 rest = share
-                for server in servers:
+                for endpoint in endpoints:
                     # With many gateways no count reaches the bound, and all would fill a busy group's home: a
                     # server takes its bounded part of the key's expected share, by lot; the rest spills on.
-                    part = self.bound * stretch * server.size / size - taken.get(server.id, 0.0)
-                    bound = self.bound * mean * server.size
-                    if bound < floor and rest * lot(request.lot, server.id) > part:
+                    part = self.bound * stretch * endpoint.size / size - taken.get(endpoint.id, 0.0)
+                    bound = self.bound * mean * endpoint.size
+                    if bound < floor and rest * lot(request.lot, endpoint.id) > part:
                         rest -= max(0.0, part)
-                    elif server.id in fit and server.load < stretch * max(bound, floor):
-                        return server, stretch == 1.0
+                    elif endpoint.id in fit and endpoint.load < stretch * max(bound, floor):
+                        return endpoint, stretch == 1.0
         # all at their ceilings: more would serve nobody; else the walk's start is kept, as the design says
         found = next((s for s in near if s.id in fit), None)
         return found, False
 
-    def _bears(self, server: Server, request: Request) -> bool:
+    def _bears(self, endpoint: Endpoint, request: Request) -> bool:
         """Does the request, with its group's cost where that is new there, fit under the server's ceiling?"""
-        if server.ceiling == INF:
+        if endpoint.ceiling == INF:
             return True
-        extra = 0.0 if not request.group or request.group in server.groups else GROUP_COST * self.mean_load
-        if server.conns:
-            return server.load + extra + request.load <= server.ceiling
+        extra = 0.0 if not request.group or request.group in endpoint.groups else GROUP_COST * self.mean_load
+        if endpoint.connections:
+            return endpoint.load + extra + request.load <= endpoint.ceiling
         # an empty one by chance, the same at each try: gateways that all round up would fill it again
-        return lot(request.id, server.id) * (extra + request.load) <= server.ceiling
+        return lot(request.id, endpoint.id) * (extra + request.load) <= endpoint.ceiling
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -126,24 +126,24 @@
         self.reachability.listed(kind, entries)
         self.tell(EndpointListUpdated(kind, version, entries))
 
-    def known(self, server: int) -> bool:
+    def known(self, endpoint: int) -> bool:
         """Does the list have it, be it that it drains?"""
-        return self.reachability.known(server)
+        return self.reachability.known(endpoint)
 
-    def may_reach(self, server: int) -> bool:
+    def may_reach(self, endpoint: int) -> bool:
         """Rule 3 again, right before an attempt's first byte: its connect may have taken its time."""
-        return self.reachability.may_reach(server)
+        return self.reachability.may_reach(endpoint)
 
     # From the front: what staff say
 
-    def detach(self, server: int) -> None:
+    def detach(self, endpoint: int) -> None:
         """Nothing new to this server until it is attached, whatever the list says."""
-        self.reachability.detach(server)
-        self.tell(EndpointDetached(server))
+        self.reachability.detach(endpoint)
+        self.tell(EndpointDetached(endpoint))
 
-    def attach(self, server: int) -> None:
-        self.reachability.attach(server)
-        self.tell(EndpointAttached(server))
+    def attach(self, endpoint: int) -> None:
+        self.reachability.attach(endpoint)
+        self.tell(EndpointAttached(endpoint))
 
     def retune(self, new: Settings, kept: Iterable[int] = ()) -> None:
         """Other settings from now on; what is open keeps the rules that it began with.
@@ -194,12 +194,12 @@
         held.id = held.id or str(number)
         return number
 
-    def opened(self, client: Client, asked: Request, server: int) -> AttemptId:
+    def opened(self, client: Client, asked: Request, endpoint: int) -> AttemptId:
         """Take a connection that was open before the start. Its link is the front's to set up."""
         held = Held(client, asked.cls, self.clock.now(), 1, asked.id)
         held.number = number = self._hold(held)
-        held.attempts, held.out, held.begun, held.answered, held.server = 1, True, True, True, server
-        self.tell(ConnectionRestored(number, server, asked.cls, 0, asked.hint, asked.group, asked.key))
+        held.attempts, held.out, held.begun, held.answered, held.endpoint = 1, True, True, True, endpoint
+        self.tell(ConnectionRestored(number, endpoint, asked.cls, 0, asked.hint, asked.group, asked.key))
         return AttemptId(number, 0)
 
     def linked(self, ticket: AttemptId, link: Link) -> None:
@@ -248,7 +248,7 @@
         held.client.began(held.link)
         self.observer.answered(held.id, Answer.UP, Reason.SERVED)
         took = ms(self.clock.now() - held.sent)
-        self.tell(AttemptEstablished(ticket.request, held.server, took, ticket.attempt))
+        self.tell(AttemptEstablished(ticket.request, held.endpoint, took, ticket.attempt))
         return True
 
     def ended(self, ticket: AttemptId, outcome: Outcome) -> None:
@@ -264,9 +264,11 @@
             held.most += 1  # it reached nobody, and is none of the attempts that are allowed
         took = self.clock.now() - held.sent
         if not held.begun:
-            self.observer.attempt_ended(held.id, held.server, ticket.attempt, outcome, took)
+            self.observer.attempt_ended(held.id, held.endpoint, ticket.attempt, outcome, took)
         self._settle(held)
-        self.tell(AttemptEnded(ticket.request, outcome, held.server, ticket.attempt, held.answered, ms(took)))
+        self.tell(
+            AttemptEnded(ticket.request, outcome, held.endpoint, ticket.attempt, held.answered, ms(took))
+        )
 
     def noted(self, ticket: AttemptId, figure: float) -> None:
         """What a server tells of an open connection: the settings say whether load or a message's delay."""
@@ -274,9 +276,9 @@
         if held is None:
             return
         if self.settings.reports_load:
-            self.tell(LoadReported(ticket.request, held.server, figure))
+            self.tell(LoadReported(ticket.request, held.endpoint, figure))
         elif self.settings.reports_latency:
-            self.tell(LatencyReported(ticket.request, held.server, figure))
+            self.tell(LatencyReported(ticket.request, held.endpoint, figure))
 
     # The module's actions
 
@@ -288,7 +290,9 @@
         if held.answered or held.out or held.attempts >= held.most:
             held.attempts += not held.out
             self.tell(
-                AttemptEnded(action.request, Outcome.MOOT, action.server, ticket.attempt, held.answered, 0.0)
+                AttemptEnded(
+                    action.request, Outcome.MOOT, action.endpoint, ticket.attempt, held.answered, 0.0
+                )
             )
             return
         if not held.client.waits():
@@ -298,13 +302,13 @@
         until = min(held.deadline, now + span(action.timeout_ms)) if action.timeout_ms else held.deadline
         begin = min(until, now + span(action.start_within_ms)) if action.start_within_ms else until
         held.attempts += 1
-        held.out, held.server, held.sent = True, action.server, now
+        held.out, held.endpoint, held.sent = True, action.endpoint, now
         if until <= now:
             self.ended(ticket, Outcome.TIMEOUT)
             return
-        self.observer.attempt_began(held.id, action.server, ticket.attempt)
+        self.observer.attempt_began(held.id, action.endpoint, ticket.attempt)
         held.expiry = self.deadlines.at(until, self._expired, ticket)
-        link = held.client.open(ticket, action.server, until, begin)
+        link = held.client.open(ticket, action.endpoint, until, begin)
         if self._current(ticket) is held:
             held.link = link
 
--- a/puffindeck/core/reachability.py
+++ b/puffindeck/core/reachability.py
@@ -28,35 +28,35 @@
 
     def listed(self, kind: ListUpdateKind, entries: Iterable[EndpointEntry]) -> None:
         """News of the list; of one that could not be had there are no entries."""
-        now, state_of = self._clock.now(), {entry.server: entry.state for entry in entries}
-        fit = {server for server, state in state_of.items() if state == EndpointStatus.READY}
-        draining = {server for server, state in state_of.items() if state == EndpointStatus.DRAINING}
-        gone = {server for server, state in state_of.items() if state == EndpointStatus.GONE}
+        now, state_of = self._clock.now(), {entry.endpoint: entry.state for entry in entries}
+        fit = {endpoint for endpoint, state in state_of.items() if state == EndpointStatus.READY}
+        draining = {endpoint for endpoint, state in state_of.items() if state == EndpointStatus.DRAINING}
+        gone = {endpoint for endpoint, state in state_of.items() if state == EndpointStatus.GONE}
         if kind in (ListUpdateKind.FULL, ListUpdateKind.CACHED):  # who is not named is gone
             gone |= self._listed - fit - draining
         self._listed = (self._listed | fit | draining) - gone
-        for server in draining | gone:
-            self.unfit_since.setdefault(server, now)
-        for server in fit:
-            self.unfit_since.pop(server, None)
+        for endpoint in draining | gone:
+            self.unfit_since.setdefault(endpoint, now)
+        for endpoint in fit:
+            self.unfit_since.pop(endpoint, None)
 
-    def known(self, server: int) -> bool:
+    def known(self, endpoint: int) -> bool:
         """Does the list have it, be it that it drains?"""
-        return server in self._listed
+        return endpoint in self._listed
 
-    def detach(self, server: int) -> None:
+    def detach(self, endpoint: int) -> None:
         """Staff have taken it out."""
-        self.detached_since.setdefault(server, self._clock.now())
+        self.detached_since.setdefault(endpoint, self._clock.now())
 
-    def attach(self, server: int) -> None:
+    def attach(self, endpoint: int) -> None:
         """Staff have put it back."""
-        self.detached_since.pop(server, None)
+        self.detached_since.pop(endpoint, None)
 
-    def may_reach(self, server: int) -> bool:
+    def may_reach(self, endpoint: int) -> bool:
         """Is there grace left for something new, at this moment?"""
         now = self._clock.now()
         return all(
-            now - since[server] < self.grace
+            now - since[endpoint] < self.grace
             for since in (self.unfit_since, self.detached_since)
-            if server in since
+            if endpoint in since
         )
--- a/puffindeck/core/request_observer.py
+++ b/puffindeck/core/request_observer.py
@@ -36,11 +36,11 @@
 class RequestObserver(Protocol):
     """Told of each step. `request` is the client's own id where its wire has one, else a number."""
 
-    def attempt_began(self, request: str, server: int, attempt: int) -> None:
+    def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
         """An attempt is on its way to a server; the first of a request is number 0."""
 
     def attempt_ended(
-        self, request: str, server: int, attempt: int, outcome: Outcome, took: timedelta
+        self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
     ) -> None:
         """An attempt ended without a connection that stands."""
 
@@ -54,11 +54,11 @@
 class Unobserved:
     """An observer that keeps nothing."""
 
-    def attempt_began(self, request: str, server: int, attempt: int) -> None:
+    def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
         """Nobody looks."""
 
     def attempt_ended(
-        self, request: str, server: int, attempt: int, outcome: Outcome, took: timedelta
+        self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
     ) -> None:
         """Nobody looks."""
 
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -33,7 +33,7 @@
     def waits(self) -> bool:
         """Is it still there, at this very moment? One that has left gets no further attempt."""
 
-    def open(self, ticket: AttemptId, server: int, until: timedelta, begin: timedelta) -> Link | None:
+    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
         """Start an attempt, whose first byte may go out until `begin`. None if it has ended already.
 
         Its end has then been told.
@@ -75,6 +75,7 @@
         "client",
         "cls",
         "deadline",
+        "endpoint",
         "expiry",
         "guard",
         "id",
@@ -83,12 +84,11 @@
         "number",
         "out",
         "sent",
-        "server",
     )
 
     def __init__(self, client: Client, cls: int, deadline: timedelta, most: int, id: str) -> None:
         self.client, self.cls, self.deadline, self.most, self.id = client, cls, deadline, most, id
-        self.number = self.attempts = self.server = 0
+        self.number = self.attempts = self.endpoint = 0
         self.answered = self.out = self.begun = False
         self.sent = ZERO
         self.link: Link | None = None
--- a/puffindeck/crowd/admission.py
+++ b/puffindeck/crowd/admission.py
@@ -80,9 +80,16 @@
         return min(1.0, STEADY_PART * budget * max(held, 1) / others)
 
     def admits(
-        self, now: float, settings: Settings, server: int, key: int, warmth: float, held: int, returning: bool
+        self,
+        now: float,
+        settings: Settings,
+        endpoint: int,
+        key: int,
+        warmth: float,
+        held: int,
+        returning: bool,
     ) -> bool:
         """Does the lot let a request for this key through to the cold server that is its home?"""
         window = int(now // max(1.0, settings.slow_start_window_ms))
-        drawn = lot(mixed(self._salt ^ key), mixed(server ^ window << 32))
+        drawn = lot(mixed(self._salt ^ key), mixed(endpoint ^ window << 32))
         return drawn < self.odds(now, settings, warmth, held, returning)
--- a/puffindeck/crowd/even.py
+++ b/puffindeck/crowd/even.py
@@ -32,7 +32,7 @@
     total = sum(size for size in sizes.values() if size > 0)
     if not points or total <= 0:
         return list(points), dict(owners)
-    room = {server: bound * SPAN * size / total for server, size in sizes.items() if size > 0}
+    room = {endpoint: bound * SPAN * size / total for endpoint, size in sizes.items() if size > 0}
     arcs: dict[int, list[tuple[int, int]]] = {}  # by owner: an arc's end and its length
     before = points[-1] - SPAN
     for point in points:
@@ -40,17 +40,17 @@
         before = point
     kept: dict[int, int] = {}
     over: list[tuple[int, int]] = []
-    for server, own in arcs.items():
+    for endpoint, own in arcs.items():
         # in an order of the points' own: a due that changes a little moves one arc's cut, not all
         for end, length in sorted(own, key=lambda arc: mixed(arc[0])):
-            part = min(length, int(room.get(server, 0.0)))
+            part = min(length, int(room.get(endpoint, 0.0)))
             if part:
-                room[server] -= part
-                kept[end] = server
+                room[endpoint] -= part
+                kept[end] = endpoint
             if part < length:
                 over.append((end - part, length - part))
     _spill(sorted(over), points, owners, room, kept)
-    ring = {end % SPAN: server for end, server in kept.items()}
+    ring = {end % SPAN: endpoint for end, endpoint in kept.items()}
     return sorted(ring), ring
 
 
@@ -66,19 +66,19 @@
         at = bisect_left(points, end % SPAN)
         passed: set[int] = set()
         for step in range(len(points)):
-            server = owners[points[(at + step) % len(points)]]
-            if server in passed:
+            endpoint = owners[points[(at + step) % len(points)]]
+            if endpoint in passed:
                 continue
-            passed.add(server)
-            part = min(length, int(room.get(server, 0.0)))
+            passed.add(endpoint)
+            part = min(length, int(room.get(endpoint, 0.0)))
             if part:
-                room[server] -= part
-                kept[end] = server
+                room[endpoint] -= part
+                kept[end] = endpoint
                 end, length = end - part, length - part
             if not length:
                 break
         if length:  # nothing but what rounding left over
-            kept[end] = max(room, key=lambda server: (room[server], server))
+            kept[end] = max(room, key=lambda endpoint: (room[endpoint], endpoint))
 
 
 def owner(ring: Ring, place: int) -> int:
--- a/puffindeck/crowd/member.py
+++ b/puffindeck/crowd/member.py
@@ -30,7 +30,7 @@
     RequestArrived,
     Settings,
 )
-from puffindeck.records import INF, Request, Server
+from puffindeck.records import INF, Endpoint, Request
 
 STALE_MS = 6000.0  # discovery's news counts as told after 6 s: what was heard longer ago is held to be stale
 
@@ -94,12 +94,12 @@
             self._cold = cold
             self._warm.clear()
         if zone not in self._warm:
-            warm = {server: size for server, size in self.sizes(zone).items() if server not in cold}
+            warm = {endpoint: size for endpoint, size in self.sizes(zone).items() if endpoint not in cold}
             whole = self.whole(zone)
             self._warm[zone] = evened(*whole, warm, self.evenness) if warm and cold else whole
         return self._warm[zone]
 
-    def walk(self, request: Request) -> tuple[Server | None, bool]:
+    def walk(self, request: Request) -> tuple[Endpoint | None, bool]:
         home = self.home(request)
         if home is not None and home.id not in request.tried:
             if home.id in self._cold_now():
@@ -109,7 +109,7 @@
                 return home, True
         return super().walk(request)
 
-    def _plain(self, request: Request, home: Server) -> bool:
+    def _plain(self, request: Request, home: Endpoint) -> bool:
         """Is it the usual case, in which the walk ends at its first step? Told apart to save time."""
         return (
             home.load < FLOOR * self.mean_load
@@ -122,23 +122,23 @@
             and not self.returned
         )
 
-    def cold_credit(self, request: Request, server: Server) -> bool:
+    def cold_credit(self, request: Request, endpoint: Endpoint) -> bool:
         """Only a cold server's own keys go there, and of those the part that it may be sent by now."""
-        if server is not self.home(request):
+        if endpoint is not self.home(request):
             return False
-        server.credit *= math.exp(
-            (server.credit_ms - self.now) / max(1.0, self.settings.slow_start_window_ms)
+        endpoint.credit *= math.exp(
+            (endpoint.credit_ms - self.now) / max(1.0, self.settings.slow_start_window_ms)
         )
-        server.credit_ms = self.now
-        if server.credit <= -1.0:  # what one client sends in a window is bounded, whatever the lots say
+        endpoint.credit_ms = self.now
+        if endpoint.credit <= -1.0:  # what one client sends in a window is bounded, whatever the lots say
             return False
-        standing = sum(len(s.conns) - s.pending for s in self.live.values())
+        standing = sum(len(s.connections) - s.pending for s in self.live.values())
         return self.admission.admits(
             self.now,
             self.settings,
-            server.id,
+            endpoint.id,
             request.key or request.id,
-            self._warmth(server),
+            self._warmth(endpoint),
             standing,
             request.returning,
         )
@@ -164,11 +164,11 @@
 
         A gateway then waits on, as work given up is done all the same there; a server of calls hears of it.
         """
-        (request, attempt), server = sent, sent[0].server
+        (request, attempt), endpoint = sent, sent[0].endpoint
         open_still = request.attempts == attempt and not (request.begun or request.answered)
         half = (request.sent_ms + request.deadline) / 2
-        if open_still and server is not None and self.now >= half:
-            self._failed(server)
+        if open_still and endpoint is not None and self.now >= half:
+            self._failed(endpoint)
             self.actions.append(Cancel(request.id, attempt - 1))
         else:
             super()._late(sent)
@@ -187,13 +187,13 @@
                 self.admission.lost(self.now)
         super()._ended(event)
 
-    def _trust(self, server: Server) -> None:
+    def _trust(self, endpoint: Endpoint) -> None:
         """A server that was out of reach and is back was most likely restarted, and the roster may be late.
 
         It counts as cold from now on, unless the roster has told of that start already.
         """
         stale = self.age_ms(self.now) > STALE_MS
-        if server.connect_fails >= (1 if stale else 2) and self._warmth(server) >= 1.0:
-            server.started = server.back_ms = self.now
+        if endpoint.connect_fails >= (1 if stale else 2) and self._warmth(endpoint) >= 1.0:
+            endpoint.started = endpoint.back_ms = self.now
             self.measure()
-        super()._trust(server)
+        super()._trust(endpoint)
--- a/puffindeck/crowd/pooled.py
+++ b/puffindeck/crowd/pooled.py
@@ -5,7 +5,7 @@
 from typing import cast
 
 from puffindeck.crowd.member import Member
-from puffindeck.records import Request, Server
+from puffindeck.records import Endpoint, Request
 from puffindeck.routing import Pooled
 from puffindeck.routing.tier import TierBalancer
 
@@ -13,7 +13,7 @@
 class TierMember(TierBalancer, Member):
     """A client's decisions on one tier of a pool."""
 
-    def _plain(self, request: Request, home: Server) -> bool:
+    def _plain(self, request: Request, home: Endpoint) -> bool:
         return self._room(home) and super()._plain(request, home)
 
 
--- a/puffindeck/crowd/ring.py
+++ b/puffindeck/crowd/ring.py
@@ -5,7 +5,7 @@
 from puffindeck.choice import Balancer
 from puffindeck.crowd.even import Ring, evened, owner
 from puffindeck.interface import Settings
-from puffindeck.records import Request, Server
+from puffindeck.records import Endpoint, Request
 
 EVENNESS = 1.03  # c for shares of the ring: docs/design/rpc.md has the figures of others
 
@@ -52,16 +52,16 @@
         home = self.settings.zone
         return home if self.settings.cross_zone_cost > 0 and home in self.zone_sizes else None
 
-    def home(self, request: Request) -> Server | None:
+    def home(self, request: Request) -> Endpoint | None:
         """Where a request's key is at home while all are warm."""
         whole = self.whole(self.first_zone())
-        return self.servers[owner(whole, request.hash >> 34)] if whole[0] else None
+        return self.endpoints[owner(whole, request.hash >> 34)] if whole[0] else None
 
     def walked(self, zone: int | None) -> Ring:
         """The ring that is walked now."""
         return self.whole(zone)
 
-    def clockwise(self, request: Request, zone: int | None, skip: set[int], reach: int) -> list[Server]:
+    def clockwise(self, request: Request, zone: int | None, skip: set[int], reach: int) -> list[Endpoint]:
         base = self.ring, self.owners
         self.ring, self.owners = self.walked(zone)
         try:
--- a/puffindeck/hashes.py
+++ b/puffindeck/hashes.py
@@ -17,9 +17,9 @@
     return value ^ (value >> 31)
 
 
-def points(server: int) -> list[int]:
+def points(endpoint: int) -> list[int]:
     """A server's points on the ring: 30 bits each, which sort fastest."""
-    digest = blake2b(server.to_bytes(8, "little"), digest_size=POINTS.size).digest()
+    digest = blake2b(endpoint.to_bytes(8, "little"), digest_size=POINTS.size).digest()
     return [point >> 2 for point in POINTS.unpack(digest)]
 
 
--- a/puffindeck/interface.py
+++ b/puffindeck/interface.py
@@ -113,7 +113,7 @@
 class EndpointEntry:
     """One server as the list has it."""
 
-    server: int
+    endpoint: int
     zone: int
     kind: int
     cell: int
@@ -163,7 +163,7 @@
     """A connection that was open through this gateway when the instance started."""
 
     request: int
-    server: int
+    endpoint: int
     cls: int
     tenant: int
     hint: float
@@ -176,7 +176,7 @@
     """The connection stands."""
 
     request: int
-    server: int
+    endpoint: int
     elapsed_ms: float
     attempt: int
 
@@ -186,7 +186,7 @@
     """A connection's load is now this much work a second."""
 
     request: int
-    server: int
+    endpoint: int
     load: float
 
 
@@ -195,7 +195,7 @@
     """A message now takes this long at the server."""
 
     request: int
-    server: int
+    endpoint: int
     latency_ms: float
 
 
@@ -205,7 +205,7 @@
 
     request: int
     outcome: Outcome
-    server: int
+    endpoint: int
     attempt: int
     final: bool
     elapsed_ms: float
@@ -236,21 +236,21 @@
 class EndpointDetached:
     """Staff take a server out: nothing new goes there, whatever the list says, and what stands leaves."""
 
-    server: int
+    endpoint: int
 
 
 @dataclass(slots=True)
 class EndpointAttached:
     """Staff put a server back. It was restarted meanwhile, and is cold."""
 
-    server: int
+    endpoint: int
 
 
 @dataclass(slots=True)
 class LoadLimitRestored:
     """A process that this one follows has seen that a server bears no more load from this gateway."""
 
-    server: int
+    endpoint: int
     ceiling: float
 
 
@@ -290,7 +290,7 @@
     """Attempt the request at a server."""
 
     request: int
-    server: int
+    endpoint: int
     timeout_ms: float
     start_within_ms: float = 0.0  # how long its first byte may yet go out; 0: as long as the attempt has
 
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -30,24 +30,24 @@
         self._answers = few("requests: answers")
         self._closes = few("requests: closes")
 
-    def attempt_began(self, request: str, server: int, attempt: int) -> None:
+    def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
         """An attempt is on its way; a number above 0 is a retry."""
         self._attempts.write(
             "request {id}: attempt {attempt} at {host}",
             id=request,
             attempt=attempt,
-            host=self._server_name(server),
+            host=self._server_name(endpoint),
         )
 
     def attempt_ended(
-        self, request: str, server: int, attempt: int, outcome: Outcome, took: timedelta
+        self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
     ) -> None:
         """An attempt ended without a connection that stands."""
         self._ends.write(
             "request {id}: attempt {attempt} at {host} ended: {outcome} after {took_ms} ms",
             id=request,
             attempt=attempt,
-            host=self._server_name(server),
+            host=self._server_name(endpoint),
             outcome=outcome.name.lower(),
             took_ms=round(ms(took)),
         )
--- a/puffindeck/net/upstream_attempts.py
+++ b/puffindeck/net/upstream_attempts.py
@@ -61,17 +61,17 @@
         self.engine.linked(self._ticket, link)
         self._connect(link, address)
 
-    def open(self, ticket: AttemptId, server: int, until: timedelta, begin: timedelta) -> CoreLink | None:
+    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> CoreLink | None:
         """Start an attempt at a host."""
         assert self._head is not None
-        address = self.node.directory.addresses.get(server)
+        address = self.node.directory.addresses.get(endpoint)
         link = Link(
             self,
             self.engine,
             self.deadlines,
             ticket,
-            server,
-            self.node.directory.name(server),
+            endpoint,
+            self.node.directory.name(endpoint),
             self._head,
             until,
             begin,
--- a/puffindeck/net/upstream_connection.py
+++ b/puffindeck/net/upstream_connection.py
@@ -115,14 +115,14 @@
         engine: Engine,
         deadlines: TimerQueue,
         ticket: AttemptId,
-        server: int,
+        endpoint: int,
         host: str,
         head: RequestLine,
         until: timedelta,
         begin: timedelta,
     ) -> None:
         self.client, self.engine, self.deadlines = client, engine, deadlines
-        self.ticket, self.server, self.host = ticket, server, host
+        self.ticket, self.endpoint, self.host = ticket, endpoint, host
         self._head, self._until, self._begin = head, until, begin
         self.written = self.up = self.done = False
         self.receipt = b""
@@ -163,7 +163,7 @@
         if self.done:
             line.transport.abortConnection()
             return
-        if not self.engine.may_reach(self.server):
+        if not self.engine.may_reach(self.endpoint):
             log.info("host {host}: drains since the connect began: not sent", host=self.host)
             self.finish(Outcome.CONNECT_FAILED)
             return
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -73,8 +73,8 @@
 class BoxLink:
     """A flow's way to a box: an attempt first, then what its datagrams pass over."""
 
-    def __init__(self, flow: Flow, ticket: AttemptId, server: int) -> None:
-        self.flow, self.ticket, self.server = flow, ticket, server
+    def __init__(self, flow: Flow, ticket: AttemptId, endpoint: int) -> None:
+        self.flow, self.ticket, self.endpoint = flow, ticket, endpoint
         self.done = False
         self._port: Any = None
 
@@ -86,7 +86,9 @@
             self._port = listen_datagrams(front.reactor, 0, upstream, "::" if ":" in address[0] else "")
         except CannotListenError as error:
             log.warn(
-                "quic: no socket towards {host}: {error}", host=front.directory.name(self.server), error=error
+                "quic: no socket towards {host}: {error}",
+                host=front.directory.name(self.endpoint),
+                error=error,
             )
             return False
         return True
@@ -147,10 +149,10 @@
         """Is it still there to be served?"""
         return not self._over
 
-    def open(self, ticket: AttemptId, server: int, until: timedelta, begin: timedelta) -> Link | None:
-        link = BoxLink(self, ticket, server)
-        address = self.front.directory.addresses.get(server)
-        if address is None or not self.front.engine.may_reach(server):
+    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+        link = BoxLink(self, ticket, endpoint)
+        address = self.front.directory.addresses.get(endpoint)
+        if address is None or not self.front.engine.may_reach(endpoint):
             link.finish(Outcome.CONNECT_FAILED)
             return None
         if not link.open(address):
@@ -198,7 +200,7 @@
         if not self.up and self.first is not None:
             if len(self._kept) < FIRST_FLIGHT:
                 self._kept.append(datagram)
-            if link is not None and not self.front.engine.may_reach(link.server):
+            if link is not None and not self.front.engine.may_reach(link.endpoint):
                 link.finish(Outcome.RESET)  # its drain is older than the grace: nothing more begins there
                 return
         if link is not None:
@@ -247,7 +249,7 @@
         elif now - max(self.heard, self.spoke) > self.front.idle:
             self._leave(Outcome.OK)
         elif self.unanswered >= UNANSWERED and self.spoke - self.asked > self.front.silent:
-            host = self.front.directory.name(self.link.server) if self.link is not None else "?"
+            host = self.front.directory.name(self.link.endpoint) if self.link is not None else "?"
             log.warn("quic: box {host} silent, its flow is dropped", host=host)
             self._leave(Outcome.RESET)
 
@@ -296,7 +298,7 @@
     def now(self) -> timedelta:
         return self.deadlines.clock.now()
 
-    def server(self, cid: bytes) -> int | None:
+    def endpoint(self, cid: bytes) -> int | None:
         """The box that a connection id names, if the list has it."""
         octets = self.ids.server(cid)
         if octets is None:
@@ -304,8 +306,8 @@
         uid = self._boxes.get(octets)
         if uid is None:
             return None
-        server = self.directory.number(uid)
-        return server if server in self.directory.addresses and self.engine.known(server) else None
+        endpoint = self.directory.number(uid)
+        return endpoint if endpoint in self.directory.addresses and self.engine.known(endpoint) else None
 
     def write(self, datagram: bytes, address: Address) -> None:
         try:
@@ -361,8 +363,8 @@
     def _find(self, address: Address, packet: Packet) -> Flow | None:
         slot = self._by_id.get((address, packet.to))
         if slot is None and packet.kind in (Kind.SHORT, Kind.HANDSHAKE):
-            server = self.server(packet.to)
-            slot = self._by_box.get((address, server)) if server is not None else None
+            endpoint = self.endpoint(packet.to)
+            slot = self._by_box.get((address, endpoint)) if endpoint is not None else None
             flow = self.flows.get(slot) if slot is not None else None
             if flow is not None:
                 self.name(flow, packet.to)
@@ -393,8 +395,8 @@
         Nothing new begins: the box has the connection, and it may drain. If it does not, it answers with a
         reset or not at all, and the flow is gone soon; so such flows may fill a part of the table only.
         """
-        server = self.server(packet.to)
-        if server is None:
+        endpoint = self.endpoint(packet.to)
+        if endpoint is None:
             self.drop("names no box")
             return
         if len(self.flows) >= self.told.connections or 4 * self.unproven >= self.told.connections:
@@ -402,10 +404,10 @@
             return
         flow = Flow(self, address, None)
         self.unproven += 1
-        ticket = self.engine.opened(flow, self._asked(address, ZERO), server)
+        ticket = self.engine.opened(flow, self._asked(address, ZERO), endpoint)
         flow.request = ticket.request
-        link = BoxLink(flow, ticket, server)
-        if not link.open(self.directory.addresses[server]):
+        link = BoxLink(flow, ticket, endpoint)
+        if not link.open(self.directory.addresses[endpoint]):
             flow.end()
             link.finish(Outcome.RESET)
             return
@@ -428,7 +430,7 @@
     def reached(self, flow: Flow) -> None:
         """Further ids of its box from its address lead to it too."""
         if flow.link is not None:
-            flow.box = flow.link.server
+            flow.box = flow.link.endpoint
             self._by_box[flow.address, flow.box] = flow.slot
 
     def forget(self, flow: Flow) -> None:
--- a/puffindeck/records.py
+++ b/puffindeck/records.py
@@ -8,7 +8,7 @@
 INF = float("inf")
 
 
-class Server:
+class Endpoint:
     """What this gateway knows of a server: the list's word, its own load there, and how it has done."""
 
     # defaults stand on the class: a list names many servers, and a gateway comes to use few of them
@@ -25,9 +25,9 @@
     back_ms = turn_ms = -INF  # when it was last put back, and when this gateway may see whether it serves
     credit, credit_ms = 0.0, -INF  # connections that it may be sent while cold, and when that was reckoned
 
-    def __init__(self, server: int) -> None:
-        self.id = server
-        self.conns: dict[int, Request] = {}
+    def __init__(self, endpoint: int) -> None:
+        self.id = endpoint
+        self.connections: dict[int, Request] = {}
         self.groups: dict[int, int] = {}
 
     def doubted(self, now: float) -> bool:
@@ -39,9 +39,9 @@
     """A request from its arrival to its last outcome."""
 
     attempts = 0
-    server: Server | None = None  # where its attempt is out, or its connection stands
+    endpoint: Endpoint | None = None  # where its attempt is out, or its connection stands
     out = begun = answered = mid_flow = returning = False
-    ran: Server | None = None  # where the first attempt that may have run was sent, and when
+    ran: Endpoint | None = None  # where the first attempt that may have run was sent, and when
     ran_ms = sent_ms = came_ms = 0.0
 
     def __init__(
@@ -54,7 +54,7 @@
         self.hash, self.lot = mixed(self.key or event.request), event.key or event.request
         self.deadline, self.load, self.told = deadline, load, event.hint > 0
         self.tried: set[int] = set()
-        self.failed_at: list[Server] = []  # where it was not served though the server spoke: whose fault?
+        self.failed_at: list[Endpoint] = []  # where it was not served though the server spoke: whose fault?
 
     def is_safe_to_retry(self) -> bool:
         """Would a second run of it change nothing, as far as is known (rule 2)?"""
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -55,7 +55,7 @@
 
     def standing(self) -> int:
         """Connections and attempts that it holds."""
-        return sum(len(server.conns) for server in self.balancer.live.values())
+        return sum(len(endpoint.connections) for endpoint in self.balancer.live.values())
 
 
 class PoolState:
@@ -106,7 +106,7 @@
             for i in range(len(pool.tiers)):
                 seed_of_tier = self.random.getrandbits(32)
                 balancer = self.tier_type(pool.settings(settings), seed_of_tier, self._leaves, state.standing)
-                balancer.limits = {number(server): most for server, most in pool.server_limits.items()}
+                balancer.limits = {number(endpoint): most for endpoint, most in pool.server_limits.items()}
                 tier = Tier(state, i, balancer)
                 state.tiers.append(tier)
                 self.tiers.append(tier)
@@ -148,8 +148,8 @@
         """What servers have been seen to bear, for a process that follows this one: the least of any pool."""
         found: dict[int, float] = {}
         for tier in self.tiers:
-            for server, ceiling in tier.balancer.ceilings().items():
-                found[server] = min(ceiling, found.get(server, ceiling))
+            for endpoint, ceiling in tier.balancer.ceilings().items():
+                found[endpoint] = min(ceiling, found.get(endpoint, ceiling))
         return found
 
     def usable(self, pool: str) -> int:
@@ -193,7 +193,7 @@
 
     def _entry(self, pool: Pool, tier: int, entry: EndpointEntry) -> EndpointEntry | None:
         """A server as a tier is to see it; None where it is not in this tier."""
-        name = self._name(entry.server)
+        name = self._name(entry.endpoint)
         if pool.tier_of(name) != tier:
             return None
         if entry.state == EndpointStatus.READY and named(name, pool.drained):
@@ -209,7 +209,7 @@
             self._tell(tier, EndpointListUpdated(event.kind, event.version, seen))
 
     def _of_server(self, event: EndpointDetached | EndpointAttached | LoadLimitRestored) -> None:
-        name = self._name(event.server)
+        name = self._name(event.endpoint)
         for tier in self.tiers:
             if tier.pool.pool.tier_of(name) == tier.number:
                 self._tell(tier, event)
@@ -311,7 +311,7 @@
         self._settle(request.id)
 
     def _opened(self, event: ConnectionRestored) -> None:
-        name = self._name(event.server)
+        name = self._name(event.endpoint)
         tier = next((t for t in self.tiers if t.pool.pool.tier_of(name) == t.number), self.tiers[0])
         self.places[event.request] = Place(tier, None)
         self._tell(tier, event)
--- a/puffindeck/routing/pools.py
+++ b/puffindeck/routing/pools.py
@@ -26,9 +26,9 @@
     bound: float = 0.0  # c of bounded loads; 0: the settings'
     warm_ms: float = -1.0  # how long a server that starts is cold; under 0: the settings'
 
-    def tier_of(self, server: str) -> int | None:
+    def tier_of(self, endpoint: str) -> int | None:
         """The number of the tier that a server is in."""
-        return next((i for i, tier in enumerate(self.tiers) if named(server, tier)), None)
+        return next((i for i, tier in enumerate(self.tiers) if named(endpoint, tier)), None)
 
     def settings(self, given: Settings) -> Settings:
         """The decision module's settings on this pool."""
@@ -50,6 +50,6 @@
     listeners: Mapping[str, tuple[str, int]] = field(default_factory=dict)  # beside `listen`, by name
 
 
-def named(server: str, patterns: tuple[str, ...]) -> bool:
+def named(endpoint: str, patterns: tuple[str, ...]) -> bool:
     """Is a server among these names and patterns?"""
-    return any(fnmatchcase(server, pattern) for pattern in patterns)
+    return any(fnmatchcase(endpoint, pattern) for pattern in patterns)
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -6,7 +6,7 @@
 
 from puffindeck.choice import Balancer
 from puffindeck.interface import Effect, Settings
-from puffindeck.records import Request, Server
+from puffindeck.records import Endpoint, Request
 
 RETURN_PART = 0.7  # of the pool's connections: benchmarks/pool_return.py, where 1.0 went over the budget
 
@@ -29,7 +29,7 @@
 
     # What the pool asks of it
 
-    def healthy(self) -> list[Server]:
+    def healthy(self) -> list[Endpoint]:
         """Those that may be sent to and have not failed since they last served."""
         return [s for s in self.ready.values() if not s.fails]
 
@@ -39,16 +39,16 @@
 
     def warmth(self) -> float:
         """The part of its capacity that the tier is known to have by now."""
-        servers = self.healthy()
-        return sum(self._warmth(s) for s in servers) / len(servers) if servers else 0.0
+        endpoints = self.healthy()
+        return sum(self._warmth(s) for s in endpoints) / len(endpoints) if endpoints else 0.0
 
     def full(self) -> bool:
         """Are all that could serve at their limits?"""
-        servers = self.healthy() or list(self.ready.values())
-        return bool(servers) and all(not self._room(s) for s in servers)
+        endpoints = self.healthy() or list(self.ready.values())
+        return bool(endpoints) and all(not self._room(s) for s in endpoints)
 
-    def _room(self, server: Server) -> bool:
-        return len(server.conns) < self.limits.get(server.id, 1 << 62)
+    def _room(self, endpoint: Endpoint) -> bool:
+        return len(endpoint.connections) < self.limits.get(endpoint.id, 1 << 62)
 
     def takes(self, request: Request) -> bool:
         """Is there a server that may be sent this request now? Cold ones may have had their part."""
@@ -63,8 +63,8 @@
         """
         return max(super().holds(), RETURN_PART * self._standing())
 
-    def _eligible(self, request: Request, server: Server) -> bool:
-        return self._room(server) and super()._eligible(request, server)
+    def _eligible(self, request: Request, endpoint: Endpoint) -> bool:
+        return self._room(endpoint) and super()._eligible(request, endpoint)
 
     def _saw(self, request: Request) -> None:
         """A request that another tier has tried keeps its attempts, and where it may have run (rule 2)."""
@@ -87,9 +87,9 @@
         else:
             super()._place(request)
 
-    def _trust(self, server: Server) -> None:
+    def _trust(self, endpoint: Endpoint) -> None:
         """A server that was out of reach and is back was most likely restarted, and the list may be late."""
-        if server.connect_fails >= 2 and self._warmth(server) >= 1.0:
-            server.started = server.back_ms = self.now
+        if endpoint.connect_fails >= 2 and self._warmth(endpoint) >= 1.0:
+            endpoint.started = endpoint.back_ms = self.now
             self.measure()
-        super()._trust(server)
+        super()._trust(endpoint)
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -43,9 +43,9 @@
     )
 
     def __init__(
-        self, call: BalancedCall, ticket: AttemptId, server: int, address: tuple[str, int], until: timedelta
+        self, call: BalancedCall, ticket: AttemptId, endpoint: int, address: tuple[str, int], until: timedelta
     ) -> None:
-        self._call, self._ticket, self._server, self._until = call, ticket, server, until
+        self._call, self._ticket, self._server, self._until = call, ticket, endpoint, until
         self._engine, self._address = call.shared.engine, address
         self._gave_up = False
         self._pump: asyncio.Task[None] | None = None
@@ -53,7 +53,7 @@
         self.response: Any = NOTHING
         self._broken: Exception | None = None
         self._sub = call.pool.take(address)
-        if self._sub.ready() and self._engine.may_reach(server):
+        if self._sub.ready() and self._engine.may_reach(endpoint):
             self._begin()  # at once: a turn of the loop later would cost a tenth of a call
         self._task: asyncio.Task[None] | None = None
         if self.inner is not None and not call.method.response_stream and call.replay is None:
--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -108,13 +108,13 @@
         """Is it still there to be served?"""
         return self._final is None
 
-    def open(self, ticket: AttemptId, server: int, until: timedelta, begin: timedelta) -> Link | None:
-        address = self.shared.directory.addresses.get(server)
+    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+        address = self.shared.directory.addresses.get(endpoint)
         self._attempts += 1
         if address is None:
             self.shared.engine.ended(ticket, Outcome.CONNECT_FAILED)
             return None
-        self._attempt = Attempt(self, ticket, server, address, until)
+        self._attempt = Attempt(self, ticket, endpoint, address, until)
         return self._attempt
 
     def start(self, sub: Subchannel) -> Any:
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -137,9 +137,9 @@
         """Is it still there to be served?"""
         return not self.answer.called
 
-    def open(self, ticket: AttemptId, server: int, until: timedelta, begin: timedelta) -> Link | None:
-        link = _Attempt(self, ticket, server)
-        address = self.balancing.directory.addresses.get(server)
+    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+        link = _Attempt(self, ticket, endpoint)
+        address = self.balancing.directory.addresses.get(endpoint)
         if address is None:
             link.finish(Outcome.CONNECT_FAILED)
             return None
@@ -189,8 +189,8 @@
 
     noisy = False
 
-    def __init__(self, connect: _Connect, ticket: AttemptId, server: int) -> None:
-        self._connect, self._ticket, self._server = connect, ticket, server
+    def __init__(self, connect: _Connect, ticket: AttemptId, endpoint: int) -> None:
+        self._connect, self._ticket, self._server = connect, ticket, endpoint
         self._engine, self._deadlines = connect.balancing.engine, connect.balancing.deadlines
         self.done = self.began = False
         self.wrapper: _Wrapper | None = None
--- a/puffindeck/service_discovery/directory.py
+++ b/puffindeck/service_discovery/directory.py
@@ -36,9 +36,9 @@
         """A host's number: from its name alone, so that nodes place hosts alike on the ring."""
         for turn in range(256):
             digest = blake2b(uid.encode(), digest_size=4, salt=turn.to_bytes(1, "little")).digest()
-            server = int.from_bytes(digest, "little")
-            if self._names.setdefault(server, uid) == uid:
-                return server
+            endpoint = int.from_bytes(digest, "little")
+            if self._names.setdefault(endpoint, uid) == uid:
+                return endpoint
         raise OverflowError("no number is left")  # pragma: no cover
 
     def zone(self, name: str) -> int:
@@ -52,8 +52,8 @@
         """Has the list ever named it?"""
         return self.number(uid) in self.addresses
 
-    def name(self, server: int) -> str:
-        return self._names.get(server, str(server))
+    def name(self, endpoint: int) -> str:
+        return self._names.get(endpoint, str(endpoint))
 
     def hear(self, now: timedelta) -> None:
         """At this moment discovery has said that all its news is told."""
@@ -68,18 +68,18 @@
         if state is None:
             log.warn("list: host {uid}: no such state: {state}", uid=target.uid, state=target.state)
             return None
-        server = self.number(target.uid)
+        endpoint = self.number(target.uid)
         if target.endpoint:
             try:
-                self.addresses[server] = address(target.endpoint, "endpoint")
+                self.addresses[endpoint] = address(target.endpoint, "endpoint")
             except ConfigError as error:
                 log.warn("list: host {uid}: {error}", uid=target.uid, error=error)
                 return None
         zone = self.zone(target.az)
         kind = self._kinds.setdefault(target.model, len(self._kinds))
         if state == EndpointStatus.GONE:
-            self._starts.forget((server,))
+            self._starts.forget((endpoint,))
             started_ms = target.boot_ms
         else:
-            started_ms = self._starts.started(server, target.boot_ms, now_ms, self._heard_ms)
-        return EndpointEntry(server, zone, kind, target.pod_group, state, target.capacity_hint, started_ms)
+            started_ms = self._starts.started(endpoint, target.boot_ms, now_ms, self._heard_ms)
+        return EndpointEntry(endpoint, zone, kind, target.pod_group, state, target.capacity_hint, started_ms)
--- a/puffindeck/service_discovery/start_times.py
+++ b/puffindeck/service_discovery/start_times.py
@@ -21,27 +21,27 @@
         self._told: dict[int, float] = {}
         self._started: dict[int, float] = {}
 
-    def started(self, server: int, told_ms: float, now_ms: float, heard_ms: float | None) -> float:
+    def started(self, endpoint: int, told_ms: float, now_ms: float, heard_ms: float | None) -> float:
         """A server's start; 0 for long ago.
 
         `heard_ms` is when discovery was last heard of before this list, None for the first list: a start
         that is news can't be older than that and a list's delay.
         """
         if told_ms <= 0.0:
-            self.forget((server,))
+            self.forget((endpoint,))
             return 0.0
-        if self._told.get(server) == told_ms:
-            return self._started[server]
+        if self._told.get(endpoint) == told_ms:
+            return self._started[endpoint]
         oldest = 0.0
         if heard_ms is not None:
             oldest = now_ms - LATE_MS - max(0.0, now_ms - heard_ms - QUIET_MS)
         plausible = oldest <= told_ms <= now_ms
-        self._told[server] = told_ms
-        self._started[server] = told_ms if plausible else now_ms
-        return self._started[server]
+        self._told[endpoint] = told_ms
+        self._started[endpoint] = told_ms if plausible else now_ms
+        return self._started[endpoint]
 
-    def forget(self, servers: Iterable[int]) -> None:
+    def forget(self, endpoints: Iterable[int]) -> None:
         """These servers are gone, or their starts long ago."""
-        for server in servers:
-            self._told.pop(server, None)
-            self._started.pop(server, None)
+        for endpoint in endpoints:
+            self._told.pop(endpoint, None)
+            self._started.pop(endpoint, None)
--- a/puffindeck/wire.py
+++ b/puffindeck/wire.py
@@ -96,8 +96,8 @@
         raise WireError("truncated frame: the server list is cut short")
     rows = ENTRY.iter_unpack(data[LIST.size : LIST.size + count * ENTRY.size])
     entries = [
-        EndpointEntry(server, zone, machine, cell, STATES[state], weight, started)
-        for server, zone, machine, cell, state, weight, started in rows
+        EndpointEntry(endpoint, zone, machine, cell, STATES[state], weight, started)
+        for endpoint, zone, machine, cell, state, weight, started in rows
         if state < len(STATES)
     ]
     return EndpointListUpdated(KINDS[kind], version, entries)
@@ -111,8 +111,8 @@
 
 
 def _opened(data: bytes) -> Event:
-    request, server, cls, tenant, hint, group, key, _left, flags = _fields(OPEN, data)
-    return ConnectionRestored(request, server, cls, tenant, hint if flags & 1 else 0.0, group, key)
+    request, endpoint, cls, tenant, hint, group, key, _left, flags = _fields(OPEN, data)
+    return ConnectionRestored(request, endpoint, cls, tenant, hint if flags & 1 else 0.0, group, key)
 
 
 def _began(data: bytes) -> Event:
@@ -120,15 +120,15 @@
 
 
 def _noted(data: bytes) -> Event | None:
-    request, _attempt, server, sort, level = _fields(INTERIM, data)
+    request, _attempt, endpoint, sort, level = _fields(INTERIM, data)
     if sort == 1:
-        return LoadReported(request, server, level)
-    return LatencyReported(request, server, level) if sort == 2 else None
+        return LoadReported(request, endpoint, level)
+    return LatencyReported(request, endpoint, level) if sort == 2 else None
 
 
 def _ended(data: bytes) -> Event:
-    request, outcome, server, attempt, final, took = _fields(DONE, data)
-    return AttemptEnded(request, OUTCOMES.get(outcome, Outcome.ERROR), server, attempt, bool(final), took)
+    request, outcome, endpoint, attempt, final, took = _fields(DONE, data)
+    return AttemptEnded(request, OUTCOMES.get(outcome, Outcome.ERROR), endpoint, attempt, bool(final), took)
 
 
 READERS: dict[int, Callable[[bytes], Event | None]] = {
@@ -155,7 +155,7 @@
 
 
 WRITERS: dict[type[Any], Callable[[Any], bytes]] = {
-    Send: lambda a: SEND.pack(0, 16, a.request, a.server, a.timeout_ms),
+    Send: lambda a: SEND.pack(0, 16, a.request, a.endpoint, a.timeout_ms),
     Reject: lambda a: REFUSE.pack(1, 12, a.request, a.retry_after_ms),
     Fail: lambda a: PLAIN.pack(2, 4, a.request),
     Cancel: lambda a: CANCEL.pack(3, 5, a.request, a.attempt),
--- a/tests/storeworld.py
+++ b/tests/storeworld.py
@@ -46,8 +46,8 @@
 class Attempt:
     """One attempt, from its send until it has ended."""
 
-    def __init__(self, client: Client, server: int, number: int, sent: float) -> None:
-        self.client, self.server, self.number, self.sent = client, server, number, sent
+    def __init__(self, client: Client, endpoint: int, number: int, sent: float) -> None:
+        self.client, self.endpoint, self.number, self.sent = client, endpoint, number, sent
         self.over = False
 
 
@@ -108,11 +108,11 @@
             assert action.request not in self.out[gateway], "two attempts at once"
             number = self.tries[gateway].get(action.request, 0)
             self.tries[gateway][action.request] = number + 1
-            attempt = Attempt(self.clients[gateway, action.request], action.server, number, self.now)
+            attempt = Attempt(self.clients[gateway, action.request], action.endpoint, number, self.now)
             self.out[gateway][action.request] = attempt
             self.attempts += 1
             self.at(self.now + action.timeout_ms, self.end, action.request, attempt, Outcome.TIMEOUT)
-            if action.server != self.grey:
+            if action.endpoint != self.grey:
                 self.queue.append((action.request, attempt))
                 self.work()
         elif isinstance(action, Cancel):
@@ -130,7 +130,7 @@
         gateway = attempt.client.gateway
         del self.out[gateway][request]
         final, took = attempt.client.up is not None, self.now - attempt.sent
-        self.tell(gateway, AttemptEnded(request, outcome, attempt.server, attempt.number, final, took))
+        self.tell(gateway, AttemptEnded(request, outcome, attempt.endpoint, attempt.number, final, took))
 
     def work(self) -> None:
         if not self.busy and self.queue:
@@ -146,5 +146,5 @@
             del self.out[client.gateway][request]
             client.up = self.now
             took = self.now - attempt.sent
-            self.tell(client.gateway, AttemptEstablished(request, attempt.server, took, attempt.number))
+            self.tell(client.gateway, AttemptEstablished(request, attempt.endpoint, took, attempt.number))
         self.work()
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -46,7 +46,7 @@
 def test_a_server_that_goes_moves_only_its_own_keys() -> None:
     before = Gateway()
     homes = {key: before.ask(key, key=key) for key in range(100, 103)}
-    after = Gateway(servers=0)
+    after = Gateway(endpoints=0)
     lost = homes[100]
     after.do(listed(*(entry(i) for i in range(1, 7) if i != lost)))
     for key, home in homes.items():
@@ -88,20 +88,20 @@
     gateway.do(LoadReported(2, gateway.at[2], 900.0))
     gateway.end(2, outcome, final=True)
     gateway.end(2, outcome, final=True)  # told twice: nothing more
-    for server in gateway.balancer.ready.values():
-        assert server.load == pytest.approx(0)
-        assert not server.conns
-        assert not server.groups
-        assert server.pending == 0
+    for endpoint in gateway.balancer.ready.values():
+        assert endpoint.load == pytest.approx(0)
+        assert not endpoint.connections
+        assert not endpoint.groups
+        assert endpoint.pending == 0
     assert not gateway.balancer.requests
 
 
 def test_a_connection_open_at_the_start_counts_and_is_not_sent() -> None:
     gateway = Gateway()
     assert not sends(gateway.do(ConnectionRestored(9, 3, 0, 0, 0.0, 0, 5)))
-    assert gateway.balancer.servers[3].load > 0
+    assert gateway.balancer.endpoints[3].load > 0
     gateway.do(AttemptEnded(9, Outcome.OK, 3, 0, True, 10.0))
-    assert gateway.balancer.servers[3].load == pytest.approx(0)
+    assert gateway.balancer.endpoints[3].load == pytest.approx(0)
 
 
 def test_a_draining_server_gets_nothing_new() -> None:
@@ -120,15 +120,15 @@
 
 
 def test_with_no_server_a_request_waits_and_goes_to_the_first_that_appears() -> None:
-    gateway = Gateway(servers=0)
+    gateway = Gateway(endpoints=0)
     assert gateway.ask(1) is None
     gateway.wait(500)
     gateway.do(listed(entry(8)))
-    assert [s.server for s in sends(gateway.wait(200))] == [8]
+    assert [s.endpoint for s in sends(gateway.wait(200))] == [8]
 
 
 def test_with_no_server_ever_it_is_answered_in_time() -> None:
-    gateway = Gateway(servers=0)
+    gateway = Gateway(endpoints=0)
     gateway.ask(1)
     answers = [a for a in gateway.wait(1200) if isinstance(a, (Reject, Fail))]
     assert len(answers) == 1
@@ -136,7 +136,7 @@
 
 def test_a_wake_that_comes_a_hair_early_is_not_the_last() -> None:
     """Clocks round: a deadline slept through leaves a request without its answer."""
-    gateway = Gateway(servers=0)
+    gateway = Gateway(endpoints=0)
     gateway.ask(1)
     for _ in range(100):
         due, token = min(gateway.wakes)
@@ -151,7 +151,7 @@
 def test_many_gateways_together_keep_the_cold_budget() -> None:
     """Rule 4 at size: a tenth of a connection a server each, and all meet the same restarted servers."""
     settings = replace(SETTINGS, gateways=400)
-    gateways = [Gateway(settings, servers=10, seed=seed) for seed in range(400)]
+    gateways = [Gateway(settings, endpoints=10, seed=seed) for seed in range(400)]
     for number, gateway in enumerate(gateways):
         gateway.connect(1, key=number)
     young = [entry(i, started=1000.0) for i in (1, 2, 3)]
@@ -178,12 +178,12 @@
     """Where many gateways of three connections each put a group that brings a third of all load."""
     told, placed = replace(SETTINGS, gateways=gateways), Counter[int]()
     for number in range(gateways):
-        gateway = Gateway(told, servers=40, seed=number)
+        gateway = Gateway(told, endpoints=40, seed=number)
         for request in range(1000 * number, 1000 * number + 12):
             busy = request % 3 == 0
-            server = gateway.connect(request, group=group if busy else others + request % 7)
+            endpoint = gateway.connect(request, group=group if busy else others + request % 7)
             if busy:
-                placed[server] += 1
+                placed[endpoint] += 1
     return placed
 
 
@@ -196,16 +196,16 @@
 
 def test_a_group_is_not_scattered_over_a_strained_fleet() -> None:
     """Connections spilled ever further make every server pay for every group, until none serves."""
-    gateway = Gateway(servers=20)
+    gateway = Gateway(endpoints=20)
     for request in range(1, 201):
         gateway.connect(request, group=1 + request % 10, load=1000.0)
     gateway.wait(2000)
     tried = set()
     for request in range(500, 560):
-        server = gateway.ask(request, group=1)
-        if server is not None:
-            tried.add(server)
-            gateway.balancer.servers[server].ceiling = 0.0
+        endpoint = gateway.ask(request, group=1)
+        if endpoint is not None:
+            tried.add(endpoint)
+            gateway.balancer.endpoints[endpoint].ceiling = 0.0
             gateway.end(request, Outcome.FULL, final=True)
     assert len(tried) <= 6
     assert any(isinstance(a, Reject) for a in gateway.wait(1300))
@@ -226,10 +226,10 @@
     for request in range(1, 61):
         gateway.connect(request, key=request)
     home = gateway.at[1]
-    held = len(gateway.balancer.servers[home].conns)
+    held = len(gateway.balancer.endpoints[home].connections)
     gateway.do(*(AttemptEnded(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
     request = 100
-    while gateway.balancer.servers[home].connect_fails < 2 and request < 1000:
+    while gateway.balancer.endpoints[home].connect_fails < 2 and request < 1000:
         request += 1
         if gateway.ask(request, key=request) == home:
             gateway.end(request, Outcome.CONNECT_FAILED)
@@ -266,7 +266,7 @@
 
 
 def test_when_all_servers_fail_the_ring_still_serves() -> None:
-    gateway = Gateway(servers=3)
+    gateway = Gateway(endpoints=3)
     for request in range(1, 13):
         gateway.ask(request, key=request)
         gateway.end(request, Outcome.CONNECT_FAILED, final=True)
@@ -309,7 +309,7 @@
 def test_a_slow_server_is_relieved_step_by_step_and_gets_less() -> None:
     gateway = filled()
     home = gateway.at[1]
-    before = len(gateway.balancer.servers[home].conns)
+    before = len(gateway.balancer.endpoints[home].connections)
     moves = []
     for _ in range(3):
         gateway.delay(home, 200)
@@ -323,21 +323,21 @@
     gateway = filled()
     home = gateway.at[1]
     gateway.delay(home, 400)
-    ceiling = gateway.balancer.servers[home].ceiling
+    ceiling = gateway.balancer.endpoints[home].ceiling
     gateway.wait(1000)
     gateway.delay(home, 200)
-    assert gateway.balancer.servers[home].ceiling == ceiling
+    assert gateway.balancer.endpoints[home].ceiling == ceiling
 
 
 def test_overload_of_the_whole_fleet_is_shed_and_refused_within_the_aim() -> None:
     """All servers drowning serve nobody: some must be turned away so that the rest are served."""
     gateway = filled()
-    for server in range(1, 7):
-        gateway.delay(server, 500)
+    for endpoint in range(1, 7):
+        gateway.delay(endpoint, 500)
     assert any(isinstance(a, Migrate) for a in gateway.wait(1000))
     for _ in range(4):
-        for server in range(1, 7):
-            gateway.delay(server, 500)
+        for endpoint in range(1, 7):
+            gateway.delay(endpoint, 500)
         gateway.wait(1000)
     for request in range(1, 121):  # the moved ones leave
         if gateway.balancer.requests.get(request) and gateway.balancer.requests[request].answered:
@@ -350,12 +350,12 @@
 
 @pytest.mark.parametrize("longest", [1500.0, 700.0, 0.0])  # 0: clients here are told none
 def test_a_refused_client_is_told_at_once_when_to_come_back(longest: float) -> None:
-    gateway = Gateway(replace(SETTINGS, max_retry_after_ms=longest), servers=2)
+    gateway = Gateway(replace(SETTINGS, max_retry_after_ms=longest), endpoints=2)
     for request in range(1, 41):
         gateway.connect(request, key=request, load=1.0)
     for _ in range(8):
-        for server in (1, 2):
-            gateway.delay(server, 500)
+        for endpoint in (1, 2):
+            gateway.delay(endpoint, 500)
         gateway.wait(1000)
     for request in range(1000, 1020):
         gateway.ask(request, key=request)
@@ -373,15 +373,15 @@
     home = gateway.at[1]
     for request in [r for r, s in gateway.at.items() if s == home]:
         gateway.end(request, Outcome.OK, final=True)
-    server = gateway.balancer.servers[home]
-    server.ceiling = 0.25 * gateway.balancer.mean_load
+    endpoint = gateway.balancer.endpoints[home]
+    endpoint.ceiling = 0.25 * gateway.balancer.mean_load
     entered = 0
     for request in range(500, 700):
         if gateway.ask(request, key=request) == home:
             entered += 1
         if request in gateway.at:
             gateway.end(request, Outcome.OK, final=True)
-    gateway.balancer.servers[home].ceiling = float("inf")
+    gateway.balancer.endpoints[home].ceiling = float("inf")
     open_to_all = 0
     for request in range(700, 900):
         if gateway.ask(request, key=request - 200) == home:
@@ -392,7 +392,7 @@
 
 
 def test_shedding_takes_lone_members_of_groups_first() -> None:
-    gateway = Gateway(servers=1)
+    gateway = Gateway(endpoints=1)
     for request in range(1, 21):
         gateway.connect(request, group=1, load=1000.0)
     gateway.connect(21, group=2, load=1000.0)
@@ -431,18 +431,18 @@
 
 
 def test_home_zone_first_where_crossing_costs_and_abroad_when_home_is_strained() -> None:
-    gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), servers=0)
+    gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), endpoints=0)
     gateway.do(listed(*(entry(i, zone=i % 2) for i in range(1, 7))))
     assert all(gateway.connect(r, key=r, load=1000.0) % 2 == 0 for r in range(1, 31))
     gateway.wait(2000)
-    for server in (2, 4, 6):
-        gateway.delay(server, 500)
+    for endpoint in (2, 4, 6):
+        gateway.delay(endpoint, 500)
     gateway.wait(1000)
     assert any((gateway.ask(r, key=r) or 0) % 2 for r in range(100, 140))
 
 
 def test_a_tenant_over_its_share_is_turned_away_first_when_servers_are_full() -> None:
-    gateway = Gateway(replace(SETTINGS, tenant_connection_quotas=(2.0,)), servers=1)
+    gateway = Gateway(replace(SETTINGS, tenant_connection_quotas=(2.0,)), endpoints=1)
     for request in range(1, 10):
         gateway.connect(request, group=1, load=1000.0)  # while there is room nobody is turned away
     gateway.wait(2000)
@@ -469,18 +469,18 @@
 def test_nothing_grows_over_a_long_life() -> None:
     gateway = Gateway()
     for round_ in range(200):
-        server = 100 + round_
-        gateway.do(listed(*(entry(i) for i in range(1, 6)), entry(server), version=round_ + 2))
+        endpoint = 100 + round_
+        gateway.do(listed(*(entry(i) for i in range(1, 6)), entry(endpoint), version=round_ + 2))
         for request in range(round_ * 20 + 1, round_ * 20 + 21):
             gateway.connect(request, group=request, key=request)
             gateway.end(request, Outcome.OK, final=True)
         gateway.wait(1500)
     balancer = gateway.balancer
-    assert len(balancer.servers) <= 7
+    assert len(balancer.endpoints) <= 7
     assert len(balancer.timers) < 60
     assert not balancer.requests
     assert not any(balancer.tenants.values())
-    assert not any(s.groups or s.conns for s in balancer.servers.values())
+    assert not any(s.groups or s.connections for s in balancer.endpoints.values())
 
 
 def test_actions_do_not_depend_on_the_process() -> None:
@@ -506,7 +506,7 @@
 
 def test_what_no_server_can_use_is_held_against_none() -> None:
     """The id of a request open at another gateway: every server answers ERR, or closes."""
-    gateway = Gateway(servers=4)
+    gateway = Gateway(endpoints=4)
     for outcome in (Outcome.ERROR, Outcome.RESET):
         for request in range(1, 9):
             number = request + 100 * outcome
@@ -518,7 +518,7 @@
 
 
 def test_a_server_that_fails_what_others_serve_is_left_out() -> None:
-    gateway = Gateway(servers=4)
+    gateway = Gateway(endpoints=4)
     first = gateway.ask(1, key=7)
     assert first is not None
     gateway.end(1, Outcome.RESET)
@@ -530,12 +530,12 @@
 
 def test_a_time_out_shorter_than_set_ups_take_tells_nothing() -> None:
     """Clients may give a millisecond; that must not cost servers their good name."""
-    gateway = Gateway(servers=4)
+    gateway = Gateway(endpoints=4)
     for request in range(1, 40):
         gateway.connect(request)
-    server = gateway.ask(50, key=7)
-    assert server is not None
-    gateway.do(AttemptEnded(50, Outcome.TIMEOUT, server, 0, False, 1.0))
+    endpoint = gateway.ask(50, key=7)
+    assert endpoint is not None
+    gateway.do(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
     assert not gateway.balancer.failing
     gateway.end(50, Outcome.TIMEOUT, took=300.0)
     assert len(gateway.balancer.failing) == 1
@@ -543,21 +543,21 @@
 
 def test_a_group_whose_servers_stay_strained_is_placed_elsewhere() -> None:
     """Others are not strained: seconds of refusals cost more than one more server pays for the group."""
-    gateway = Gateway(servers=6)
+    gateway = Gateway(endpoints=6)
     for request in range(200, 280):
         gateway.connect(request, key=request)
     gateway.at.clear()
     for request in range(1, 13):
         gateway.connect(request, group=9)
     strained = set(gateway.at.values())
-    for server in strained:
-        gateway.delay(server, 400)
+    for endpoint in strained:
+        gateway.delay(endpoint, 400)
     asked_at, request = gateway.now, 100
     while gateway.ask(request, group=9) in strained | {None} and gateway.now < asked_at + 5000:
         gateway.wait(250)
-        for server in strained:
-            if gateway.balancer.servers[server].conns:
-                gateway.delay(server, 400)
+        for endpoint in strained:
+            if gateway.balancer.endpoints[endpoint].connections:
+                gateway.delay(endpoint, 400)
         request += 1
     assert gateway.at.get(request) not in strained | {None}
     assert gateway.now - asked_at <= 500
@@ -565,18 +565,18 @@
 
 def test_a_small_home_zone_is_not_filled_beyond_the_fleets_mean() -> None:
     """One server at home, four elsewhere: the other gateway's clients can't fill those four alone."""
-    gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.01), servers=0)
+    gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.01), endpoints=0)
     gateway.do(listed(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
     for request in range(1, 61):
         gateway.connect(request, key=request)
-    home = sum(server == 1 for server in gateway.at.values())
+    home = sum(endpoint == 1 for endpoint in gateway.at.values())
     assert 15 <= home <= 40  # 60 of 120 on one of five would be two and a half times the mean
 
 
 def test_relief_comes_soon_where_few_connections_are_new() -> None:
     """What many newcomers bring at once passes by itself; a standing load stays until it is moved."""
     for seed in range(1, 6):
-        gateway = Gateway(servers=3, seed=seed)
+        gateway = Gateway(endpoints=3, seed=seed)
         for request in range(1, 31):
             gateway.connect(request, key=request)
         gateway.wait(5000)
@@ -586,23 +586,23 @@
 
 def test_a_server_is_held_back_before_its_messages_are_late() -> None:
     """Delays are told from a third of the aim on; at half of it the pile is late before it is moved."""
-    gateway = Gateway(servers=3)
+    gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
-    server = gateway.balancer.servers[gateway.at[1]]
-    gateway.delay(server.id, 0.4 * gateway.balancer.message_aim)
-    assert server.ceiling < server.load
-    other = gateway.balancer.servers[next(s for s in (1, 2, 3) if s != server.id)]
+    endpoint = gateway.balancer.endpoints[gateway.at[1]]
+    gateway.delay(endpoint.id, 0.4 * gateway.balancer.message_aim)
+    assert endpoint.ceiling < endpoint.load
+    other = gateway.balancer.endpoints[next(s for s in (1, 2, 3) if s != endpoint.id)]
     gateway.delay(other.id, 0.3 * gateway.balancer.message_aim)
     assert other.ceiling == float("inf")
 
 
 def test_a_server_taken_out_gets_nothing_whatever_the_list_says_and_empties_one_by_one() -> None:
-    gateway = Gateway(servers=3)
+    gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
     out = gateway.at[1]
-    standing = {r for r, server in gateway.at.items() if server == out}
+    standing = {r for r, endpoint in gateway.at.items() if endpoint == out}
     late = next(r for r in range(31, 99) if gateway.ask(r, key=r) == out)
     for _ in range(2):
         gateway.do(EndpointDetached(out))
@@ -617,7 +617,7 @@
 
 def test_a_server_put_back_is_cold_and_gets_the_next_connection_that_it_may() -> None:
     for told in (0.0, 2500.0):  # its start, as the list tells it while it is out
-        gateway = Gateway(servers=3)
+        gateway = Gateway(endpoints=3)
         for request in range(1, 31):
             gateway.connect(request, key=request)
         gateway.wait(600)
@@ -625,9 +625,9 @@
         gateway.wait(2000)
         gateway.do(listed(entry(1, started=told), entry(2), entry(3), version=2))
         gateway.do(EndpointAttached(1))
-        server = gateway.balancer.servers[1]
-        assert server.started == (told or gateway.now)
-        assert gateway.balancer._warmth(server) < 0.5
+        endpoint = gateway.balancer.endpoints[1]
+        assert endpoint.started == (told or gateway.now)
+        assert gateway.balancer._warmth(endpoint) < 0.5
         first = next(r for r in range(100, 130) if gateway.ask(r, key=r) == 1 or gateway.wait(100) is None)
         gateway.begin(first)
         assert first < 120
@@ -635,11 +635,11 @@
         before = len(sends(gateway.actions))
         for request in range(200, 230):  # all at once: rule 4 holds for it as for any cold one
             gateway.ask(request, key=request)
-        assert sum(s.server == 1 for s in sends(gateway.actions)[before:]) <= 2
+        assert sum(s.endpoint == 1 for s in sends(gateway.actions)[before:]) <= 2
 
 
 def test_retuning_leaves_open_requests_their_rules_and_attempts() -> None:
-    gateway = Gateway(servers=3)
+    gateway = Gateway(endpoints=3)
     gateway.ask(1, key=1)
     strict = replace(SETTINGS.classes[0], name="strict", deadline_ms=200)
     gateway.do(SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1)))
@@ -650,14 +650,14 @@
 
 
 def test_what_the_process_before_saw_of_a_server_holds() -> None:
-    before, after = Gateway(servers=3), Gateway(servers=3)
+    before, after = Gateway(endpoints=3), Gateway(endpoints=3)
     for request in range(1, 31):
         before.connect(request, group=7)
     strained = before.at[1]
     before.delay(strained, 900)
-    for server, ceiling in before.balancer.ceilings().items():
-        after.do(LoadLimitRestored(server, ceiling))
+    for endpoint, ceiling in before.balancer.ceilings().items():
+        after.do(LoadLimitRestored(endpoint, ceiling))
     for request in range(1, 31):
         after.ask(request, group=7)
-    held = after.balancer.servers[strained]
-    assert held.load <= held.ceiling == before.balancer.servers[strained].ceiling
+    held = after.balancer.endpoints[strained]
+    assert held.load <= held.ceiling == before.balancer.endpoints[strained].ceiling
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -54,14 +54,14 @@
 
 
 def test_a_release_of_all_servers_locks_nobody_out() -> None:
-    gateway = Gateway(COLD, servers=5)
+    gateway = Gateway(COLD, endpoints=5)
     released(gateway, 46)
     # 2.5 x 9.2 connections are held to fill a server: at 4 times the warmth's pace, half of it ours
     assert placed(gateway, 46, rounds=8) >= 30
 
 
 def test_a_gateway_that_starts_while_all_are_cold_serves_those_that_wait() -> None:
-    gateway = Gateway(COLD, servers=0)
+    gateway = Gateway(COLD, endpoints=0)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
     gateway.do(listed(*fresh))
     assert placed(gateway, 46, rounds=12) >= 30
@@ -70,7 +70,7 @@
 def test_those_that_wait_are_wanted_however_long_ago_they_came() -> None:
     """A crowd that waits for cold servers must not pass for a calm once nobody new has come for long."""
     slow = replace(COLD.classes[0], latency_objective_ms=60000.0, deadline_ms=60000.0)
-    gateway = Gateway(replace(COLD, gateways=20, classes=(slow,)), servers=5)
+    gateway = Gateway(replace(COLD, gateways=20, classes=(slow,)), endpoints=5)
     for request in range(1, 21):
         gateway.connect(request, key=request)
     gateway.do(listed(*(replace(entry(i), started_ms=gateway.now) for i in range(1, 6)), version=2))
@@ -87,7 +87,7 @@
 
 
 def test_what_stood_long_ago_counts_for_little() -> None:
-    gateway = Gateway(COLD, servers=5)
+    gateway = Gateway(COLD, endpoints=5)
     released(gateway, 46)
     before = gateway.balancer.mean_held
     gateway.wait(3 * COLD.slow_start_ms)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -75,7 +75,7 @@
     def restart(self, cold: int, gateways_too: bool) -> list[float]:
         """So many servers are replaced, or all with all gateways; when those who lost theirs come again."""
         young = set(range(1, cold + 1))
-        lost = [n for n, (_, server) in self.where.items() if gateways_too or server in young]
+        lost = [n for n, (_, endpoint) in self.where.items() if gateways_too or endpoint in young]
         news = [entry(i, started=self.begun if i in young else 0.0) for i in range(1, SERVERS + 1)]
         if gateways_too:
             self.fleet = [Gateway(self.told, 0, self.seed * 777 + i) for i in range(self.gateways)]
@@ -110,7 +110,7 @@
                     gateway.ask(n, **self.who())
                 for action in gateway.actions[before:]:
                     if isinstance(action, Send):
-                        sent.append((now, action.server))
+                        sent.append((now, action.endpoint))
                         gateway.begin(action.request)
                     elif isinstance(action, Reject | Fail):
                         heappush(coming, now + 100 + 900 * self.random.random())
@@ -137,17 +137,17 @@
 }
 
 
-def held_to(crowd: Crowd, sent: list[tuple[float, int]], servers: range) -> int:
+def held_to(crowd: Crowd, sent: list[tuple[float, int]], endpoints: range) -> int:
     """What those servers were sent, in every stretch within what it may be."""
     placed = 0
-    for server in servers:
-        times = [at for at, where in sent if where == server]
+    for endpoint in endpoints:
+        times = [at for at, where in sent if where == endpoint]
         placed += len(times)
         first = 0
         for last, at in enumerate(times):
             while times[first] < at - crowd.told.slow_start_window_ms:
                 first += 1
-            assert last - first + 1 <= crowd.most(times[first]), (crowd.seed, server, at - crowd.begun)
+            assert last - first + 1 <= crowd.most(times[first]), (crowd.seed, endpoint, at - crowd.begun)
     return placed
 
 
@@ -174,4 +174,4 @@
         crowd.begun = crowd.fleet[0].now
         sent = crowd.play([], rate=4.0)
         assert held_to(crowd, sent, range(1, 2)) > 0
-        assert min(at for at, server in sent if server == 1) < crowd.begun + 5000
+        assert min(at for at, endpoint in sent if endpoint == 1) < crowd.begun + 5000
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -52,15 +52,15 @@
 START = 1.0e12
 
 
-def ring(servers: list[int]) -> Ring:
-    owners = {point: server for server in servers for point in points(server)}
+def ring(endpoints: list[int]) -> Ring:
+    owners = {point: endpoint for endpoint in endpoints for point in points(endpoint)}
     return sorted(owners), owners
 
 
 def entries(
-    servers: list[int], state: EndpointStatus = EndpointStatus.READY, started: float = 0.0
+    endpoints: list[int], state: EndpointStatus = EndpointStatus.READY, started: float = 0.0
 ) -> list[EndpointEntry]:
-    return [EndpointEntry(server, 0, 0, 0, state, 1.0, started) for server in servers]
+    return [EndpointEntry(endpoint, 0, 0, 0, state, 1.0, started) for endpoint in endpoints]
 
 
 def members(count: int, listed: list[EndpointEntry], at: float = START) -> list[Member]:
@@ -78,7 +78,7 @@
 
 
 def serve(member: Balancer, now: float, sent: Send, attempt: int = 0) -> None:
-    member.handle(now, [AttemptEstablished(sent.request, sent.server, 5.0, attempt)])
+    member.handle(now, [AttemptEstablished(sent.request, sent.endpoint, 5.0, attempt)])
 
 
 def alike(gateway: Balancer) -> float:
@@ -89,8 +89,8 @@
         key = random.getrandbits(63)
         sent = ask(gateway, START + i, i + 1, key)
         serve(gateway, START + i, sent)
-        gateway.handle(START + i, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 6.0)])
-        same += ask(member, START, 1, key).server == sent.server
+        gateway.handle(START + i, [AttemptEnded(sent.request, Outcome.OK, sent.endpoint, 0, True, 6.0)])
+        same += ask(member, START, 1, key).endpoint == sent.endpoint
     return same / 400
 
 
@@ -99,29 +99,29 @@
 
 class TestEvened:
     @settings(derandomize=True, max_examples=60, deadline=None)
-    @given(servers=servers_lists, bound=st.floats(1.0, 1.5), data=st.data())
+    @given(endpoints=servers_lists, bound=st.floats(1.0, 1.5), data=st.data())
     def test_no_share_is_over_the_bound_and_nothing_is_lost(
-        self, servers: list[int], bound: float, data: Any
+        self, endpoints: list[int], bound: float, data: Any
     ) -> None:
-        sizes = {s: data.draw(st.sampled_from([0.0, 0.5, 1.0, 3.0])) for s in servers}
+        sizes = {s: data.draw(st.sampled_from([0.0, 0.5, 1.0, 3.0])) for s in endpoints}
         total = sum(sizes.values())
         if not total:
-            sizes[servers[0]] = total = 1.0
-        found = shares(evened(*ring(servers), sizes, bound))
+            sizes[endpoints[0]] = total = 1.0
+        found = shares(evened(*ring(endpoints), sizes, bound))
         assert sum(found.values()) == pytest.approx(1.0)
-        for server, share in found.items():
-            assert share <= bound * sizes[server] / total + (len(servers) + 1) * 17 / SPAN
+        for endpoint, share in found.items():
+            assert share <= bound * sizes[endpoint] / total + (len(endpoints) + 1) * 17 / SPAN
 
     @settings(derandomize=True, max_examples=40, deadline=None)
-    @given(servers=servers_lists, seed=st.integers(0, 99))
+    @given(endpoints=servers_lists, seed=st.integers(0, 99))
     def test_clients_that_heard_of_servers_in_another_order_have_the_same_ring(
-        self, servers: list[int], seed: int
+        self, endpoints: list[int], seed: int
     ) -> None:
-        sizes = dict.fromkeys(servers, 1.0)
+        sizes = dict.fromkeys(endpoints, 1.0)
         mixed_up = list(sizes)
         Random(seed).shuffle(mixed_up)
         again = evened(*ring(mixed_up), dict.fromkeys(mixed_up, 1.0), EVENNESS)
-        assert evened(*ring(servers), sizes, EVENNESS) == again
+        assert evened(*ring(endpoints), sizes, EVENNESS) == again
 
     def test_a_server_under_its_due_keeps_all_that_was_its_own(self) -> None:
         before = ring(SERVERS)
@@ -206,8 +206,8 @@
             for member in made:
                 now = START + 20000 * draw
                 sent = ask(member, now, draw + 1, random.getrandbits(63))
-                member.handle(now, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 9.0)])
-                counts[sent.server] += 1
+                member.handle(now, [AttemptEnded(sent.request, Outcome.OK, sent.endpoint, 0, True, 9.0)])
+                counts[sent.endpoint] += 1
             assert len(counts) == 15
             fullest.append(max(counts.values()) / 40)
         assert sum(fullest) / 8 <= 1.35
@@ -232,9 +232,9 @@
             sent = ask(member, START + 100 * i, i + 1, 4711)
             serve(member, START + 100 * i + 5, sent)
             member.handle(
-                START + 100 * i + 9, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 9.0)]
+                START + 100 * i + 9, [AttemptEnded(sent.request, Outcome.OK, sent.endpoint, 0, True, 9.0)]
             )
-            homes.add(sent.server)
+            homes.add(sent.endpoint)
         assert len(homes) == 1
 
     def test_cold_servers_fill_by_lot_within_the_budget_and_their_keys_go_round(self) -> None:
@@ -244,7 +244,7 @@
             random = Random(int(age))
             listed = entries(SERVERS[3:]) + entries(SERVERS[:3], started=START - age)
             for member in members(600, listed):
-                counts[ask(member, START + random.random() * 900, 1, random.getrandbits(63)).server] += 1
+                counts[ask(member, START + random.random() * 900, 1, random.getrandbits(63)).endpoint] += 1
             warmth = 0.31 + 0.69 * age / 9000
             budget = 3 * warmth * 40 / 9  # of connections in a second, each server being full with 40
             assert all(counts[cold] <= budget for cold in SERVERS[:3])
@@ -267,8 +267,8 @@
             numbers[i] += 1
             sent = ask(made[i], now, numbers[i], random.getrandbits(63))
             serve(made[i], now, sent)
-            made[i].handle(now + 1, [AttemptEnded(sent.request, Outcome.OK, sent.server, 0, True, 9.0)])
-            if step > 2000 and sent.server == cold:
+            made[i].handle(now + 1, [AttemptEnded(sent.request, Outcome.OK, sent.endpoint, 0, True, 9.0)])
+            if step > 2000 and sent.endpoint == cold:
                 used.append(now - back)
         assert used[0] < 3000
         for at in used:  # 200 / 3 a second over 15 servers is what it does when warm
@@ -279,20 +279,20 @@
         member = members(1, entries(SERVERS))[0]
         sent = ask(member, START, 1, 4711)
         now = START + 20000  # nothing was heard for 20 s
-        member.handle(now, [AttemptEnded(1, Outcome.CONNECT_FAILED, sent.server, 0, True, 1.0)])
-        assert member.servers[sent.server].connect_fails == 1
-        home = sent.server
+        member.handle(now, [AttemptEnded(1, Outcome.CONNECT_FAILED, sent.endpoint, 0, True, 1.0)])
+        assert member.endpoints[sent.endpoint].connect_fails == 1
+        home = sent.endpoint
         again = None
         for i in range(2, 40):  # suspect for a second at least, then tried again
             now += 200
             again = ask(member, now, i, 4711)
-            if again.server == home:
+            if again.endpoint == home:
                 break
             serve(member, now, again)
         assert again is not None
-        assert again.server == home
+        assert again.endpoint == home
         serve(member, now, again)
-        assert member.servers[home].started == now
+        assert member.endpoints[home].started == now
         assert home in member._cold_now()
 
     def test_the_rosters_age_is_known(self) -> None:
@@ -328,7 +328,7 @@
         for member in members(200, entries(SERVERS)):
             member.handle(START + 10, [EndpointDetached(back)])
             member.handle(START + 5000, [EndpointAttached(back)])
-            went += ask(member, START + 5001, 1, member.random.getrandbits(63)).server == back
+            went += ask(member, START + 5001, 1, member.random.getrandbits(63)).endpoint == back
         assert went <= 3
 
     def test_a_zone_with_a_price_on_crossing_is_even_within_itself(self) -> None:
@@ -341,7 +341,7 @@
         for seed in range(200):
             member = Member(priced, seed)
             member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
-            counts[ask(member, START, 1, random.getrandbits(63)).server] += 1
+            counts[ask(member, START, 1, random.getrandbits(63)).endpoint] += 1
         assert set(counts) == set(SERVERS[::3])
         assert max(counts.values()) / 40 <= 1.35
 
@@ -351,11 +351,13 @@
             member = members(1, entries(SERVERS))[0]
             for i in range(1, 120):  # some stand, so that homes fill up, and some fail
                 sent = ask(member, START + 10 * i, i, random.getrandbits(6))
-                found.append(sent.server if isinstance(sent, Send) else 0)
+                found.append(sent.endpoint if isinstance(sent, Send) else 0)
                 if isinstance(sent, Send):
                     serve(member, START + 10 * i, sent)
                 if isinstance(sent, Send) and i % 7 == 0:
-                    member.handle(START + 10 * i, [AttemptEnded(i, Outcome.RESET, sent.server, 0, True, 9.0)])
+                    member.handle(
+                        START + 10 * i, [AttemptEnded(i, Outcome.RESET, sent.endpoint, 0, True, 9.0)]
+                    )
             return found
 
         with_it = choices()
@@ -373,5 +375,5 @@
         member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
         found = shares(member.whole(None))
         assert max(found, key=lambda s: found[s]) == SERVERS[0]
-        for server, share in found.items():
-            assert share <= EVENNESS * (3 if server == SERVERS[0] else 1) / 17 + 1e-6
+        for endpoint, share in found.items():
+            assert share <= EVENNESS * (3 if endpoint == SERVERS[0] else 1) / 17 + 1e-6
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,12 +15,12 @@
 ZONES = 4
 
 
-def fleet(gateways: int, servers: int = 16) -> list[Gateway]:
+def fleet(gateways: int, endpoints: int = 16) -> list[Gateway]:
     """Gateways spread over four zones, with the servers of all zones in their lists."""
     settings = replace(SETTINGS, gateways=gateways, cross_zone_cost=0.0067)
-    made = [Gateway(replace(settings, zone=g % ZONES), servers=0, seed=g) for g in range(gateways)]
+    made = [Gateway(replace(settings, zone=g % ZONES), endpoints=0, seed=g) for g in range(gateways)]
     for gateway in made:
-        gateway.do(listed(*(entry(s, zone=s % ZONES) for s in range(1, servers + 1))))
+        gateway.do(listed(*(entry(s, zone=s % ZONES) for s in range(1, endpoints + 1))))
     return made
 
 
@@ -33,7 +33,12 @@
         gateway.connect(number + 1, group=group, key=number)
     for group in groups:
         holding += len(
-            {r.server.id for g in made for r in g.balancer.requests.values() if r.group == group and r.server}
+            {
+                r.endpoint.id
+                for g in made
+                for r in g.balancer.requests.values()
+                if r.group == group and r.endpoint
+            }
         )
     assert holding <= 36  # 40 and 45 where the own zone came first
 
@@ -43,9 +48,9 @@
     for gateway in fleet(8):
         zone = gateway.balancer.settings.zone
         for key in range(1, 6):
-            server = gateway.connect(key, key=key + 100 * zone)
-            gateway.do(LoadReported(key, server, 1.0))
-            assert server % ZONES == zone
+            endpoint = gateway.connect(key, key=key + 100 * zone)
+            gateway.do(LoadReported(key, endpoint, 1.0))
+            assert endpoint % ZONES == zone
 
 
 def fullest(gateways: int, each: int, seed: int) -> float:
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -97,7 +97,7 @@
         host.write(b"UP r\r\n")
         self.assertEqual(await client.line(), b"UP r")
         self.assertEqual(
-            [e.server for e in self.ends(ConnectionRestored)], [self.node.directory.number("h1")]
+            [e.endpoint for e in self.ends(ConnectionRestored)], [self.node.directory.number("h1")]
         )
         host.transport.abortConnection()
         self.assertEqual(await client.ended(), "ConnectionLost")
@@ -196,8 +196,8 @@
                 host.transport.abortConnection()
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
             self.assertEqual(self.ends(AttemptEnded)[-1].outcome, outcome)
-            server = self.node.engine.balancer.servers[self.node.directory.number("h0")]
-            server.suspect_until, server.ceiling = 0.0, float("inf")  # each as if it were the first
+            endpoint = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
+            endpoint.suspect_until, endpoint.ceiling = 0.0, float("inf")  # each as if it were the first
         await self.hosts["h0"].port.stopListening()
         client = await self.client(ASK)
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
@@ -514,8 +514,8 @@
         self.assertEqual(len(gone.peers), 1)  # the old one is not asked again
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
-        held = self.node.engine.balancer.servers[self.node.directory.number(uid)]
-        self.assertEqual(len(held.conns), 1)
+        held = self.node.engine.balancer.endpoints[self.node.directory.number(uid)]
+        self.assertEqual(len(held.connections), 1)
         other.peers += gone.peers
 
     def test_what_a_reload_cant_change_is_named_each_time_and_stays(self) -> None:
--- a/tests/test_patience.py
+++ b/tests/test_patience.py
@@ -68,7 +68,7 @@
     world = StoreWorld(RULES, 1, hosts=6, setup_ms=5.0)
     world.come(0.0, 0, key)
     world.run(1.0)
-    return next(iter(world.out[0].values())).server
+    return next(iter(world.out[0].values())).endpoint
 
 
 def test_where_attempts_cannot_be_given_up_their_time_leaves_room_for_another() -> None:
--- a/tests/test_quic.py
+++ b/tests/test_quic.py
@@ -94,7 +94,7 @@
 
     def __init__(self, number: int) -> None:
         self.server_id = number.to_bytes(4, "big")
-        self.conns: list[QuicConnection] = []
+        self.connections: list[QuicConnection] = []
         self.mute = False
         super().__init__()
 
@@ -117,7 +117,7 @@
             conn = next(
                 (
                     c
-                    for c in self.conns
+                    for c in self.connections
                     if packet.to in (c.original_destination_connection_id, *(i.cid for i in c._host_cids))
                 ),
                 None,
@@ -130,7 +130,7 @@
                 )
                 told.certificate, told.private_key = CERTIFICATE, PRIVATE
                 conn = QuicConnection(configuration=told, original_destination_connection_id=packet.to)
-                self.conns.append(conn)
+                self.connections.append(conn)
             conn.receive_datagram(datagram, addr, reactor.seconds())
             self.pump(conn)
 
@@ -241,7 +241,7 @@
             await caller.new_address(new_id)
             await self.speak(caller, said)
         self.assertEqual(self.got(self.boxes[uid]), b"onetwothree")
-        self.assertEqual([len(b.conns) for u, b in self.boxes.items() if u != uid], [0])
+        self.assertEqual([len(b.connections) for u, b in self.boxes.items() if u != uid], [0])
         self.assertEqual(len([f for f in self.front.flows if f.up]), 3)
 
     async def test_a_draining_box_keeps_its_stream_and_gets_no_new_work(self) -> None:
@@ -249,18 +249,18 @@
         watch = await self.watched()
         caller, uid = await self.talk()
         self.news(watch, 2, False, self.target(uid, "DRAINING"))
-        server = self.node.directory.number(uid)
-        await self.until(lambda: server in self.node.engine.reachability.unfit_since, "the news")
+        endpoint = self.node.directory.number(uid)
+        await self.until(lambda: endpoint in self.node.engine.reachability.unfit_since, "the news")
         told = self.node.deadlines.clock.now()
         await self.until(lambda: ms(self.node.deadlines.clock.now() - told) > 500, "the grace to pass")
-        box, before = self.boxes[uid], len(self.boxes[uid].conns)
+        box, before = self.boxes[uid], len(self.boxes[uid].connections)
         for _ in range(3):
             other, elsewhere = await self.talk()
             self.assertNotEqual(elsewhere, uid)
         # an Initial whose id names the draining box is new work all the same
         other = self.call(IDS.issue(box.server_id))
         await self.until(lambda: other.of(events.HandshakeCompleted), "its handshake elsewhere")
-        self.assertEqual(len(box.conns), before)
+        self.assertEqual(len(box.connections), before)
         for new_id, said in ((True, b"two"), (False, b"three")):
             await caller.new_address(new_id)
             await self.speak(caller, said)
@@ -269,13 +269,13 @@
     async def test_a_detached_box_keeps_its_stream_and_gets_no_new_work(self) -> None:
         self.build_quic(drain_grace_ms=0)
         caller, uid = await self.talk()
-        box, server = self.boxes[uid], self.node.directory.number(uid)
-        self.node.engine.detach(server)
+        box, endpoint = self.boxes[uid], self.node.directory.number(uid)
+        self.node.engine.detach(endpoint)
         for _ in range(3):
             self.assertNotEqual((await self.talk())[1], uid)
         other = self.call(IDS.issue(box.server_id))
         await self.until(lambda: other.of(events.HandshakeCompleted), "its handshake elsewhere")
-        self.assertEqual(len(box.conns), 1)
+        self.assertEqual(len(box.connections), 1)
         await caller.new_address(True)
         await self.speak(caller, b"two")
 
@@ -368,15 +368,15 @@
         self.assertIn(b"echo three", caller.said())
 
     def test_the_drafts_ids(self) -> None:
-        for config, server, nonce, cid in (
+        for config, endpoint, nonce, cid in (
             (0, "ed793a", "ee080dbf", "0720b1d07b359d3c"),
             (1, "ed793a51d49b8f5fab65", "ee080dbf48", "2fcc381bc74cb4fbad2823a3d1f8fed2"),
             (2, "ed793a51d49b8f5f", "ee080dbf48c0d1e5", "504dd2d05a7b0de9b2b9907afb5ecf8cc3"),
             (3, "ed793a51d49b8f5fab", "ee080dbf48c0d1e55d", "725779c9cc86beb3a3a4a3ca96fce4bfe0cdbc"),
         ):
-            ids = Ids(config, len(server) // 2, len(nonce) // 2, KEY)
-            self.assertEqual(ids.issue(bytes.fromhex(server), bytes.fromhex(nonce)).hex(), cid)
-            self.assertEqual(ids.server(bytes.fromhex(cid)), bytes.fromhex(server))
+            ids = Ids(config, len(endpoint) // 2, len(nonce) // 2, KEY)
+            self.assertEqual(ids.issue(bytes.fromhex(endpoint), bytes.fromhex(nonce)).hex(), cid)
+            self.assertEqual(ids.server(bytes.fromhex(cid)), bytes.fromhex(endpoint))
         clear = Ids(0, 3, 4)
         plain = clear.issue(bytes.fromhex("c4605e"), bytes.fromhex("4504cc4f"))
         self.assertEqual(plain.hex(), "07c4605e4504cc4f")
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -24,12 +24,14 @@
     Fail,
     ListUpdateKind,
     Log,
+    Migrate,
     Outcome,
     Reject,
     RequestArrived,
     Scope,
     Send,
     SettingsChanged,
+    WatchEndpoints,
 )
 from puffindeck.routing import Condition, ConditionError, Pool, Pooled, Route, RouteTable, Routing, View
 from tests.world import SETTINGS, Gateway, RuleBook, asked, entry, listed, sends
@@ -37,8 +39,8 @@
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
 
 
-def names(*servers: int) -> tuple[str, ...]:
-    return tuple(str(server) for server in servers)
+def names(*endpoints: int) -> tuple[str, ...]:
+    return tuple(str(endpoint) for endpoint in endpoints)
 
 
 def pooled(*pools: Pool, routes: tuple[Route, ...] = (), default: str = "", **more: object) -> Pooled:
@@ -46,8 +48,8 @@
     return Pooled(Routing(table, pools), replace(RULES, **more), 1, int, str)  # type: ignore[arg-type]
 
 
-def gateway(*pools: Pool, servers: int = 6, **more: object) -> Any:
-    return Gateway(RULES, servers, balancer=pooled(*pools, **more))  # type: ignore[arg-type]
+def gateway(*pools: Pool, endpoints: int = 6, **more: object) -> Any:
+    return Gateway(RULES, endpoints, balancer=pooled(*pools, **more))  # type: ignore[arg-type]
 
 
 def view(cls: str = "chat", usable: int = 1, **facts: object) -> View:
@@ -183,7 +185,7 @@
     None
 ):
     """The attempts count on, and a request that has used them up is answered."""
-    world = gateway(Pool("main", (names(1), names(2))), servers=2)
+    world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     assert world.ask(1, key=1) == 1
     world.end(1, Outcome.CONNECT_FAILED)
     assert world.at[1] == 2
@@ -198,7 +200,7 @@
 
 
 def test_a_cancel_after_a_change_of_tier_names_the_engines_own_attempt() -> None:
-    world = gateway(Pool("main", (names(1), names(2))), servers=2)
+    world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     world.ask(1, key=1)
     world.end(1, Outcome.CONNECT_FAILED)
     (cancel,) = [a for a in world.do(ClientDisconnected(1)) if isinstance(a, Cancel)]
@@ -206,7 +208,7 @@
 
 
 def test_a_primary_that_failed_is_tried_by_one_request_at_a_time() -> None:
-    world = gateway(Pool("main", (names(1), names(2))), servers=2)
+    world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     world.ask(1, key=1)
     world.end(1, Outcome.CONNECT_FAILED)
     world.begin(1)
@@ -219,7 +221,7 @@
 
 
 def test_backups_in_order_stand_in_one_after_another() -> None:
-    world = gateway(Pool("main", (names(1), names(2), names(3))), servers=3)
+    world = gateway(Pool("main", (names(1), names(2), names(3))), endpoints=3)
     world.do(listed(entry(1, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
     assert {world.connect(r, key=r) for r in range(1, 20)} == {2}
     world.do(EndpointDetached(2))
@@ -227,27 +229,27 @@
 
 
 def test_limits_of_servers_and_pools_hold_and_tell_when_to_come_again() -> None:
-    world = gateway(Pool("main", (names(1, 2),), limit=5, server_limits={"1": 2}), servers=2)
+    world = gateway(Pool("main", (names(1, 2),), limit=5, server_limits={"1": 2}), endpoints=2)
     for request in range(1, 6):
         world.connect(request, key=request)
     assert Counter(world.at.values())[1] <= 2
     assert [type(a) for a in world.do(asked(6))] == [Reject]
     world.end(1, Outcome.OK, final=True)
     assert world.connect(7) in (1, 2)
-    small = gateway(Pool("main", (names(1, 2),), server_limits={"1": 1, "2": 1}), servers=2)
+    small = gateway(Pool("main", (names(1, 2),), server_limits={"1": 1, "2": 1}), endpoints=2)
     assert {small.connect(1, key=1), small.connect(2, key=2)} == {1, 2}
     assert [type(a) for a in small.do(asked(3)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_a_drained_server_takes_nothing_new_and_keeps_what_it_has() -> None:
-    world = gateway(Pool("main", (names(1, 2),), drained=names(1)), servers=2)
+    world = gateway(Pool("main", (names(1, 2),), drained=names(1)), endpoints=2)
     world.do(ConnectionRestored(50, 1, 0, 0, 0.0, 0, 5))
     assert {world.connect(r, key=r) for r in range(1, 30)} == {2}
-    assert not [a for a in world.actions if type(a).__name__ == "Move"]
+    assert not [a for a in world.actions if isinstance(a, Migrate)]
 
 
 def test_with_nobody_left_in_any_tier_the_answer_comes_at_once() -> None:
-    world = gateway(MAIN, servers=5)
+    world = gateway(MAIN, endpoints=5)
     world.do(
         listed(*(entry(i, EndpointStatus.GONE) for i in range(1, 6)), kind=ListUpdateKind.CHANGES, version=2)
     )
@@ -255,7 +257,7 @@
 
 
 def test_before_the_first_list_a_request_waits_for_it() -> None:
-    world = gateway(MAIN, servers=0)
+    world = gateway(MAIN, endpoints=0)
     assert not [a for a in world.do(asked(1)) if isinstance(a, (Reject, Fail, Send))]
     world.do(listed(entry(1)))
     assert sends(world.wait(500))
@@ -264,11 +266,11 @@
 def test_the_list_is_asked_for_once_whatever_the_number_of_pools() -> None:
     world = Gateway(RULES, 0, balancer=pooled(MAIN, Pool("more", (names(6),)), must_watch_endpoints=True))
     world.do(listed(entry(1)))
-    assert [type(a).__name__ for a in world.actions].count("Follow") == 1
+    assert [type(a) for a in world.actions].count(WatchEndpoints) == 1
     before = len(world.actions)
     world.do(listed(kind=ListUpdateKind.FAILED))
     world.wait(2000)
-    assert [type(a).__name__ for a in world.actions[before:]].count("Follow") == 1
+    assert [type(a) for a in world.actions[before:]].count(WatchEndpoints) == 1
 
 
 def test_a_pools_own_attempts_and_what_a_retune_leaves_of_them() -> None:
--- a/tests/test_rpc_roster.py
+++ b/tests/test_rpc_roster.py
@@ -160,7 +160,7 @@
         for i, channel in enumerate(channels):
             self.assertTrue(await Stub(channel).status(b"", timeout=2, metadata=keyed(f"desk {i}")))
         cold_keys = sum(
-            member.home(_request(f"desk {i}")) is member.servers[shared.directory.number("b2")]
+            member.home(_request(f"desk {i}")) is member.endpoints[shared.directory.number("b2")]
             for i, (shared, member) in enumerate((c._started()[0], c._started()[0].member) for c in channels)
         )
         self.assertGreater(cold_keys, 0)
--- a/tests/test_staff.py
+++ b/tests/test_staff.py
@@ -106,8 +106,8 @@
         await self.until(lambda: self.back_in_use(uid), "its use")
 
     def back_in_use(self, uid: str) -> bool:
-        server = self.node.engine.balancer.servers[self.node.directory.number(uid)]
-        return server.started > 0 and server.id in self.node.engine.balancer.returned
+        endpoint = self.node.engine.balancer.endpoints[self.node.directory.number(uid)]
+        return endpoint.started > 0 and endpoint.id in self.node.engine.balancer.returned
 
     async def test_an_attempt_waiting_for_its_connect_is_not_written_to_a_detached_host(self) -> None:
         self.build(hosts=1, drain_grace_ms=0)
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -53,11 +53,11 @@
 
 def start(table: object = TABLE) -> list[bytes]:
     text = json.dumps(table).encode()
-    servers = [struct.pack("<IHBHBfd", i, 0, 0, 0, 1, 1.0, 0.0) for i in (1, 2)]
+    endpoints = [struct.pack("<IHBHBfd", i, 0, 0, 0, 1, 1.0, 0.0) for i in (1, 2)]
     return [
         record(12, struct.pack("<H", 4)),
         record(0, struct.pack("<QI", 7, len(text)) + text),
-        record(1, struct.pack("<BII", 2, 1, 2) + b"".join(servers)),
+        record(1, struct.pack("<BII", 2, 1, 2) + b"".join(endpoints)),
     ]
 
 
@@ -80,9 +80,9 @@
     assert (size + 8, number) == (len(out), 1)
     codes = {code: data for code, data in wire.records(out[12:], count)}
     assert codes[13] == struct.pack("<H", 4)
-    request, server, timeout = struct.unpack("<IId", codes[0])
+    request, endpoint, timeout = struct.unpack("<IId", codes[0])
     assert request == 55
-    assert server in (1, 2)
+    assert endpoint in (1, 2)
     assert 0 < timeout <= 1200
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -58,14 +58,14 @@
 
 
 def entry(
-    server: int,
+    endpoint: int,
     state: EndpointStatus = EndpointStatus.READY,
     *,
     zone: int = 0,
     cell: int = 0,
     started: float = 0,
 ) -> EndpointEntry:
-    return EndpointEntry(server, zone, 0, cell, state, 1.0, started)
+    return EndpointEntry(endpoint, zone, 0, cell, state, 1.0, started)
 
 
 def listed(
@@ -86,7 +86,7 @@
     """A balancer with its clock: timers that it asks for are handed back when they are due."""
 
     def __init__(
-        self, settings: Settings = SETTINGS, servers: int = 6, seed: int = 1, balancer: Any = None
+        self, settings: Settings = SETTINGS, endpoints: int = 6, seed: int = 1, balancer: Any = None
     ) -> None:
         self.balancer = balancer or Balancer(settings, seed)
         self.now = 1000.0
@@ -94,8 +94,8 @@
         self.actions: list[Action] = []
         self.at: dict[int, int] = {}  # request -> server of its last send
         self.tries: dict[int, int] = {}
-        if servers:
-            self.do(listed(*(entry(i) for i in range(1, servers + 1))))
+        if endpoints:
+            self.do(listed(*(entry(i) for i in range(1, endpoints + 1))))
 
     def do(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
@@ -103,7 +103,7 @@
             if isinstance(action, ScheduleTimer):
                 self.wakes.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, Send):
-                self.at[action.request] = action.server
+                self.at[action.request] = action.endpoint
                 self.tries[action.request] = self.tries.get(action.request, 0) + 1
         self.actions += actions
         return actions
@@ -129,24 +129,24 @@
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
         """A connection that stands, with its load told."""
-        server = self.ask(request, group=group, key=key)
-        assert server is not None
+        endpoint = self.ask(request, group=group, key=key)
+        assert endpoint is not None
         self.begin(request)
         if load:
-            self.do(LoadReported(request, server, load))
-        return server
+            self.do(LoadReported(request, endpoint, load))
+        return endpoint
 
     def end(self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0) -> list[Action]:
         return self.do(AttemptEnded(request, outcome, self.at[request], self.tries[request] - 1, final, took))
 
-    def delay(self, server: int, ms: float) -> list[Action]:
-        held = next(iter(self.balancer.servers[server].conns), 0)
-        return self.do(LatencyReported(held, server, ms))
+    def delay(self, endpoint: int, ms: float) -> list[Action]:
+        held = next(iter(self.balancer.endpoints[endpoint].connections), 0)
+        return self.do(LatencyReported(held, endpoint, ms))
 
 
 @dataclass
 class Attempt:
-    server: int
+    endpoint: int
     sent: float
     until: float
     outcome: Outcome | None = None
@@ -175,7 +175,7 @@
         self.now = 1000.0
         self.cases: dict[int, Case] = {}
         self.wakes: list[tuple[float, int]] = []
-        self.servers: dict[int, EndpointEntry] = {}
+        self.endpoints: dict[int, EndpointEntry] = {}
         self.told: dict[int, float] = {}  # when a server was told not ready
         self.out: dict[int, float] = {}  # taken out by staff, since when
         self.pushes: dict[int, list[float]] = {}
@@ -183,8 +183,8 @@
         self.next_id = 1
         self.version = 1
         for i in range(1, 6):
-            self.servers[i] = entry(i, zone=i % 2, cell=i % 3)
-        self.hand([listed(*self.servers.values(), kind=ListUpdateKind.CACHED)])
+            self.endpoints[i] = entry(i, zone=i % 2, cell=i % 3)
+        self.hand([listed(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
 
     def hand(self, events: list[Event]) -> None:
         for action in self.balancer.handle(self.now, events):
@@ -225,23 +225,23 @@
         assert not case.answered, "sent after its end"
         assert case.out is None, "two attempts out at once"
         assert len(case.attempts) < self.settings.max_attempts
-        server = self.servers[action.server]
-        assert action.server not in self.out, "sent to a server taken out"
-        if server.state != EndpointStatus.READY:
-            grace_ends = self.told[action.server] + self.settings.drain_grace_ms
+        endpoint = self.endpoints[action.endpoint]
+        assert action.endpoint not in self.out, "sent to a server taken out"
+        if endpoint.state != EndpointStatus.READY:
+            grace_ends = self.told[action.endpoint] + self.settings.drain_grace_ms
             assert self.now <= grace_ends, "sent to a drained server"
         ran = self.ran(case)
         if ran and case.cls.effect == Effect.NOT_IDEMPOTENT:
             raise AssertionError("an unsafe request was tried again")
         if ran and case.cls.effect == Effect.IDEMPOTENCY_KEY:
-            first = self.servers[ran[0].server]
+            first = self.endpoints[ran[0].endpoint]
             assert self.now <= ran[0].sent + case.cls.window_ms, "sent again after its window"
-            assert case.cls.scope != Scope.ZONE or server.zone == first.zone
-            assert case.cls.scope != Scope.CELL or server.cell == first.cell
-        if server.started_ms > 0 and self.now - server.started_ms < self.settings.slow_start_ms:
-            self.check_cold(action.server, server.started_ms)
+            assert case.cls.scope != Scope.ZONE or endpoint.zone == first.zone
+            assert case.cls.scope != Scope.CELL or endpoint.cell == first.cell
+        if endpoint.started_ms > 0 and self.now - endpoint.started_ms < self.settings.slow_start_ms:
+            self.check_cold(action.endpoint, endpoint.started_ms)
         until = min(case.deadline, self.now + action.timeout_ms)
-        case.attempts.append(Attempt(action.server, self.now, until))
+        case.attempts.append(Attempt(action.endpoint, self.now, until))
 
     def lived(self) -> float:
         """Requests and connections here, or that were here of late: what servers have shown they hold."""
@@ -250,9 +250,9 @@
         self.live, self.live_at = max(float(live), self.live * fade), self.now
         return self.live
 
-    def check_cold(self, server: int, started: float) -> None:
+    def check_cold(self, endpoint: int, started: float) -> None:
         """A server that can hold what this gateway's servers hold fills no faster than it warms."""
-        pushes = self.pushes.setdefault(server, [])
+        pushes = self.pushes.setdefault(endpoint, [])
         pushes.append(self.now)
         s = self.settings
         recent = [t for t in pushes if t > self.now - s.slow_start_window_ms and t >= started]
@@ -261,7 +261,7 @@
             + (1 - s.slow_start_initial_fraction) * (self.now - started) / s.slow_start_ms
         )
         live = self.lived()
-        ready = sum(e.state == EndpointStatus.READY for e in self.servers.values())
+        ready = sum(e.state == EndpointStatus.READY for e in self.endpoints.values())
         most = (
             FULLEST
             * s.slow_start_load_multiple
@@ -288,8 +288,8 @@
         if random.random() < 0.02:
             events += self.list_change()
         if random.random() < 0.02:
-            server = random.choice(list(self.servers))
-            events.append(LatencyReported(random.randrange(1, 50), server, random.uniform(0, 500)))
+            endpoint = random.choice(list(self.endpoints))
+            events.append(LatencyReported(random.randrange(1, 50), endpoint, random.uniform(0, 500)))
         if random.random() < 0.03 and self.cases:
             request = random.choice(list(self.cases))
             events.append(LoadReported(request, 1, random.uniform(0, 3000)))
@@ -307,15 +307,15 @@
 
     def staff(self) -> None:
         """Take a server out, or put one back that was restarted meanwhile."""
-        server = self.random.choice(list(self.servers))
-        since = self.out.pop(server, None)
+        endpoint = self.random.choice(list(self.endpoints))
+        since = self.out.pop(endpoint, None)
         if since is None:
-            self.out[server] = self.now
-            self.hand([EndpointDetached(server)])
+            self.out[endpoint] = self.now
+            self.hand([EndpointDetached(endpoint)])
             return
-        if self.servers[server].started_ms < since:
-            self.servers[server] = replace(self.servers[server], started_ms=self.now)
-        self.hand([EndpointAttached(server)])
+        if self.endpoints[endpoint].started_ms < since:
+            self.endpoints[endpoint] = replace(self.endpoints[endpoint], started_ms=self.now)
+        self.hand([EndpointAttached(endpoint)])
 
     def attempt_events(self, request: int, case: Case) -> list[Event]:
         attempt, number, random = case.out, len(case.attempts) - 1, self.random
@@ -333,7 +333,7 @@
         elif random.random() < 0.1 and not case.answered:
             if random.random() < 0.5:
                 case.begun = True
-                return [AttemptEstablished(request, attempt.server, took, number)]
+                return [AttemptEstablished(request, attempt.endpoint, took, number)]
             outcome = random.choice(
                 [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT]
             )
@@ -342,7 +342,7 @@
         attempt.outcome = outcome
         if case.begun:
             case.answered = True
-        return [AttemptEnded(request, outcome, attempt.server, number, case.answered, took)]
+        return [AttemptEnded(request, outcome, attempt.endpoint, number, case.answered, took)]
 
     def arrival(self) -> Event:
         cls = self.random.randrange(len(self.settings.classes))
@@ -355,20 +355,20 @@
 
     def list_change(self) -> list[Event]:
         random, self.version = self.random, self.version + 1
-        server = random.choice([*self.servers, max(self.servers) + 1])
-        old = self.servers.get(server, entry(server, zone=server % 2, cell=server % 3))
+        endpoint = random.choice([*self.endpoints, max(self.endpoints) + 1])
+        old = self.endpoints.get(endpoint, entry(endpoint, zone=endpoint % 2, cell=endpoint % 3))
         state = random.choice(
             [EndpointStatus.READY, EndpointStatus.READY, EndpointStatus.DRAINING, EndpointStatus.GONE]
         )
         new = replace(old, state=state)
         if state == EndpointStatus.READY and (
-            old.state != EndpointStatus.READY or server not in self.servers
+            old.state != EndpointStatus.READY or endpoint not in self.endpoints
         ):
             new = replace(new, started_ms=self.now)
         if state != EndpointStatus.READY and old.state == EndpointStatus.READY:
-            self.told[server] = self.now
-        self.told.setdefault(server, self.now)
-        self.servers[server] = new
+            self.told[endpoint] = self.now
+        self.told.setdefault(endpoint, self.now)
+        self.endpoints[endpoint] = new
         return [listed(new, kind=ListUpdateKind.CHANGES, version=self.version)]
 
     def overdue(self) -> None:
