--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/crowd_ways.py
@@ -20,10 +20,9 @@
 from statistics import mean
 
 from benchmarks.table import table
-from puffindeck.choice import Balancer
-from puffindeck.crowd import Member
-from puffindeck.crowd.even import Ring, owner
-from puffindeck.crowd.ring import EVENNESS, EvenBalancer
+from puffindeck.client_side import Member
+from puffindeck.client_side.even import Ring, owner
+from puffindeck.client_side.ring import EVENNESS, EvenBalancer
 from puffindeck.hashes import mixed, points
 from puffindeck.interface import (
     AttemptEnded,
@@ -39,6 +38,7 @@
     Send,
     Settings,
 )
+from puffindeck.policy import Balancer
 
 SETTINGS = Settings(
     classes=(ClassSettings(300, 1200),),
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -27,8 +27,8 @@
 from msgspec.structs import replace
 
 from benchmarks.table import table
+from puffindeck.client_side.ring import EVENNESS
 from puffindeck.config.members import Target
-from puffindeck.crowd.ring import EVENNESS
 from tests.rpc_world import METHODS, Discovery
 
 RULES = {
--- a/packages/residency/src/puffindeck_residency/regional.py
+++ b/packages/residency/src/puffindeck_residency/regional.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from puffindeck.choice import Balancer
-from puffindeck.records import Endpoint, Request
+from puffindeck.policy import Balancer
+from puffindeck.policy.records import Endpoint, Request
 
 
 class Regional(Balancer):
--- a/puffindeck/benchlink.py
+++ b/puffindeck/benchlink.py
@@ -8,8 +8,8 @@
 from typing import BinaryIO
 
 from puffindeck import config, wire
-from puffindeck.choice import Balancer
 from puffindeck.interface import Event
+from puffindeck.policy import Balancer
 
 
 def answer(instances: dict[int, Balancer], body: bytes, count: int, now: float, batch: int) -> bytes:
--- a/puffindeck/crowd/even.py
+++ b/puffindeck/client_side/even.py
@@ -15,7 +15,7 @@
 
 from puffindeck.hashes import mixed
 
-SPAN = 1 << 30  # points on the ring, as `choice.points` draws them
+SPAN = 1 << 30  # points on the ring, as `hashes.points` draws them
 
 Ring = tuple[list[int], dict[int, int]]  # the points in order, and whose each is
 
--- a/puffindeck/crowd/member.py
+++ b/puffindeck/client_side/member.py
@@ -2,7 +2,7 @@
 
 What a gateway knows by counting its own connections says nothing here, so that part is replaced by what every
 client can work out alone from the roster. All else (retries, rules, suspicion, ceilings, relief) is
-`choice`'s.
+`policy`'s.
 """
 
 from __future__ import annotations
@@ -12,11 +12,9 @@
 from dataclasses import replace
 from heapq import heappop
 
-from puffindeck.choice.relief import TICK_MS
-from puffindeck.choice.walk import FLOOR
-from puffindeck.crowd.admission import Admission
-from puffindeck.crowd.even import Ring, evened
-from puffindeck.crowd.ring import EvenBalancer
+from puffindeck.client_side.admission import Admission
+from puffindeck.client_side.even import Ring, evened
+from puffindeck.client_side.ring import EvenBalancer
 from puffindeck.hashes import mixed
 from puffindeck.interface import (
     Action,
@@ -30,7 +28,9 @@
     RequestArrived,
     Settings,
 )
-from puffindeck.records import INF, Endpoint, Request
+from puffindeck.policy.records import INF, Endpoint, Request
+from puffindeck.policy.relief import TICK_MS
+from puffindeck.policy.walk import FLOOR
 
 STALE_MS = 6000.0  # discovery's news counts as told after 6 s: what was heard longer ago is held to be stale
 
--- a/puffindeck/crowd/pooled.py
+++ b/puffindeck/client_side/pooled.py
@@ -4,8 +4,8 @@
 
 from typing import cast
 
-from puffindeck.crowd.member import Member
-from puffindeck.records import Endpoint, Request
+from puffindeck.client_side.member import Member
+from puffindeck.policy.records import Endpoint, Request
 from puffindeck.routing import Pooled
 from puffindeck.routing.tier import TierBalancer
 
--- a/puffindeck/crowd/ring.py
+++ b/puffindeck/client_side/ring.py
@@ -2,16 +2,16 @@
 
 from __future__ import annotations
 
-from puffindeck.choice import Balancer
-from puffindeck.crowd.even import Ring, evened, owner
+from puffindeck.client_side.even import Ring, evened, owner
 from puffindeck.interface import Settings
-from puffindeck.records import Endpoint, Request
+from puffindeck.policy import Balancer
+from puffindeck.policy.records import Endpoint, Request
 
 EVENNESS = 1.03  # c for shares of the ring: docs/design/rpc.md has the figures of others
 
 
 class EvenBalancer(Balancer):
-    """One gateway's decisions, its ring evened to `settings.evenness`. Else as `choice` has it."""
+    """One gateway's decisions, its ring evened to `settings.evenness`. Else as `policy` has it."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._whole: dict[int | None, Ring] = {}  # by zone: all ready servers at their full size
--- a/puffindeck/net/parts.py
+++ b/puffindeck/net/parts.py
@@ -8,7 +8,6 @@
 
 from twisted.logger import Logger
 
-from puffindeck.choice import Balancer
 from puffindeck.config import Node as Told
 from puffindeck.core.clock import Clock, span
 from puffindeck.core.engine import Decisions, Engine
@@ -20,6 +19,7 @@
 from puffindeck.net.request_log import RequestLog
 from puffindeck.net.upgrade import Generation
 from puffindeck.net.wall_clock import WallClock
+from puffindeck.policy import Balancer
 from puffindeck.service_discovery.directory import Directory
 
 log = Logger("puffindeck")
@@ -34,7 +34,7 @@
         return Pooled(told.routing, settings, seed, directory.number, directory.name)
     if not settings.evenness:
         return Balancer(settings, seed)
-    from puffindeck.crowd import EvenBalancer  # stays out of a node that has no use for it
+    from puffindeck.client_side import EvenBalancer  # stays out of a node that has no use for it
 
     return EvenBalancer(settings, seed)
 
--- a/puffindeck/choice/__init__.py
+++ b/puffindeck/policy/__init__.py
@@ -5,4 +5,4 @@
 breaks (docs/design.md). Each module stands on the one before: known, cold, ring, ... attempts, balancer.
 """
 
-from puffindeck.choice.balancer import Balancer as Balancer
+from puffindeck.policy.balancer import Balancer as Balancer
--- a/puffindeck/choice/attempts.py
+++ b/puffindeck/policy/attempts.py
@@ -1,7 +1,5 @@
 """Attempts and patience: the life of a request from its arrival to its one answer."""
 
-from puffindeck.choice.relief import TICK_MS
-from puffindeck.choice.walk import Walk
 from puffindeck.hashes import lot
 from puffindeck.interface import (
     NOT_PROCESSED,
@@ -19,7 +17,9 @@
     RequestArrived,
     Send,
 )
-from puffindeck.records import INF, Endpoint, Request
+from puffindeck.policy.records import INF, Endpoint, Request
+from puffindeck.policy.relief import TICK_MS
+from puffindeck.policy.walk import Walk
 
 PATIENCE = 0.5  # of the aim: how long a request waits at most while all servers are at their ceilings
 RETRY_MS = 40.0  # how long a request is held before another walk when no server may take it
--- a/puffindeck/choice/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -4,8 +4,6 @@
 from heapq import heappop
 from typing import Any
 
-from puffindeck.choice.attempts import Attempts
-from puffindeck.choice.relief import TICK_MS
 from puffindeck.interface import (
     Action,
     AttemptEnded,
@@ -30,7 +28,9 @@
     TimerFired,
     WatchEndpoints,
 )
-from puffindeck.records import INF, Endpoint
+from puffindeck.policy.attempts import Attempts
+from puffindeck.policy.records import INF, Endpoint
+from puffindeck.policy.relief import TICK_MS
 
 ASK_MS, ASK_MOST_MS = 250.0, 650.0  # how soon a failed list is asked for again, about
 OUT_MS = 1200.0  # over how long the connections of a server that is taken out are sent away
--- a/puffindeck/choice/cold.py
+++ b/puffindeck/policy/cold.py
@@ -2,9 +2,9 @@
 
 import math
 
-from puffindeck.choice.known import Known
 from puffindeck.interface import EndpointStatus
-from puffindeck.records import INF, Endpoint, Request
+from puffindeck.policy.known import Known
+from puffindeck.policy.records import INF, Endpoint, Request
 
 FULL = 2.0  # of the mean a server holds: what one bears at least when full
 BACK_MS = 5000.0  # how long one that is put back, and has no connection, goes before the ring
--- a/puffindeck/choice/judging.py
+++ b/puffindeck/policy/judging.py
@@ -1,8 +1,8 @@
 """Health: a server is judged by what its attempts and connections come to."""
 
-from puffindeck.choice.relief import STRAINED, TICK_MS, Relief
 from puffindeck.interface import AttemptEnded, LatencyReported, Log, Outcome
-from puffindeck.records import Endpoint, Request
+from puffindeck.policy.records import Endpoint, Request
+from puffindeck.policy.relief import STRAINED, TICK_MS, Relief
 
 SUSPECT_MS, SUSPECT_MAX_MS = 1000.0, 8000.0  # how long a server that failed is skipped at first, and at most
 CUT_MS = 900.0  # a server's ceiling is cut this often at most: what is piled up takes time to drain
--- a/puffindeck/choice/known.py
+++ b/puffindeck/policy/known.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from puffindeck.interface import Action, Settings
-from puffindeck.records import INF, Endpoint, Request
+from puffindeck.policy.records import INF, Endpoint, Request
 
 BOUND = 1.25  # c of the design: a server takes up to this multiple of the mean; the paper's example
 
--- a/puffindeck/choice/ledger.py
+++ b/puffindeck/policy/ledger.py
@@ -1,8 +1,8 @@
 """The ledger of load: what this gateway has at each server."""
 
-from puffindeck.choice.ring import Ring
 from puffindeck.interface import LoadReported
-from puffindeck.records import Endpoint, Request
+from puffindeck.policy.records import Endpoint, Request
+from puffindeck.policy.ring import Ring
 
 GROUP_COST = 2.5  # mean connections that a server pays for a group's first one; a guess, told nowhere
 
--- a/puffindeck/choice/relief.py
+++ b/puffindeck/policy/relief.py
@@ -2,9 +2,9 @@
 
 import math
 
-from puffindeck.choice.ledger import GROUP_COST, Ledger
 from puffindeck.interface import Migrate
-from puffindeck.records import INF, Endpoint, Request
+from puffindeck.policy.ledger import GROUP_COST, Ledger
+from puffindeck.policy.records import INF, Endpoint, Request
 
 MEMORY_MS = 60000.0  # how long what was seen of keys' shares counts
 TICK_MS = 1000.0  # how often loads are reckoned anew and relief is given, while there is trouble
--- a/puffindeck/choice/ring.py
+++ b/puffindeck/policy/ring.py
@@ -5,10 +5,10 @@
 from heapq import nlargest
 from itertools import chain, islice
 
-from puffindeck.choice.cold import Cold
 from puffindeck.hashes import mixed, points
 from puffindeck.interface import Effect, EndpointStatus, Scope
-from puffindeck.records import INF, Endpoint, Request
+from puffindeck.policy.cold import Cold
+from puffindeck.policy.records import INF, Endpoint, Request
 
 PLAN_MS, PLANNED = 500.0, 64  # how long a plan for groups holds, and for how many, those seen most
 PRIOR, GROUP_PRIOR = 8.0, 2.0  # requests: keys, and groups, are held to bring less until more was seen
--- a/puffindeck/choice/walk.py
+++ b/puffindeck/policy/walk.py
@@ -1,10 +1,10 @@
 """Placing: the first server clockwise that is under its bound, and how the bound gives way."""
 
-from puffindeck.choice.cold import BACK_MS
-from puffindeck.choice.judging import Judging
-from puffindeck.choice.ledger import GROUP_COST
 from puffindeck.hashes import lot
-from puffindeck.records import INF, Endpoint, Request
+from puffindeck.policy.cold import BACK_MS
+from puffindeck.policy.judging import Judging
+from puffindeck.policy.ledger import GROUP_COST
+from puffindeck.policy.records import INF, Endpoint, Request
 
 STRETCHES = (1.0, 1.5, 2.5)  # how far the bound gives way, in turn, before the start of the walk is kept
 WALK = 8  # servers that a walk looks at for a key without a group
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -36,7 +36,7 @@
     TimerFired,
     WatchEndpoints,
 )
-from puffindeck.records import Request
+from puffindeck.policy.records import Request
 from puffindeck.routing.conditions import View
 from puffindeck.routing.pools import Pool, Routing, named
 from puffindeck.routing.tier import TierBalancer
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
-from puffindeck.choice import Balancer
 from puffindeck.interface import Effect, Settings
-from puffindeck.records import Endpoint, Request
+from puffindeck.policy import Balancer
+from puffindeck.policy.records import Endpoint, Request
 
 RETURN_PART = 0.7  # of the pool's connections: benchmarks/pool_return.py, where 1.0 went over the budget
 
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -19,13 +19,13 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from puffindeck.choice import Balancer
 from puffindeck.config import Members, Target
 from puffindeck.core.clock import ZERO, Clock, ms, span
 from puffindeck.core.engine import Engine
 from puffindeck.core.requests import AttemptId, Link, Request
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import ListUpdateKind, Outcome, Settings
+from puffindeck.policy import Balancer
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.keys import number
 
--- a/puffindeck/rpc/shared.py
+++ b/puffindeck/rpc/shared.py
@@ -9,11 +9,11 @@
 import msgspec
 from twisted.logger import STDLibLogObserver, globalLogPublisher
 
+from puffindeck.client_side import Member
 from puffindeck.config.client import Client
 from puffindeck.core.clock import Clock, ms
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import TimerQueue
-from puffindeck.crowd import Member
 from puffindeck.interface import ListUpdateKind, TimerFired
 from puffindeck.rpc.roster import Roster
 from puffindeck.service_discovery.directory import Directory
@@ -59,7 +59,7 @@
         told = self.told
         if told.routing is None:
             return Member(told.settings, told.seed)
-        from puffindeck.crowd.pooled import PooledMember  # only where there are pools
+        from puffindeck.client_side.pooled import PooledMember  # only where there are pools
 
         names = self.directory
         return PooledMember(told.routing, told.settings, told.seed, names.number, names.name)
--- a/tests/rpc_world.py
+++ b/tests/rpc_world.py
@@ -13,9 +13,9 @@
 from grpc.aio import Metadata
 from msgspec import to_builtins
 
+from puffindeck.client_side.even import owner
 from puffindeck.config.client import Client, Rpc, RpcTable, rpc
 from puffindeck.config.members import Members, Target
-from puffindeck.crowd.even import owner
 from puffindeck.hashes import mixed
 from puffindeck.interface import ClassSettings, Effect, Settings
 from puffindeck.rpc.grpc import BalancedChannel
--- a/tests/storeworld.py
+++ b/tests/storeworld.py
@@ -12,7 +12,6 @@
 from random import Random
 from typing import Any
 
-from puffindeck.choice import Balancer
 from puffindeck.interface import (
     Action,
     AttemptEnded,
@@ -31,6 +30,7 @@
     Settings,
     TimerFired,
 )
+from puffindeck.policy import Balancer
 from tests.world import entry
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -10,9 +10,6 @@
 
 import pytest
 
-from puffindeck.choice.cold import FULL
-from puffindeck.choice.known import BOUND
-from puffindeck.choice.walk import FLOOR
 from puffindeck.interface import (
     AttemptEnded,
     AttemptEstablished,
@@ -33,6 +30,9 @@
     TimerFired,
     WatchEndpoints,
 )
+from puffindeck.policy.cold import FULL
+from puffindeck.policy.known import BOUND
+from puffindeck.policy.walk import FLOOR
 from tests.world import SETTINGS, Gateway, asked, entry, listed, sends
 
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -4,8 +4,8 @@
 
 from dataclasses import replace
 
-from puffindeck.choice.cold import FULL
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Send
+from puffindeck.policy.cold import FULL
 from tests.world import SETTINGS, Gateway, asked, entry, listed
 
 COLD = replace(
--- a/tests/test_crowd.py
+++ b/tests/test_crowd.py
@@ -11,11 +11,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from puffindeck.choice import Balancer
-from puffindeck.crowd import Member
-from puffindeck.crowd.admission import STEADY_PART, STORM_PART, Admission
-from puffindeck.crowd.even import SPAN, Ring, evened, owner, shares
-from puffindeck.crowd.ring import EVENNESS, EvenBalancer
+from puffindeck.client_side import Member
+from puffindeck.client_side.admission import STEADY_PART, STORM_PART, Admission
+from puffindeck.client_side.even import SPAN, Ring, evened, owner, shares
+from puffindeck.client_side.ring import EVENNESS, EvenBalancer
 from puffindeck.hashes import points
 from puffindeck.interface import (
     AttemptEnded,
@@ -34,6 +33,7 @@
     Settings,
     SettingsChanged,
 )
+from puffindeck.policy import Balancer
 
 SETTINGS = Settings(
     classes=(ClassSettings(300, 1200),),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from puffindeck.choice.ring import PLAN_MS, PLANNED
 from puffindeck.interface import LoadReported
+from puffindeck.policy.ring import PLAN_MS, PLANNED
 from tests.world import SETTINGS, Gateway, entry, listed
 
 ZONES = 4
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -11,7 +11,7 @@
 APART = (
     "puffindeck_",
     "puffindeck.config.fleet",
-    "puffindeck.crowd",
+    "puffindeck.client_side",
     "puffindeck.rpc",
     "puffindeck.routing",
     "puffindeck.importer",
@@ -38,5 +38,5 @@
 
 
 def test_decisions_load_neither_io_nor_a_library() -> None:
-    found = loaded("puffindeck.crowd", "puffindeck.routing")
+    found = loaded("puffindeck.client_side", "puffindeck.routing")
     assert not found & {"socket", "asyncio", "twisted", "time.sleep", "msgspec", "ssl"}
--- a/tests/test_rpc_roster.py
+++ b/tests/test_rpc_roster.py
@@ -11,7 +11,7 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.config.members import Target
-from puffindeck.records import Request
+from puffindeck.policy.records import Request
 from puffindeck.rpc.grpc import BalancedChannel, come_back
 from tests.rpc_world import Stub, World, keyed, told, until
 
--- a/tests/test_rpc_routing.py
+++ b/tests/test_rpc_routing.py
@@ -12,8 +12,8 @@
 import pytest
 
 from puffindeck import config
+from puffindeck.client_side.pooled import PooledMember
 from puffindeck.config.client import client
-from puffindeck.crowd.pooled import PooledMember
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
 from tests.rpc_world import Stub, World, keyed, told, until
--- a/tests/test_told.py
+++ b/tests/test_told.py
@@ -12,10 +12,10 @@
 import msgspec
 import pytest
 
-from puffindeck.choice import balancer
 from puffindeck.core.clock import ms, span
 from puffindeck.interface import ListUpdateKind, WatchEndpoints
 from puffindeck.net import discovery
+from puffindeck.policy import balancer
 from puffindeck.service_discovery.watch import ANSWER, BESIDE, LIST, SILENT, WatchError, WatchState
 from tests.stories import Peer
 from tests.test_discovery import ListStory, chunk, listing
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -166,7 +166,7 @@
 
 def test_the_decision_module_stays_readable() -> None:
     deploy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-    assert {ROOT / name for name in deploy["policy"]} == set((ROOT / "puffindeck/choice").glob("*.py"))
+    assert {ROOT / name for name in deploy["policy"]} == set((ROOT / "puffindeck/policy").glob("*.py"))
     for name in deploy["policy"]:
         lines = (ROOT / name).read_text().splitlines()
         assert len(lines) <= LONGEST_MODULE, name
--- a/tests/world.py
+++ b/tests/world.py
@@ -10,7 +10,6 @@
 from random import Random
 from typing import Any
 
-from puffindeck.choice import Balancer
 from puffindeck.interface import (
     NOT_PROCESSED,
     Action,
@@ -40,6 +39,7 @@
     Settings,
     TimerFired,
 )
+from puffindeck.policy import Balancer
 
 FULLEST = 3.75  # of the mean a server holds: what the book lets one hold at most when full
 SETTINGS = Settings(
