--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -15,8 +15,8 @@
 from typing import Any
 
 from benchmarks.table import table
-from puffindeck_rig.checker import opened, outside, without_one_answer
-from puffindeck_rig.world import World
+from puffindeck_testing.checker import opened, outside, without_one_answer
+from puffindeck_testing.world import World
 
 REGIONS = {"e1": "north", "e2": "north", "e3": "south", "e4": "south", "e5": "east"}
 ZONES = {"atlanta": 2, "memphis": 2, "birmingham": 2}
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -13,7 +13,7 @@
 
 from benchmarks.table import table
 from puffindeck_quota import Charge, Limit, Parcel, Quota, Refusal, Settings, Unit
-from puffindeck_rig.gateways import NAMES, SIZE, Gateways
+from puffindeck_testing.gateways import NAMES, SIZE, Gateways
 
 LIMIT = Limit("acme", Unit.OPENS, 400, SIZE)
 DEMAND = 2 * LIMIT.amount / (SIZE / 1000)  # a second, all gateways together
--- a/packages/fleet/tests/test_processes.py
+++ b/packages/fleet/tests/test_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from puffindeck_rig.world import World, free_port
+from puffindeck_testing.world import World, free_port
 
 NAMES = ("e1", "e2", "e3", "e4", "e5")
 REGIONS = {"e1": "north", "e2": "north", "e3": "south", "e4": "south", "e5": "south"}
--- a/packages/fleet/tests/test_rules_processes.py
+++ b/packages/fleet/tests/test_rules_processes.py
@@ -10,8 +10,8 @@
 
 import pytest
 
-from puffindeck_rig.checker import opened, outside, without_one_answer
-from puffindeck_rig.world import World
+from puffindeck_testing.checker import opened, outside, without_one_answer
+from puffindeck_testing.world import World
 
 REGIONS = {"e1": "north", "e2": "north", "e3": "south", "e4": "south", "e5": "south"}
 ZONES = {"atlanta": 2, "memphis": 1, "birmingham": 2}
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -5,7 +5,7 @@
 import pytest
 
 from puffindeck_membership import Leave, Membership, News, Phase, Refused, Reported, Tick, Usurped, Wake
-from puffindeck_rig.virtual import Link, Net
+from puffindeck_testing.virtual import Link, Net
 
 MINUTE = 60000.0
 
--- a/packages/quota/tests/test_quota.py
+++ b/packages/quota/tests/test_quota.py
@@ -6,7 +6,7 @@
 
 from puffindeck_quota import Came, Charge, Limit, Parcel, Quota, Refusal, Reported, Retuned, Unit
 from puffindeck_quota.model import ENCODER, Want
-from puffindeck_rig.gateways import NAMES, SIZE, Gateways
+from puffindeck_testing.gateways import NAMES, SIZE, Gateways
 
 LIMIT = (Limit("acme", Unit.OPENS, 200, SIZE),)
 
--- a/packages/quota/tests/test_rights_machine.py
+++ b/packages/quota/tests/test_rights_machine.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from puffindeck_quota import Limit, Unit
-from puffindeck_rig.gateways import SIZE, Gateways
+from puffindeck_testing.gateways import SIZE, Gateways
 
 NAMES = ("e1", "e2", "e3")
 AMOUNT = 30
--- a/packages/rig/src/puffindeck_rig/checker.py
+++ b/packages/testing/src/puffindeck_testing/checker.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from puffindeck_rig.world import Told, Up
+from puffindeck_testing.world import Told, Up
 
 
 def group_of(line: str) -> str:
--- a/packages/rig/src/puffindeck_rig/world.py
+++ b/packages/testing/src/puffindeck_testing/world.py
@@ -23,7 +23,7 @@
 
 import tomli_w
 
-from puffindeck_rig.relay import Faults, Relay
+from puffindeck_testing.relay import Faults, Relay
 
 T = TypeVar("T")
 
