--- a/benchmarks/rpc_cost.py
+++ b/benchmarks/rpc_cost.py
@@ -19,7 +19,7 @@
 from benchmarks.table import table
 from puffindeck.config.members import Target
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.rpc_world import Stub, keyed, told
+from tests.support.rpc_world import Stub, keyed, told
 
 
 async def measure(calls: int, rounds: int) -> None:
--- a/benchmarks/rpc_parts.py
+++ b/benchmarks/rpc_parts.py
@@ -13,7 +13,7 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.rpc_world import Box, Stub, keyed
+from tests.support.rpc_world import Box, Stub, keyed
 
 
 def say(what: Any) -> None:
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -29,7 +29,7 @@
 from benchmarks.table import table
 from puffindeck.client_side.ring import EVENNESS
 from puffindeck.config.members import Target
-from tests.rpc_world import METHODS, Discovery
+from tests.support.rpc_world import METHODS, Discovery
 
 RULES = {
     "drainGraceMs": 500,
--- a/packages/residency/tests/test_residency.py
+++ b/packages/residency/tests/test_residency.py
@@ -10,7 +10,7 @@
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck_residency import Book, Books, Came, Parcel, RegionalBalancer, Reported, Seen, Service
 from puffindeck_residency.rules import judged
-from tests.world import SETTINGS, Gateway, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, listed
 
 REGIONS = {0: "north", 1: "south", 2: "east"}
 
--- /dev/null
+++ b/tests/client_side/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of client_side."""
--- /dev/null
+++ b/tests/core/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of core."""
--- a/tests/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -19,7 +19,7 @@
 from contextlib import suppress
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 SUBREAPER = 36  # PR_SET_CHILD_SUBREAPER: who is orphaned below us becomes our child, and is found
 
--- a/tests/test_room.py
+++ b/tests/deploy/test_descriptor_limits.py
@@ -21,7 +21,7 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 DESCRIPTORS, STRANGERS = 160, 400
 ASK = b"OPEN 9b1f03aa5c7e2d41 7f3a c=item-watch,d=2000\r\n"
 
--- a/tests/test_imports.py
+++ b/tests/deploy/test_imports.py
@@ -26,7 +26,7 @@
         capture_output=True,
         text=True,
         check=True,
-        cwd=Path(__file__).parent.parent,
+        cwd=Path(__file__).parents[2],
     )
     return set(done.stdout.split())
 
--- a/tests/haproxy_reference.py
+++ b/tests/importer/haproxy_reference.py
@@ -1,6 +1,6 @@
 """What HAProxy would do with a connection, read from its manual and not from the importer.
 
-It covers what the samples under tests/haproxy use, and stops at what it does not know. It says which servers
+It covers what the samples under haproxy/ use, and stops at what it does not know. It says which servers
 may get a new connection, given which are down; how connections spread over those is each program's own.
 """
 
--- a/tests/test_importer.py
+++ b/tests/importer/test_haproxy.py
@@ -16,7 +16,7 @@
 from puffindeck.importer import haproxy, lexer
 from puffindeck.importer.keywords import table
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 COMMAND = ("-m", "puffindeck.cli", "import", "haproxy")
 GOOD = """\
 global
--- a/tests/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -17,8 +17,8 @@
 from puffindeck.core.clock import Clock
 from puffindeck.importer import haproxy
 from puffindeck.net.node import Node as NetNode
-from tests.haproxy_reference import Reference, Where
-from tests.stories import Dial, Listener, Peer, Story, reactor
+from tests.importer.haproxy_reference import Reference, Where
+from tests.support.node_story import Dial, Listener, Peer, Story, reactor
 
 SAMPLES = Path(__file__).parent / "haproxy"
 BOXES = ("A", "B", "C", "D")
--- a/tests/test_importer_parts.py
+++ b/tests/importer/test_sections.py
@@ -17,7 +17,7 @@
 from puffindeck.importer import acl, haproxy
 from puffindeck.importer.statement import Line
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 LINE = Line("h.cfg:1", ["use_backend"])
 BACKENDS = "backend a\n server x 127.0.0.1:1\nbackend b\n server y 127.0.0.1:2\n"
 
--- a/tests/test_told.py
+++ b/tests/net/test_change_notification.py
@@ -17,9 +17,9 @@
 from puffindeck.net import discovery
 from puffindeck.policy import balancer
 from puffindeck.service_discovery.watch import ANSWER, BESIDE, LIST, SILENT, WatchError, WatchState
-from tests.stories import Peer
-from tests.test_discovery import ListStory, chunk, listing
-from tests.world import SETTINGS, Gateway, listed
+from tests.net.test_discovery import ListStory, chunk, listing
+from tests.support.gateway import SETTINGS, Gateway, listed
+from tests.support.node_story import Peer
 
 TOLD = span(6000)
 OK = b"HTTP/1.1 200 OK\r\n"
--- a/tests/test_lifecycle.py
+++ b/tests/net/test_client_connection.py
@@ -11,7 +11,7 @@
 from puffindeck.net.client import ClientLine
 from puffindeck.net.client_connection import NEXT, OVER, ConnectionState
 from puffindeck.service_discovery.watch import ANSWER
-from tests.crossing import ASK, CrossingStory
+from tests.support.crossing_story import ASK, CrossingStory
 
 
 class CloseStories(CrossingStory):
--- a/tests/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -20,7 +20,7 @@
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
-from tests.stories import Peer, Story, reactor
+from tests.support.node_story import Peer, Story, reactor
 
 WHOLE = b"GET /catalog/members HTTP/1.1"
 
--- a/tests/test_leaving.py
+++ b/tests/net/test_drain_schedule.py
@@ -7,8 +7,8 @@
 
 from puffindeck.core.clock import ZERO, span
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE
-from tests.stories import SETTINGS, Story, reactor
-from tests.test_node import ASK
+from tests.net.test_node import ASK
+from tests.support.node_story import SETTINGS, Story, reactor
 
 
 def test_all_is_moved_before_the_kill_whatever_the_longest_deadline() -> None:
--- a/tests/test_ending.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -13,8 +13,8 @@
 from puffindeck.net import node as node_module
 from puffindeck.net.client_connection import ConnectionState
 from puffindeck.net.graceful_shutdown import DrainSchedule, GracefulShutdown
-from tests.crossing import ASK, CrossingStory
-from tests.stories import Listener, reactor
+from tests.support.crossing_story import ASK, CrossingStory
+from tests.support.node_story import Listener, reactor
 
 OVER_NOW = DrainSchedule(span(0), span(0), span(0), span(0))
 LONG = DrainSchedule(span(5000), span(5000), span(0), span(5000))
--- a/tests/test_upgrade.py
+++ b/tests/net/test_hot_restart.py
@@ -19,8 +19,8 @@
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.node import Node
 from puffindeck.net.upgrade import Generation, descriptors
-from tests.stories import Peer, Story, reactor
-from tests.test_node import ASK
+from tests.net.test_node import ASK
+from tests.support.node_story import Peer, Story, reactor
 
 
 class UpgradeStories(Story):
--- a/tests/test_node.py
+++ b/tests/net/test_node.py
@@ -31,7 +31,7 @@
 from puffindeck.net import admission, client_connection, discovery, listening, logs, node
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.request_line import RequestLine, RequestLineError
-from tests.stories import Listener, Story, reactor
+from tests.support.node_story import Listener, Story, reactor
 
 ASK = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
 
--- a/tests/test_staff.py
+++ b/tests/net/test_operator_calls.py
@@ -15,8 +15,8 @@
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import node, operator
 from puffindeck.net.graceful_shutdown import DrainSchedule
-from tests.stories import Peer, Story
-from tests.test_node import ASK
+from tests.net.test_node import ASK
+from tests.support.node_story import Peer, Story
 
 
 class StaffStories(Story):
--- a/tests/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -14,8 +14,8 @@
 from puffindeck.net.logs import line
 from puffindeck.net.request_log import RequestLog
 from puffindeck.net.wall_clock import WallClock
-from tests.stories import Story
-from tests.test_node import ASK
+from tests.net.test_node import ASK
+from tests.support.node_story import Story
 
 
 class RequestLogStories(Story):
--- a/tests/test_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -13,7 +13,7 @@
 from puffindeck.net import upstream_connection
 from puffindeck.net.client_connection import ConnectionState
 from puffindeck.net.upstream_connection import HostLine, Link
-from tests.crossing import ASK, CHAT, CrossingStory
+from tests.support.crossing_story import ASK, CHAT, CrossingStory
 
 
 class LeaverStories(CrossingStory):
--- a/tests/test_patience.py
+++ b/tests/policy/test_attempt_timeouts.py
@@ -8,8 +8,8 @@
 import pytest
 
 from puffindeck.interface import ClassSettings
-from tests.storeworld import StoreWorld
-from tests.world import SETTINGS
+from tests.support.gateway import SETTINGS
+from tests.support.shared_store import StoreWorld
 
 AIM, DEADLINE = 300.0, 1800.0
 RULES = replace(
--- a/tests/test_choice.py
+++ b/tests/policy/test_balancer.py
@@ -33,7 +33,7 @@
 from puffindeck.policy.cold import FULL
 from puffindeck.policy.known import BOUND
 from puffindeck.policy.walk import FLOOR
-from tests.world import SETTINGS, Gateway, asked, entry, listed, sends
+from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed, sends
 
 
 def test_gateways_agree_on_homes_whatever_their_seed() -> None:
@@ -485,7 +485,7 @@
 
 def test_actions_do_not_depend_on_the_process() -> None:
     script = (
-        "from tests.world import *\nfrom random import Random\n"
+        "from tests.support.gateway import *\nfrom random import Random\n"
         "b = RuleBook(SETTINGS, Random(5)); log = []; check = b.check\n"
         "b.check = lambda a: (log.append(repr(a)), check(a))[1]\n"
         "for _ in range(300): b.step()\nprint('\\n'.join(log))"
--- a/tests/test_fleet.py
+++ b/tests/policy/test_many_gateways.py
@@ -10,7 +10,7 @@
 
 from puffindeck.interface import LoadReported
 from puffindeck.policy.ring import PLAN_MS, PLANNED
-from tests.world import SETTINGS, Gateway, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, listed
 
 ZONES = 4
 
--- a/tests/test_rules.py
+++ b/tests/policy/test_send_rules.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from puffindeck.interface import ClassSettings, Effect, Scope
-from tests.world import SETTINGS, RuleBook
+from tests.support.gateway import SETTINGS, RuleBook
 
 CLASSES = {
     "safe": ClassSettings(300, 1200, message_latency_objective_ms=60),
--- a/tests/test_cold.py
+++ b/tests/policy/test_slow_start.py
@@ -6,7 +6,7 @@
 
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Send
 from puffindeck.policy.cold import FULL
-from tests.world import SETTINGS, Gateway, asked, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
 
 COLD = replace(
     SETTINGS,
--- a/tests/test_cold_sum.py
+++ b/tests/policy/test_slow_start_of_all_gateways.py
@@ -24,7 +24,7 @@
     Send,
     Settings,
 )
-from tests.world import SETTINGS, Gateway, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, listed
 
 COLD = replace(
     SETTINGS,
--- a/tests/test_quic.py
+++ b/tests/quic/test_front.py
@@ -26,7 +26,7 @@
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import front, packets
 from puffindeck.quic.ids import Ids
-from tests.stories import Story, reactor
+from tests.support.node_story import Story, reactor
 
 KEY = bytes.fromhex("8f95f09245765f80256934e50c66207f")
 IDS = Ids(1, 4, 8, KEY)
--- a/tests/test_routing.py
+++ b/tests/routing/test_pool_router.py
@@ -34,7 +34,7 @@
     WatchEndpoints,
 )
 from puffindeck.routing import Condition, ConditionError, Pool, Pooled, Route, RouteTable, Routing, View
-from tests.world import SETTINGS, Gateway, RuleBook, asked, entry, listed, sends
+from tests.support.gateway import SETTINGS, Gateway, RuleBook, asked, entry, listed, sends
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
 
--- a/tests/test_rpc_grpc.py
+++ b/tests/rpc/test_grpc.py
@@ -17,7 +17,7 @@
 from grpc.aio import EOF, AioRpcError, Metadata
 
 from puffindeck.rpc.grpc import BalancedChannel, come_back, moved, resuming
-from tests.rpc_world import Stub, World, keyed, told, until
+from tests.support.rpc_world import Stub, World, keyed, told, until
 
 
 class Story(IsolatedAsyncioTestCase):
@@ -573,7 +573,7 @@
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
         )
         from puffindeck.config.client import Tls
-        from tests.rpc_world import Box
+        from tests.support.rpc_world import Box
 
         box = await Box("one").start(grpc.ssl_server_credentials([(private, certificate)]))
         self.addAsyncCleanup(box.stop)
--- a/tests/test_rpc_routing.py
+++ b/tests/rpc/test_routing.py
@@ -16,8 +16,8 @@
 from puffindeck.config.client import client
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
-from tests.rpc_world import Stub, World, keyed, told, until
-from tests.world import SETTINGS, Gateway, asked, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
+from tests.support.rpc_world import Stub, World, keyed, told, until
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
 POOL = Pool("main", (("1", "2", "3"), ("4", "5")), server_limits={"1": 1})
@@ -105,7 +105,7 @@
 
 
 def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
-    text = (Path(__file__).parent.parent / "deploy/client-grpc.toml").read_text()
+    text = (Path(__file__).parents[2] / "deploy/client-grpc.toml").read_text()
     pools = '\n[routing]\ndefault = "all"\n[routing.pools.all]\nmembers = ["box-*"]\n'
     (tmp_path / "c.toml").write_text(text + pools)
     assert client(tmp_path / "c.toml").routing.table.default == "all"
--- a/tests/test_rpc_roster.py
+++ b/tests/rpc/test_service_discovery.py
@@ -13,7 +13,7 @@
 from puffindeck.config.members import Target
 from puffindeck.policy.records import Request
 from puffindeck.rpc.grpc import BalancedChannel, come_back
-from tests.rpc_world import Stub, World, keyed, told, until
+from tests.support.rpc_world import Stub, World, keyed, told, until
 
 
 def now_ms() -> float:
@@ -217,7 +217,7 @@
 def _request(key: str) -> Request:
     from puffindeck.interface import RequestArrived
     from puffindeck.service_discovery.keys import number
-    from tests.rpc_world import SETTINGS
+    from tests.support.rpc_world import SETTINGS
 
     return Request(RequestArrived(1, 0, 0, number(key.encode()), 1200, 0.0, 0), SETTINGS, 1.0, 0.0)
 
--- /dev/null
+++ b/tests/service_discovery/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of service_discovery."""
--- a/tests/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -24,7 +24,7 @@
     RequestArrived,
 )
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 LONGEST_MODULE = 300  # lines of a module of the decision package
 TABLE = {
     "classes": [{"aimMs": 300, "hardLimitMs": 1200, "repeat": "pure"}],
--- a/tests/stories.py
+++ b/tests/support/node_story.py
@@ -16,7 +16,7 @@
 from puffindeck.core.clock import Clock
 from puffindeck.interface import ClassSettings, Event, Settings
 from puffindeck.net.node import Node as NetNode
-from tests.world import SETTINGS as WORLD
+from tests.support.gateway import SETTINGS as WORLD
 
 reactor: Any = default_reactor
 SETTINGS: Settings = replace(
--- a/tests/storeworld.py
+++ b/tests/support/shared_store.py
@@ -31,7 +31,7 @@
     TimerFired,
 )
 from puffindeck.policy import Balancer
-from tests.world import entry
+from tests.support.gateway import entry
 
 
 class Client:
