--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -12,7 +12,8 @@
 from typing import Any, NamedTuple
 
 from benchmarks.table import table
-from puffindeck_quota import Charge, Limit, Parcel, Quota, Refusal, Settings, Unit
+from puffindeck_messaging import SendMessage
+from puffindeck_quota import Charge, Limit, Quota, Refusal, Settings, Unit
 from puffindeck_testing.gateways import NAMES, SIZE, Gateways
 
 LIMIT = Limit("acme", Unit.OPENS, 400, SIZE)
@@ -94,7 +95,7 @@
         self.told_ms = now
         window = int(now // SIZE)
         data = b"%d %d" % (window, self.spent[window])
-        return [Parcel(name, data) for name in self.voters if name != self.name]
+        return [SendMessage(name, data) for name in self.voters if name != self.name]
 
 
 class Case(NamedTuple):
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -10,9 +10,6 @@
 
 from twisted.logger import Logger
 
-import puffindeck_membership.errors as membership_errors
-import puffindeck_quota.errors as quota_errors
-import puffindeck_residency.errors as residency_errors
 from puffindeck.core.clock import ms, span
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck_errors import OperatorError, described
@@ -31,20 +28,16 @@
     Post,
     Received,
     Refused,
-    Reported,
     Retuned,
     Tick,
     Usurped,
     Wake,
 )
-from puffindeck_quota import Came, Parcel, Quota, Release, Seen
-from puffindeck_quota import Reported as QuotaReported
+from puffindeck_messaging import MessageReceived, Report, SendMessage
+from puffindeck_quota import Quota, Release, Seen
 from puffindeck_quota import Retuned as QuotaRetuned
 from puffindeck_quota import Tick as QuotaTick
 from puffindeck_residency import Books
-from puffindeck_residency import Came as BookCame
-from puffindeck_residency import Parcel as BookParcel
-from puffindeck_residency import Reported as BookReported
 from puffindeck_residency import Seen as BookSeen
 
 log = Logger("puffindeck")
@@ -182,9 +175,8 @@
                 self._arrived(action)
             elif isinstance(action, Changed):
                 self._changed(action)
-            elif isinstance(action, Reported):
-                kind = getattr(membership_errors, action.kind)
-                log.error("fleet: {error}", error=described(kind(action.where, **action.facts)))
+            elif isinstance(action, Report):
+                log.error("fleet: {error}", error=described(action.error))
             elif isinstance(action, Usurped):
                 self._ended(NameTaken(f"fleet {self.told.name}: {self.name}", address=action.address))
         self._keep()
@@ -218,9 +210,9 @@
 
     def _arrived(self, parcel: Arrived) -> None:
         if parcel.channel == "quota" and self.quota is not None:
-            self._do_quota(Came(parcel.sender, parcel.data))
+            self._do_quota(MessageReceived(parcel.sender, parcel.data))
         elif parcel.channel == "residency" and self.books is not None:
-            self._do_books(BookCame(parcel.sender, parcel.data))
+            self._do_books(MessageReceived(parcel.sender, parcel.data))
         else:
             self.dropped["channel"] += 1
 
@@ -235,28 +227,26 @@
             living = {m.name: m.news.region for m in self.member.table.living.values()}
             self._do_quota(Seen(living, self.member.apart_ms(), self.member.shunned), QuotaTick())
 
-    def _do_books(self, event: BookCame | BookSeen) -> None:
+    def _do_books(self, event: MessageReceived | BookSeen) -> None:
         assert self.books is not None
         for action in self.books.handle(self._now(), [event]):
-            if isinstance(action, BookParcel):
+            if isinstance(action, SendMessage):
                 self.send(action.to, "residency", action.data)
-            elif isinstance(action, BookReported):
-                kind = getattr(residency_errors, action.kind)
-                log.error("residency: {error}", error=described(kind(action.where, **action.facts)))
+            elif isinstance(action, Report):
+                log.error("residency: {error}", error=described(action.error))
 
     def _do_quota(self, *events: Any) -> None:
         assert self.quota is not None
         moved = False
         posted = []
         for action in self.quota.handle(self._now(), events):
-            if isinstance(action, Parcel):
+            if isinstance(action, SendMessage):
                 posted.append(action)
             elif isinstance(action, Release) and self._governor is not None:
                 self._governor.release(action.charge)
                 moved = True
-            elif isinstance(action, QuotaReported):
-                kind = getattr(quota_errors, action.kind)
-                log.error("quota: {error}", error=described(kind(action.where, **action.facts)))
+            elif isinstance(action, Report):
+                log.error("quota: {error}", error=described(action.error))
         for parcel in posted:
             self.send(parcel.to, "quota", parcel.data)
         if moved and self._engine is not None:
--- a/packages/membership/src/puffindeck_membership/model.py
+++ b/packages/membership/src/puffindeck_membership/model.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from puffindeck_membership.messages import Body, Envelope, News, Phase
+from puffindeck_messaging import Report
 
 
 @dataclass(frozen=True, slots=True)
@@ -106,15 +107,6 @@
     data: bytes
 
 
-@dataclass(slots=True)
-class Reported:
-    """Something that staff should hear of: a kind from errors.py, where, and its facts."""
-
-    kind: str
-    where: str
-    facts: dict[str, object]
-
-
 @dataclass(slots=True)
 class Usurped:
     """An earlier process that lives has this name: this one has to end."""
@@ -122,7 +114,7 @@
     address: str
 
 
-Action = Post | Wake | Changed | Arrived | Reported | Usurped
+Action = Post | Wake | Changed | Arrived | Report | Usurped
 
 __all__ = [
     "Action",
@@ -134,7 +126,6 @@
     "Post",
     "Received",
     "Refused",
-    "Reported",
     "Retuned",
     "Tick",
     "Timing",
--- a/packages/membership/src/puffindeck_membership/probing.py
+++ b/packages/membership/src/puffindeck_membership/probing.py
@@ -2,10 +2,11 @@
 
 from __future__ import annotations
 
+from puffindeck_membership.errors import PeerMisnamed
 from puffindeck_membership.messages import Ack, Ask, Doubt, Envelope, Phase, Ping
-from puffindeck_membership.model import Reported
 from puffindeck_membership.spreading import Spreading
 from puffindeck_membership.table import NEVER, Member
+from puffindeck_messaging import Report
 
 RECENT = 1.5  # periods: a word of a member this old is worth telling to who doubts it
 STALE_RTT = 1.05  # an answer's quickness counts for less with each one after it
@@ -80,9 +81,7 @@
         name, sent_ms, asker = known
         if name != envelope.sender:
             where = f"fleet.peers.{name}"
-            self.actions.append(
-                Reported("PeerMisnamed", where, {"address": self.where(name), "found": envelope.sender})
-            )
+            self.actions.append(Report(PeerMisnamed(where, address=self.where(name), found=envelope.sender)))
             return
         self.shunned = False  # it was heard
         self.health.well()
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from puffindeck_membership import Leave, Membership, News, Phase, Refused, Reported, Tick, Usurped, Wake
+from puffindeck_membership import Leave, Membership, News, PeerMisnamed, Phase, Refused, Tick, Usurped, Wake
+from puffindeck_messaging import Report
 from puffindeck_testing.virtual import Link, Net
 
 MINUTE = 60000.0
@@ -73,8 +74,10 @@
     net.run(net.now + 10000)
     assert set(phases(net, "e4")) == {"e1", "e2", "e3", "e4"}
     assert all_alive(net)
-    reported = [a for _, who, a in net.other if who == "e4" and isinstance(a, Reported)]
-    assert {(r.kind, r.where, str(r.facts["found"])) for r in reported} == {("PeerMisnamed", "fleet.peers.e9", "e1")}
+    reported = [a for _, who, a in net.other if who == "e4" and isinstance(a, Report)]
+    assert {(type(r.error), r.error.where, r.error.facts["found"]) for r in reported} == {
+        (PeerMisnamed, "fleet.peers.e9", "e1")
+    }
 
 
 @pytest.mark.parametrize("count", [2, 3, 5, 40])
--- a/packages/quota/src/puffindeck_quota/__init__.py
+++ b/packages/quota/src/puffindeck_quota/__init__.py
@@ -9,12 +9,9 @@
 from puffindeck_quota.limits import Limit, Settings, Unit
 from puffindeck_quota.model import (
     Action,
-    Came,
     Event,
-    Parcel,
     Refusal,
     Release,
-    Reported,
     Retuned,
     Seen,
     Tick,
@@ -23,19 +20,16 @@
 
 __all__ = [
     "Action",
-    "Came",
     "Charge",
     "ClockTooFar",
     "Event",
     "Limit",
     "LimitUnknown",
     "NoMajority",
-    "Parcel",
     "Quota",
     "QuotaError",
     "Refusal",
     "Release",
-    "Reported",
     "Retuned",
     "Seen",
     "Settings",
--- a/packages/quota/src/puffindeck_quota/minting.py
+++ b/packages/quota/src/puffindeck_quota/minting.py
@@ -6,7 +6,9 @@
 
 from xxhash import xxh32_intdigest
 
+from puffindeck_messaging import ReportThrottle, SendMessage
 from puffindeck_quota.agreement import Agreement
+from puffindeck_quota.errors import ClockTooFar, LimitUnknown, NoMajority, QuotaError, VotersDiffer
 from puffindeck_quota.ledger import Account, Ledger
 from puffindeck_quota.limits import Limit, Settings
 from puffindeck_quota.model import (
@@ -18,10 +20,8 @@
     Hello,
     Message,
     Missing,
-    Parcel,
     Prepare,
     Promise,
-    Reported,
     Roster,
     Seen,
 )
@@ -29,7 +29,6 @@
 FIRST, STEP, AGAIN = 0.05, 0.15, 0.2  # of an epoch: when the first voter proposes, each next one, and again
 MISSING_MS = 500.0  # between two times that what was chosen is asked for
 TOLD = 20  # accounts whose spending rides on a hello
-REPORT_MS = 30000.0  # between two reports of one thing
 
 
 class Minting:
@@ -60,20 +59,18 @@
         self._of_tenant: dict[str, list[Account]] = {}
         self._hello_ms = self._proposed_ms = self._missing_ms = self._pruned_ms = float("-inf")
         self._proposed = -1
-        self._reported: dict[str, float] = {}
+        self._reports = ReportThrottle()
 
     def send(self, to: str, message: Message) -> None:
         if to == self.name:
             assert isinstance(message, (Prepare, Promise, Accept, Accepted, Chosen, Missing))
             self.agree(to, message)
         else:
-            self.actions.append(Parcel(to, ENCODER.encode(message)))
+            self.actions.append(SendMessage(to, ENCODER.encode(message)))
 
-    def report(self, kind: str, where: str, **facts: object) -> None:
-        """Once in a while for each thing."""
-        if self.now - self._reported.get(kind + where, float("-inf")) >= REPORT_MS:
-            self._reported[kind + where] = self.now
-            self.actions.append(Reported(kind, where, facts))
+    def report(self, error: QuotaError) -> None:
+        """Tell the operators, once in an interval for each error."""
+        self.actions += self._reports.reports(self.now, error)
 
     # Accounts
 
@@ -158,11 +155,11 @@
             del self.hellos[gone]
         far = abs(event.apart_ms) > self.settings.skew_ms
         if far:
-            self.report("ClockTooFar", "quota.skew", apart_ms=event.apart_ms, allowed_ms=self.settings.skew_ms)
+            self.report(ClockTooFar("quota.skew", apart_ms=event.apart_ms, allowed_ms=self.settings.skew_ms))
         ours = self._voters()
         differ = [name for name, hello in self.hellos.items() if hello.voters != ours]
         for name in differ:
-            self.report("VotersDiffer", "quota.voters", peer=name, theirs=self.hellos[name].voters, ours=ours)
+            self.report(VotersDiffer("quota.voters", peer=name, theirs=self.hellos[name].voters, ours=ours))
         self.sound = not (far or differ)
 
     def _voters(self) -> str:
@@ -177,7 +174,7 @@
         for name, amount in hello.amounts.items():
             limit = self.limits.get(name)
             if limit is not None and limit.amount != amount:
-                self.report("LimitUnknown", f"quota.limits {name}", peer=sender, theirs=amount, ours=limit.amount)
+                self.report(LimitUnknown(f"quota.limits {name}", peer=sender, theirs=amount, ours=limit.amount))
 
     def cut_off(self) -> bool:
         """Are too few voters in sight for a roster?"""
@@ -204,7 +201,7 @@
             for one in missing:
                 self.send(self.random.choice(sorted(self.others)), Missing(one))
             if epoch in missing and self.cut_off():
-                self.report("NoMajority", "quota.voters", voters=self._voters(), since_ms=now - epoch * size)
+                self.report(NoMajority("quota.voters", voters=self._voters(), since_ms=now - epoch * size))
 
     def _say_hello(self) -> None:
         spent: dict[str, tuple[int, int]] = {}
--- a/packages/quota/src/puffindeck_quota/model.py
+++ b/packages/quota/src/puffindeck_quota/model.py
@@ -2,24 +2,17 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 import msgspec
 
+from puffindeck_messaging import MessageReceived, Report, SendMessage
 from puffindeck_quota.ledger import Charge
 from puffindeck_quota.limits import Limit
 
 # Events
 
 
-@dataclass(slots=True)
-class Came:
-    """A parcel from another member."""
-
-    sender: str
-    data: bytes
-
-
 @dataclass(slots=True)
 class Seen:
     """Who is in the fleet as this member sees it (itself left out), and how far its clock is from most."""
@@ -41,20 +34,12 @@
     limits: tuple[Limit, ...]
 
 
-Event = Came | Seen | Tick | Retuned
+Event = MessageReceived | Seen | Tick | Retuned
 
 
 # Actions
 
 
-@dataclass(slots=True)
-class Parcel:
-    """To be sent to another member."""
-
-    to: str
-    data: bytes
-
-
 @dataclass(slots=True)
 class Release:
     """A standing connection that has no right any more: it is to be moved."""
@@ -62,16 +47,7 @@
     charge: Charge
 
 
-@dataclass(slots=True)
-class Reported:
-    """Something that staff should hear of: a kind from errors.py, where, and its facts."""
-
-    kind: str
-    where: str
-    facts: dict[str, object] = field(default_factory=dict)
-
-
-Action = Parcel | Release | Reported
+Action = SendMessage | Release | Report
 
 
 @dataclass(slots=True)
--- a/packages/quota/src/puffindeck_quota/quota.py
+++ b/packages/quota/src/puffindeck_quota/quota.py
@@ -7,6 +7,7 @@
 
 import msgspec
 
+from puffindeck_messaging import MessageReceived
 from puffindeck_quota.ledger import Account, Charge, Ledger
 from puffindeck_quota.limits import Limit, Settings, Unit
 from puffindeck_quota.minting import Minting
@@ -15,7 +16,6 @@
     Accept,
     Accepted,
     Action,
-    Came,
     Chosen,
     Event,
     Give,
@@ -148,7 +148,7 @@
         self.actions, self.now = [], now
         self.begin()
         for event in events:
-            if isinstance(event, Came):
+            if isinstance(event, MessageReceived):
                 self._came(event)
             elif isinstance(event, Seen):
                 self.seen(event)
@@ -163,7 +163,7 @@
             self._ask()
         return self.actions
 
-    def _came(self, event: Came) -> None:
+    def _came(self, event: MessageReceived) -> None:
         try:
             message = DECODER.decode(event.data)
         except msgspec.MsgspecError:
--- a/packages/quota/tests/test_quota.py
+++ b/packages/quota/tests/test_quota.py
@@ -4,7 +4,8 @@
 
 import pytest
 
-from puffindeck_quota import Came, Charge, Limit, Parcel, Quota, Refusal, Reported, Retuned, Unit
+from puffindeck_messaging import MessageReceived, Report, SendMessage
+from puffindeck_quota import Charge, ClockTooFar, Limit, LimitUnknown, NoMajority, Quota, Refusal, Retuned, Unit
 from puffindeck_quota.model import ENCODER, Want
 from puffindeck_testing.gateways import NAMES, SIZE, Gateways
 
@@ -98,7 +99,7 @@
     before = fleet.by["e1"]
     fleet.run(12, {"e1": 30.0})
     assert fleet.by["e1"] == before
-    assert {r.kind for r in fleet.reports} == {"NoMajority"}
+    assert {type(r.error) for r in fleet.reports} == {NoMajority}
     fleet.cut = set()
     fleet.run(22, {"e1": 30.0})
     assert fleet.by["e1"] > before
@@ -123,7 +124,7 @@
     fleet.run(5, {"e1": 10.0, "e2": 10.0})
     assert fleet.by["e1"] == 0
     assert fleet.by["e2"] > 30
-    assert {(r.kind, r.where) for r in fleet.reports} == {("ClockTooFar", "quota.skew")}
+    assert {(type(r.error), r.error.where) for r in fleet.reports} == {(ClockTooFar, "quota.skew")}
 
 
 def test_a_lower_limit_counts_at_once_and_a_higher_one_from_the_next_window() -> None:
@@ -147,7 +148,7 @@
     window = int(fleet.now // SIZE)
     fleet.run(9.5, dict.fromkeys(NAMES, 20.0))
     assert 40 <= fleet.admitted["acme", window] <= 50
-    assert "LimitUnknown" in {r.kind for r in fleet.reports}
+    assert LimitUnknown in {type(r.error) for r in fleet.reports}
 
 
 def test_what_stands_at_once_is_bounded_and_leaves_with_its_right() -> None:
@@ -210,7 +211,7 @@
 def test_messages_of_no_use_are_dropped_and_counted() -> None:
     quota = Quota("e1", life=1, voters=NAMES, limits=LIMIT)
     for data in (b"", b"\xff", b"\x93\x01\x02", b"\x95\x63\x01\x01\x01\x01"):
-        assert not [a for a in quota.handle(1e6, [Came("e2", data)]) if isinstance(a, Reported)]
+        assert not [a for a in quota.handle(1e6, [MessageReceived("e2", data)]) if isinstance(a, Report)]
     assert quota.dropped == 4
 
 
@@ -220,11 +221,11 @@
     giver = fleet.gateways["e2"]
     key, window = "opens/10000//acme#acme", int(fleet.now // SIZE)
     asked = ENCODER.encode(Want(key, window, 0, 50.0, fleet.gateways["e1"].life))
-    given = [a for a in giver.handle(fleet.now, [Came("e1", asked)]) if isinstance(a, Parcel)]
+    given = [a for a in giver.handle(fleet.now, [MessageReceived("e1", asked)]) if isinstance(a, SendMessage)]
     fleet.kill("e1")
     fleet.start("e1")
     later = fleet.gateways["e1"]
-    later.handle(fleet.now, [Came("e2", parcel.data) for parcel in given if parcel.to == "e1"])
+    later.handle(fleet.now, [MessageReceived("e2", parcel.data) for parcel in given if parcel.to == "e1"])
     refused = later.admit("acme", fleet.now, fleet.now + 100)
     assert isinstance(refused, Refusal)
     assert len(given) > 0
--- a/packages/residency/src/puffindeck_residency/__init__.py
+++ b/packages/residency/src/puffindeck_residency/__init__.py
@@ -1,6 +1,6 @@
 """Services kept inside their regions. docs/design/residency.md has the ways weighed."""
 
-from puffindeck_residency.books import Books, Came, Parcel, Reported, Seen
+from puffindeck_residency.books import Books, Seen
 from puffindeck_residency.errors import BooksDiffer, BookUnreadable, ResidencyError
 from puffindeck_residency.regional import Regional, RegionalBalancer
 from puffindeck_residency.rules import Book, Service, Verdict
@@ -10,11 +10,8 @@
     "BookUnreadable",
     "Books",
     "BooksDiffer",
-    "Came",
-    "Parcel",
     "Regional",
     "RegionalBalancer",
-    "Reported",
     "ResidencyError",
     "Seen",
     "Service",
--- a/packages/residency/src/puffindeck_residency/books.py
+++ b/packages/residency/src/puffindeck_residency/books.py
@@ -7,15 +7,16 @@
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 import msgspec
 
+from puffindeck_messaging import MessageReceived, Report, ReportThrottle, SendMessage
+from puffindeck_residency.errors import BooksDiffer, BookUnreadable, ResidencyError
 from puffindeck_residency.rules import Book
 
 TELL_MS = 500.0  # between two words of which book is held
 CHUNK = 900  # octets of a book in one parcel
-REPORT_MS = 30000.0
 
 # Between gateways. Fields may be added at the end.
 
@@ -47,14 +48,6 @@
 DECODER, ENCODER = msgspec.msgpack.Decoder(Have | Ask | Part), msgspec.msgpack.Encoder()
 
 
-@dataclass(slots=True)
-class Came:
-    """A parcel from another member."""
-
-    sender: str
-    data: bytes
-
-
 @dataclass(slots=True)
 class Seen:
     """The members that are not dead and have not left, itself left out."""
@@ -62,23 +55,6 @@
     living: frozenset[str]
 
 
-@dataclass(slots=True)
-class Parcel:
-    """To be sent to another member."""
-
-    to: str
-    data: bytes
-
-
-@dataclass(slots=True)
-class Reported:
-    """Something that staff should hear of: a kind from errors.py, where, and its facts."""
-
-    kind: str
-    where: str
-    facts: dict[str, object] = field(default_factory=dict)
-
-
 class Books:
     """The books that one gateway holds.
 
@@ -107,9 +83,9 @@
         self._parts: dict[tuple[str, str], dict[int, bytes]] = {}
         self._living: frozenset[str] = frozenset()
         self._told_ms = float("-inf")
-        self._reported: dict[str, float] = {}
+        self._reports = ReportThrottle()
         self._now = 0.0
-        self._actions: list[Parcel | Reported] = []
+        self._actions: list[SendMessage | Report] = []
 
     # What counts
 
@@ -134,7 +110,7 @@
 
     # Events
 
-    def handle(self, now: float, events: Iterable[Came | Seen]) -> list[Parcel | Reported]:
+    def handle(self, now: float, events: Iterable[MessageReceived | Seen]) -> list[SendMessage | Report]:
         """Take in what has happened; what to send, and what staff should hear."""
         self._now, self._actions = now, []
         for event in events:
@@ -154,14 +130,12 @@
         self._adopt(book, self.name)
 
     def _send(self, to: str, message: Have | Ask | Part) -> None:
-        self._actions.append(Parcel(to, ENCODER.encode(message)))
+        self._actions.append(SendMessage(to, ENCODER.encode(message)))
 
-    def _report(self, kind: str, where: str, **facts: object) -> None:
-        if self._now - self._reported.get(kind + where, float("-inf")) >= REPORT_MS:
-            self._reported[kind + where] = self._now
-            self._actions.append(Reported(kind, where, facts))
+    def _report(self, error: ResidencyError) -> None:
+        self._actions += self._reports.reports(self._now, error)
 
-    def _came(self, event: Came) -> None:
+    def _came(self, event: MessageReceived) -> None:
         try:
             message = DECODER.decode(event.data)
         except msgspec.MsgspecError:
@@ -197,7 +171,7 @@
             if part.version > self.newest.version:
                 self.unreadable = part.digest
                 self.generation += 1
-            self._report("BookUnreadable", "residency", version=part.version, peer=sender, reason=error)
+            self._report(BookUnreadable("residency", version=part.version, peer=sender, reason=error))
             return
         self._adopt(book, sender)
 
@@ -208,7 +182,7 @@
         self.generation += 1
         if book.version == self.newest.version:
             self.rivals.append(book)
-            self._report("BooksDiffer", "residency.version", peer=sender, version=book.version)
+            self._report(BooksDiffer("residency.version", peer=sender, version=book.version))
             return
         self.before += [self.newest, *self.rivals]
         self.newest, self.rivals, self.unreadable = book, [], ""
--- a/packages/residency/tests/test_residency.py
+++ b/packages/residency/tests/test_residency.py
@@ -8,7 +8,9 @@
 from typing import Any
 
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
-from puffindeck_residency import Book, Books, Came, Parcel, RegionalBalancer, Reported, Seen, Service
+from puffindeck_errors import OperatorError
+from puffindeck_messaging import MessageReceived, Report, SendMessage
+from puffindeck_residency import Book, Books, BooksDiffer, BookUnreadable, RegionalBalancer, Seen, Service
 from puffindeck_residency.rules import judged
 from tests.support.gateway import SETTINGS, Gateway, entry, listed
 
@@ -152,7 +154,7 @@
     loss: float = 0.0
 
     def __post_init__(self) -> None:
-        self.reports: list[tuple[str, str]] = []
+        self.reports: list[tuple[str, type[OperatorError]]] = []
 
     def run(self, ms: float) -> None:
         until = self.now + ms
@@ -165,10 +167,10 @@
 
     def do(self, name: str, actions: Sequence[object]) -> None:
         for action in actions:
-            if isinstance(action, Reported):
-                self.reports.append((name, action.kind))
-            elif isinstance(action, Parcel) and self.passes(name, action.to):
-                self.do(action.to, self.made[action.to].handle(self.now, [Came(name, action.data)]))
+            if isinstance(action, Report):
+                self.reports.append((name, type(action.error)))
+            elif isinstance(action, SendMessage) and self.passes(name, action.to):
+                self.do(action.to, self.made[action.to].handle(self.now, [MessageReceived(name, action.data)]))
 
     def passes(self, name: str, to: str) -> bool:
         return to not in self.dead and frozenset({name, to}) not in self.cut and self.random.random() >= self.loss
@@ -225,7 +227,7 @@
     one = fleet(book(7, "south", "north"), book(7, "north", "east"), book(6, "north"))
     one.run(3000)
     assert {one.allowed(name) for name in one.made} == {("north",)}
-    assert {kind for _, kind in one.reports} == {"BooksDiffer"}
+    assert {kind for _, kind in one.reports} == {BooksDiffer}
     one.made["e2"].reread(book(8, "east"))
     one.run(3000)
     assert {one.allowed(name) for name in one.made} == {("east",)}
@@ -249,7 +251,7 @@
     one.made["e1"].reread(book(2, "north", note="strange"))
     one.run(3000)
     assert not one.made["e2"].serves(one.now)
-    assert ("e2", "BookUnreadable") in one.reports
+    assert ("e2", BookUnreadable) in one.reports
     one.made["e1"].reread(book(3, "north"))
     one.run(3000)
     assert one.made["e2"].serves(one.now)
--- a/packages/testing/src/puffindeck_testing/gateways.py
+++ b/packages/testing/src/puffindeck_testing/gateways.py
@@ -10,7 +10,8 @@
 from random import Random
 from typing import Any
 
-from puffindeck_quota import Came, Charge, Limit, Parcel, Quota, Release, Reported, Seen, Settings, Tick
+from puffindeck_messaging import MessageReceived, Report, SendMessage
+from puffindeck_quota import Charge, Limit, Quota, Release, Seen, Settings, Tick
 
 NAMES = ("e1", "e2", "e3", "e4", "e5")
 SIZE = 10000
@@ -43,7 +44,7 @@
         self.by: Counter[str] = Counter()
         self.refused = 0
         self.released: list[Charge] = []
-        self.reports: list[Reported] = []
+        self.reports: list[Report] = []
         for name in names:
             self.start(name)
 
@@ -73,7 +74,7 @@
         self.flying = [item for item in self.flying if item[0] > self.now]
         for _, _, sender, to, data in due:
             if to in self.gateways and to not in self.paused:
-                self._do(to, self.gateways[to].handle(self.clock(to), [Came(sender, data)]))
+                self._do(to, self.gateways[to].handle(self.clock(to), [MessageReceived(sender, data)]))
             elif to in self.paused:
                 self.flying.append((self.now + 1, 0, sender, to, data))
         for name, quota in list(self.gateways.items()):
@@ -87,9 +88,9 @@
         for action in actions:
             if isinstance(action, Release):
                 self.released.append(action.charge)
-            elif isinstance(action, Reported):
+            elif isinstance(action, Report):
                 self.reports.append(action)
-            elif isinstance(action, Parcel):
+            elif isinstance(action, SendMessage):
                 if (name, action.to) in self.cut or self.random.random() < self.loss:
                     continue
                 for _ in range(1 + (self.random.random() < self.copies)):
