--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -13,10 +13,10 @@
 
 from benchmarks.table import table
 from puffindeck_messaging import SendMessage
-from puffindeck_quota import Charge, Limit, Quota, Refusal, Settings, Unit
+from puffindeck_quota import Charge, Limit, Quota, QuotaSettings, Rejection, Unit
 from puffindeck_testing.gateways import NAMES, SIZE, Gateways
 
-LIMIT = Limit("acme", Unit.OPENS, 400, SIZE)
+LIMIT = Limit("acme", Unit.OPENED_CONNECTIONS, 400, SIZE)
 DEMAND = 2 * LIMIT.amount / (SIZE / 1000)  # a second, all gateways together
 WAYS = ("rights", "equal parts", "central counter", "gossiped counts")
 DEMANDS = ("even", "skewed", "wandering")
@@ -34,14 +34,14 @@
     def room(self, window: int) -> bool:
         raise NotImplementedError
 
-    def admit(self, tenant: str, now: float, until: float) -> Charge | Refusal:
+    def admit(self, tenant: str, now: float, until: float) -> Charge | Rejection:
         window = int(now // SIZE)
         if not self.room(window):
-            return Refusal("opens", 100.0)
+            return Rejection("opens", 100.0)
         self.spent[window] += 1
         return Charge(tenant, now)
 
-    def began(self, charge: Charge, now: float) -> None:
+    def on_established(self, charge: Charge, now: float) -> None:
         """It counts from its admission."""
 
     def handle(self, now: float, events: Any) -> list[Any]:
@@ -156,7 +156,11 @@
 def cost() -> float:
     """Microseconds of an admission."""
     quota = Quota(
-        "e1", life=1, voters=("e1",), limits=(Limit("acme", Unit.OPENS, 1 << 30, 60000),), settings=Settings()
+        "e1",
+        process_incarnation=1,
+        voters=("e1",),
+        limits=(Limit("acme", Unit.OPENED_CONNECTIONS, 1 << 30, 60000),),
+        settings=QuotaSettings(),
     )
     for i in range(61):
         quota.handle(1_200_000.0 + 1000 * i, [])
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -34,8 +34,7 @@
     Wake,
 )
 from puffindeck_messaging import MessageReceived, Report, SendMessage
-from puffindeck_quota import Quota, Release, Seen
-from puffindeck_quota import Retuned as QuotaRetuned
+from puffindeck_quota import LimitsChanged, MembersChanged, Quota, Revoke
 from puffindeck_quota import Tick as QuotaTick
 from puffindeck_residency import Books
 from puffindeck_residency import Seen as BookSeen
@@ -225,7 +224,7 @@
             self._engine.tell(FLUSH)
         if self.quota is not None:
             living = {m.name: m.news.region for m in self.member.table.living.values()}
-            self._do_quota(Seen(living, self.member.apart_ms(), self.member.shunned), QuotaTick())
+            self._do_quota(MembersChanged(living, self.member.apart_ms(), self.member.shunned), QuotaTick())
 
     def _do_books(self, event: MessageReceived | BookSeen) -> None:
         assert self.books is not None
@@ -242,7 +241,7 @@
         for action in self.quota.handle(self._now(), events):
             if isinstance(action, SendMessage):
                 posted.append(action)
-            elif isinstance(action, Release) and self._governor is not None:
+            elif isinstance(action, Revoke) and self._governor is not None:
                 self._governor.release(action.charge)
                 moved = True
             elif isinstance(action, Report):
@@ -265,7 +264,7 @@
         if self.books is not None and book is not None:
             self.books.reread(book)
         if self.quota is not None:
-            self._do_quota(QuotaRetuned(limits))
+            self._do_quota(LimitsChanged(limits))
 
     # The end
 
@@ -304,7 +303,7 @@
 
     def quotas(self) -> dict[str, Any]:
         """`GET /_quotas`."""
-        return {"limits": self.quota.view(self._now()) if self.quota is not None else []}
+        return {"limits": self.quota.status(self._now()) if self.quota is not None else []}
 
     def residency(self) -> dict[str, Any]:
         """`GET /_residency`."""
--- a/packages/fleet/src/puffindeck_fleet/governor.py
+++ b/packages/fleet/src/puffindeck_fleet/governor.py
@@ -28,7 +28,7 @@
     SettingsChanged,
     TimerFired,
 )
-from puffindeck_quota import Charge, Quota, Refusal
+from puffindeck_quota import Charge, Quota, Rejection
 from puffindeck_residency import Books, Regional
 from puffindeck_residency.rules import Verdict, judged
 
@@ -188,11 +188,11 @@
         if self.books is not None and (refusal := self._ruled(now, event, view)) is not None:
             return refusal
         charge = self.quota.admit(self.tenant(view), now, now + event.remaining_ms) if self.quota is not None else None
-        if isinstance(charge, Refusal):
+        if isinstance(charge, Rejection):
             self.refused += 1
             if self.books is not None:
                 self._order(event.request, None)
-            return Reject(event.request, min(self.settings.max_retry_after_ms, charge.wait_ms))
+            return Reject(event.request, min(self.settings.max_retry_after_ms, charge.retry_after_ms))
         self.held[event.request] = Held(charge, view)
         if charge is not None:
             self._of[charge] = event.request
@@ -205,7 +205,7 @@
             if held is not None and not held.begun:
                 held.begun = True
                 if held.charge is not None and self.quota is not None:
-                    self.quota.began(held.charge, now)
+                    self.quota.on_established(held.charge, now)
         elif isinstance(event, AttemptEnded):
             held = self.held.get(event.request)
             if held is None:
@@ -235,6 +235,6 @@
             return
         self._of.pop(held.charge, None)
         if held.begun or held.doubtful:
-            self.quota.ended(held.charge, now)
+            self.quota.on_ended(held.charge)
         else:
-            self.quota.give_back(held.charge)
+            self.quota.refund(held.charge)
--- a/packages/quota/src/puffindeck_quota/__init__.py
+++ b/packages/quota/src/puffindeck_quota/__init__.py
@@ -1,21 +1,14 @@
-"""Tenant quotas that all gateways keep together: the decisions of one gateway.
+"""Tenant quotas that all gateways enforce together: the decisions of one gateway, without I/O or a clock.
 
-`Quota.admit` answers at once from the rights held here; `Quota.handle` moves rights to where they are needed and
-agrees with the other gateways on who is given new ones. docs/design/quota.md has the ways weighed.
+`Quota.admit` answers at once from the permits available at this gateway. `Quota.handle` moves permits to where they
+are needed and agrees with the other gateways on who receives new ones. docs/design/quota.md weighs the alternatives.
 """
 
+from puffindeck_quota.actions import Action, Revoke
+from puffindeck_quota.charge import Charge, Rejection
 from puffindeck_quota.errors import ClockTooFar, LimitUnknown, NoMajority, QuotaError, VotersDiffer
-from puffindeck_quota.ledger import Charge
-from puffindeck_quota.limits import Limit, Settings, Unit
-from puffindeck_quota.model import (
-    Action,
-    Event,
-    Refusal,
-    Release,
-    Retuned,
-    Seen,
-    Tick,
-)
+from puffindeck_quota.events import Event, LimitsChanged, MembersChanged, Tick
+from puffindeck_quota.limits import Limit, QuotaSettings, Unit
 from puffindeck_quota.quota import Quota
 
 __all__ = [
@@ -25,14 +18,14 @@
     "Event",
     "Limit",
     "LimitUnknown",
+    "LimitsChanged",
+    "MembersChanged",
     "NoMajority",
     "Quota",
     "QuotaError",
-    "Refusal",
-    "Release",
-    "Retuned",
-    "Seen",
-    "Settings",
+    "QuotaSettings",
+    "Rejection",
+    "Revoke",
     "Tick",
     "Unit",
     "VotersDiffer",
--- /dev/null
+++ b/packages/quota/src/puffindeck_quota/admission.py
@@ -0,0 +1,120 @@
+"""Admits requests from the permits that are available at this gateway, without asking others."""
+
+from __future__ import annotations
+
+from random import Random
+
+from puffindeck_quota.allocation import QuotaAllocator
+from puffindeck_quota.charge import Charge, ChargedPermits, Overdraft, Rejection
+from puffindeck_quota.limits import QuotaSettings, Unit
+from puffindeck_quota.paxos import Paxos
+from puffindeck_quota.peers import Peers
+from puffindeck_quota.permit_ledger import PermitLedger
+from puffindeck_quota.tenant_limit import TenantLimit
+from puffindeck_quota.tenant_limits import TenantLimits
+
+
+class Admission:
+    """Charges requests, and owns the charges of connections that need their permits renewed."""
+
+    def __init__(
+        self,
+        settings: QuotaSettings,
+        paxos: Paxos,
+        allocator: QuotaAllocator,
+        peers: Peers,
+        tenant_limits: TenantLimits,
+        random: Random,
+    ) -> None:
+        self.established: set[Charge] = set()  # open connections with a limit on seconds or on concurrency
+        self._settings = settings
+        self._paxos = paxos
+        self._allocator = allocator
+        self._peers = peers
+        self._tenant_limits = tenant_limits
+        self._random = random
+
+    def admit(self, tenant: str, now_ms: float, until_ms: float) -> Charge | Rejection:
+        """Charge a request that may be served up to `until_ms`, or reject it.
+
+        Near the end of a window the request may be served in either, and is charged in both until it is known.
+        """
+        charge = Charge(tenant, now_ms)
+        first_ms = now_ms - self._settings.skew_ms
+        last_ms = until_ms + self._settings.skew_ms
+        for tenant_limit in self._tenant_limits.for_tenant(tenant):
+            tenant_limit.record_demand(now_ms, self._settings.demand_memory_ms)
+            self._tenant_limits.active.add(tenant_limit)
+            permits = ChargedPermits(tenant_limit, set())
+            charge.permits.append(permits)
+            for window in tenant_limit.limit.windows_between(first_ms, last_ms):
+                ledger = tenant_limit.ledgers.get(window) or self._allocator.ledger(tenant_limit, window)
+                if self._may_consume(tenant_limit) and ledger.consume():
+                    permits.windows.add(window)
+                elif not self.overdraw(charge, tenant_limit, window):
+                    ledger.rejected += 1
+                    self.refund(charge)
+                    retry_after_ms = self._retry_after_ms(tenant_limit, window, ledger, now_ms)
+                    return Rejection(tenant_limit.limit.name, retry_after_ms)
+        return charge
+
+    def overdraw(self, charge: Charge, tenant_limit: TenantLimit, window: int) -> bool:
+        """Admit beyond the permits of a limit that is not strict while the others can't be asked.
+
+        Each voter may do so for an equal part of the limit; False where that is used up.
+        """
+        limit = tenant_limit.limit
+        if limit.strict or not self._settings.local_overdraft or not self._peers.is_partitioned():
+            return False
+        ledger = tenant_limit.ledgers[window]
+        voter_count = len(self._paxos.voters)
+        if ledger.overdrawn >= -(-limit.amount // voter_count):
+            return False
+        ledger.overdrawn += 1
+        charge.overdrafts.append(Overdraft(tenant_limit, window))
+        return True
+
+    def on_established(self, charge: Charge, now_ms: float) -> None:
+        """The request is served: refund the windows in which that can't have been."""
+        skew_ms = self._settings.skew_ms
+        charge.established_ms = now_ms
+        for permits in charge.permits:
+            tenant_limit = permits.tenant_limit
+            possible = tenant_limit.limit.windows_between(charge.requested_ms - skew_ms, now_ms + skew_ms)
+            for window in permits.windows - set(possible):
+                tenant_limit.ledgers[window].refund()
+                permits.windows.discard(window)
+            if tenant_limit.limit.unit != Unit.OPENED_CONNECTIONS:
+                self.established.add(charge)
+
+    def refund(self, charge: Charge) -> None:
+        """The request was rejected for another reason, and no server can have served it."""
+        if charge.closed:
+            return
+        charge.closed = True
+        charge.refund()
+
+    def on_ended(self, charge: Charge) -> None:
+        """The connection has ended, or the request may have been served unseen: refund limits on concurrency."""
+        if charge.closed:
+            return
+        charge.closed = True
+        self.established.discard(charge)
+        for permits in charge.permits:
+            if permits.tenant_limit.limit.unit == Unit.CONCURRENT_CONNECTIONS:
+                permits.tenant_limit.refund(permits.windows)
+
+    def _may_consume(self, tenant_limit: TenantLimit) -> bool:
+        return not tenant_limit.limit.strict or self._peers.clock_in_sync
+
+    def _retry_after_ms(self, tenant_limit: TenantLimit, window: int, ledger: PermitLedger, now_ms: float) -> float:
+        """Until permits are expected: soon where others may have some, else spread over the window's successor."""
+        limit = tenant_limit.limit
+        jitter = self._random.random()
+        reported = [count for key, count in tenant_limit.peer_available.items() if key.window == window]
+        all_reported = len(reported) >= len(self._peers.regions)
+        if not ledger.allocation_known or not all_reported or any(reported):
+            return self._settings.request_interval_ms * (1.0 + 2.0 * jitter)
+        rejected_fraction = min(1.0, ledger.rejected / max(1, limit.amount))
+        window_left_ms = (window + 1) * limit.window_ms - now_ms
+        return window_left_ms + self._settings.skew_ms + jitter * rejected_fraction * limit.window_ms / 2
--- a/packages/quota/src/puffindeck_quota/errors.py
+++ b/packages/quota/src/puffindeck_quota/errors.py
@@ -1,4 +1,4 @@
-"""What can go wrong with quotas."""
+"""Errors that quotas report to operators. docs/fleet-errors.md lists them."""
 
 from puffindeck_errors import OperatorError
 
@@ -10,28 +10,28 @@
 
 
 class ClockTooFar(QuotaError):
-    """The clock differs from the others' by more than the file allows: nothing strict is admitted."""
+    """This clock differs from the others' by more than `quota.skew`: strict limits admit nothing here."""
 
     what = "this machine's clock is {apart_ms:.0f} ms from most members' clocks, and {allowed_ms:.0f} ms are allowed."
     cure = "Set this machine's clock by its time service; until it agrees, strict quotas refuse here."
 
 
 class NoMajority(QuotaError):
-    """No roster for the current windows: too few of the voters can be reached."""
+    """No allocation for the current epoch: too few of the voters can be reached."""
 
     what = "no majority of the voters {voters} agreed on who is given rights since {since_ms:.0f} ms ago."
     cure = "Bring the missing voters back or mend the network; strict quotas refuse here once held rights are spent."
 
 
 class VotersDiffer(QuotaError):
-    """Another member's file names other voters: two majorities could do without each other."""
+    """Another member's file names other voters or another epoch: two majorities need not share a voter."""
 
     what = "{peer} counts the voters {theirs}, and this file {ours}."
     cure = "Give both files the same `quota.voters`; until then strict quotas refuse here."
 
 
 class LimitUnknown(QuotaError):
-    """Another member's file has another limit of this name."""
+    """Another member's file gives this limit another amount."""
 
     what = "{peer} has {theirs} for this limit, and this file {ours}: the lower one counts."
     cure = "Give all files the same limits, or reload those that are older."
--- /dev/null
+++ b/packages/quota/src/puffindeck_quota/renewal.py
@@ -0,0 +1,87 @@
+"""Renews the permits of open connections, and revokes those that get none."""
+
+from __future__ import annotations
+
+from puffindeck_quota.actions import Revoke
+from puffindeck_quota.admission import Admission
+from puffindeck_quota.allocation import QuotaAllocator
+from puffindeck_quota.charge import Charge, ChargedPermits
+from puffindeck_quota.limits import QuotaSettings, Unit
+from puffindeck_quota.outbox import Outbox
+from puffindeck_quota.tenant_limit import MS_PER_SECOND, TenantLimit
+from puffindeck_quota.tenant_limits import TenantLimits
+
+MIGRATION_MS = 300.0  # before the end of a window: connections without a permit in the next one are moved
+
+
+class PermitRenewal:
+    """Charges open connections for their next window or second."""
+
+    def __init__(
+        self,
+        settings: QuotaSettings,
+        admission: Admission,
+        allocator: QuotaAllocator,
+        tenant_limits: TenantLimits,
+        outbox: Outbox,
+    ) -> None:
+        self._settings = settings
+        self._admission = admission
+        self._allocator = allocator
+        self._tenant_limits = tenant_limits
+        self._outbox = outbox
+        self._seconds_renewed_ms = float("-inf")
+
+    def renew(self, now_ms: float) -> None:
+        """Renew what is due; connections without a permit are revoked."""
+        for charge in list(self._admission.established):
+            if not self._renew_permits(charge, now_ms):
+                self._revoke(charge)
+        if now_ms - self._seconds_renewed_ms < MS_PER_SECOND:
+            return
+        self._seconds_renewed_ms = now_ms
+        for charge in list(self._admission.established):
+            if not self._renew_seconds(charge, now_ms):
+                self._revoke(charge)
+
+    def _renew_permits(self, charge: Charge, now_ms: float) -> bool:
+        return all(
+            self._renew_window_permit(permits, now_ms)
+            for permits in charge.permits
+            if permits.tenant_limit.limit.unit == Unit.CONCURRENT_CONNECTIONS
+        )
+
+    def _renew_seconds(self, charge: Charge, now_ms: float) -> bool:
+        return all(
+            self._renew_second_permit(charge, permits.tenant_limit, now_ms)
+            for permits in charge.permits
+            if permits.tenant_limit.limit.unit == Unit.CONNECTION_SECONDS
+        )
+
+    def _renew_window_permit(self, permits: ChargedPermits, now_ms: float) -> bool:
+        """Charge the next window before it begins; False when the connection has to be moved."""
+        limit = permits.tenant_limit.limit
+        current = limit.window_at(now_ms)
+        permits.windows.difference_update([window for window in permits.windows if window < current - 1])
+        window_left_ms = (current + 1) * limit.window_ms - now_ms
+        if window_left_ms > self._settings.epoch_ms / 2 or current + 1 in permits.windows:
+            return True
+        self._tenant_limits.active.add(permits.tenant_limit)
+        if self._allocator.ledger(permits.tenant_limit, current + 1).consume():
+            permits.windows.add(current + 1)
+            return True
+        return window_left_ms > self._settings.skew_ms + MIGRATION_MS
+
+    def _renew_second_permit(self, charge: Charge, tenant_limit: TenantLimit, now_ms: float) -> bool:
+        """Charge one more second, from the connection's second one on; False if there is no permit."""
+        if now_ms - charge.established_ms < MS_PER_SECOND:
+            return True
+        tenant_limit.record_demand(now_ms, self._settings.demand_memory_ms)
+        self._tenant_limits.active.add(tenant_limit)
+        window = tenant_limit.limit.window_at(now_ms + MS_PER_SECOND)
+        ledger = self._allocator.ledger(tenant_limit, window)
+        return ledger.consume() or self._admission.overdraw(charge, tenant_limit, window)
+
+    def _revoke(self, charge: Charge) -> None:
+        self._outbox.add(Revoke(charge))
+        self._admission.on_ended(charge)
--- /dev/null
+++ b/packages/quota/src/puffindeck_quota/tenant_limits.py
@@ -0,0 +1,89 @@
+"""The limits of the operator's file, and each of them for the tenants that have come up."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+
+from puffindeck_quota.limits import ALL_TENANTS, Limit, QuotaSettings
+from puffindeck_quota.tenant_limit import TenantLimit
+
+
+class TenantLimits:
+    """Owns every `TenantLimit` of a gateway, and which of them have demand."""
+
+    def __init__(self, limits: Iterable[Limit], region: str, settings: QuotaSettings) -> None:
+        self.limits = {limit.name: limit for limit in limits}
+        self.active: set[TenantLimit] = set()  # those with recent demand
+        self._region = region
+        self._settings = settings
+        self._by_key: dict[str, TenantLimit] = {}
+        self._by_tenant: dict[str, list[TenantLimit]] = {}
+
+    def all(self) -> list[TenantLimit]:
+        """Every tenant's limit, in the order in which they came up."""
+        return list(self._by_key.values())
+
+    def sorted_active(self) -> list[TenantLimit]:
+        """Those with recent demand, by key."""
+        return sorted(self.active, key=lambda tenant_limit: tenant_limit.key)
+
+    def for_tenant(self, tenant: str) -> list[TenantLimit]:
+        """The limits that hold for a tenant at this gateway."""
+        found = self._by_tenant.get(tenant)
+        if found is None:
+            found = [
+                self._get_or_create(limit, tenant)
+                for limit in self.limits.values()
+                if limit.applies_to(tenant, self._region)
+            ]
+            self._by_tenant[tenant] = found
+        return found
+
+    def find(self, key: str) -> TenantLimit | None:
+        """The tenant's limit that another member names; None where this member's file has no such limit."""
+        name, _, tenant = key.partition("#")
+        limit = self.limits.get(name)
+        if limit is None or not limit.applies_to(tenant, self._region):
+            return None
+        return self._get_or_create(limit, tenant)
+
+    def create_for_named_tenants(self) -> None:
+        """Create the limits of tenants that the file names, so that operators see them before any request."""
+        for limit in self.limits.values():
+            if limit.tenant != ALL_TENANTS:
+                self.find(f"{limit.name}#{limit.tenant}")
+
+    def replace_limits(self, limits: Iterable[Limit]) -> None:
+        """Take the limits of a file that was read again. Those that it leaves out are dropped."""
+        self.limits = {limit.name: limit for limit in limits}
+        self._by_tenant.clear()
+        for key, tenant_limit in list(self._by_key.items()):
+            limit = self.limits.get(key.partition("#")[0])
+            if limit is None:
+                del self._by_key[key]
+                self.active.discard(tenant_limit)
+            else:
+                tenant_limit.limit = limit
+
+    def epochs_in_use(self, now_ms: float) -> set[int]:
+        """The epochs in which the present and the next window of each limit begin."""
+        epochs: set[int] = set()
+        for limit in self.limits.values():
+            first = limit.window_at(now_ms - self._settings.skew_ms)
+            for window in (first, first + 1):
+                epochs.add(self._settings.epoch_at(window * limit.window_ms))
+        return epochs
+
+    def forget_past_windows(self, now_ms: float) -> None:
+        """Drop windows that are over."""
+        for tenant_limit in self._by_key.values():
+            current = tenant_limit.limit.window_at(now_ms - self._settings.skew_ms)
+            tenant_limit.forget_before(current - 1)
+
+    def _get_or_create(self, limit: Limit, tenant: str) -> TenantLimit:
+        key = f"{limit.name}#{tenant}"
+        found = self._by_key.get(key)
+        if found is None:
+            found = TenantLimit(limit, key)
+            self._by_key[key] = found
+        return found
--- a/packages/quota/tests/test_rights_machine.py
+++ b/packages/quota/tests/test_rights_machine.py
@@ -20,7 +20,7 @@
 
     @initialize(seed=st.integers(0, 1 << 16))
     def begin(self, seed: int) -> None:
-        self.fleet: Any = Gateways((Limit("acme", Unit.OPENS, AMOUNT, SIZE),), seed, NAMES)
+        self.fleet: Any = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, AMOUNT, SIZE),), seed, NAMES)
         self.fleet.run(14, {})
 
     @rule(rates=st.tuples(*[st.sampled_from([0.0, 5.0, 40.0])] * 3), seconds=st.sampled_from([0.3, 2.0, 7.0]))
--- a/packages/testing/src/puffindeck_testing/gateways.py
+++ b/packages/testing/src/puffindeck_testing/gateways.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from puffindeck_messaging import MessageReceived, Report, SendMessage
-from puffindeck_quota import Charge, Limit, Quota, Release, Seen, Settings, Tick
+from puffindeck_quota import Charge, Limit, MembersChanged, Quota, QuotaSettings, Revoke, Tick
 
 NAMES = ("e1", "e2", "e3", "e4", "e5")
 SIZE = 10000
@@ -52,11 +52,11 @@
         self.lives += 1
         self.gateways[name] = self.make(
             name,
-            life=self.lives,
+            process_incarnation=self.lives,
             voters=self.names,
             limits=self.limits,
             seed=self.lives,
-            settings=Settings(skew_ms=100.0),
+            settings=QuotaSettings(skew_ms=100.0),
         )
 
     def kill(self, name: str) -> None:
@@ -82,11 +82,11 @@
                 living = {o: "" for o in self.gateways if o != name and (o, name) not in self.cut}
                 middle = sorted([0.0, *(self.skews.get(o, 0.0) - self.skews.get(name, 0.0) for o in living)])
                 apart = -middle[len(middle) // 2]
-                self._do(name, quota.handle(self.clock(name), [Seen(living, apart), Tick()]))
+                self._do(name, quota.handle(self.clock(name), [MembersChanged(living, apart), Tick()]))
 
     def _do(self, name: str, actions: Sequence[object]) -> None:
         for action in actions:
-            if isinstance(action, Release):
+            if isinstance(action, Revoke):
                 self.released.append(action.charge)
             elif isinstance(action, Report):
                 self.reports.append(action)
@@ -106,10 +106,10 @@
         charge = quota.admit(tenant, self.clock(name), self.clock(name) + 500)
         if not isinstance(charge, Charge):
             self.refused += 1
-            assert charge.wait_ms > 0
+            assert charge.retry_after_ms > 0
             return False
         late = self.random.uniform(0, 15)
-        quota.began(charge, self.clock(name) + 15)
+        quota.on_established(charge, self.clock(name) + 15)
         self.admitted[tenant, int((self.now + late) // SIZE)] += 1
         self.by[name] += 1
         return True
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -27,8 +27,7 @@
             return decisions
         from puffindeck_fleet import Fleet, Governor
         from puffindeck_fleet.gateway import new_life
-        from puffindeck_quota import Quota
-        from puffindeck_quota import Settings as QuotaSettings
+        from puffindeck_quota import Quota, QuotaSettings
 
         life = new_life(ms(self.deadlines.clock.now()))
         self.fleet = Fleet(
@@ -41,7 +40,7 @@
         if told is not None:
             quota = Quota(
                 self.told.name,
-                life=life,
+                process_incarnation=life,
                 voters=told.voters,
                 limits=told.limits,
                 seed=self.told.seed,
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -12,7 +12,7 @@
 import msgspec
 
 import puffindeck_membership.messages as membership_messages
-import puffindeck_quota.model as quota_messages
+import puffindeck_quota.messages as quota_messages
 import puffindeck_residency.books as residency_messages
 from puffindeck import benchlink
 from puffindeck.config.fleet import installation
@@ -63,7 +63,8 @@
 
 def quota_allocation(members: list[tuple[str, int, str]], amounts: dict[str, int]) -> Any:
     """Who is given permits in an epoch."""
-    return quota_messages.Roster(members, amounts)
+    receivers = [quota_messages.AllocationMember(*member) for member in members]
+    return quota_messages.Allocation(receivers, amounts)
 
 
 def encode_quota(message: Any) -> bytes:
@@ -178,7 +179,11 @@
     deadlines = TimerQueue(FixedClock(), SimpleNamespace())  # type: ignore[arg-type]
     gateway = Fleet(None, deadlines, name, installed.fleet, process, seed, lambda error: None)
     limits = Quota(
-        name, life=process, voters=installed.quota.voters, limits=installed.quota.limits, seed=seed
+        name,
+        process_incarnation=process,
+        voters=installed.quota.voters,
+        limits=installed.quota.limits,
+        seed=seed,
     )
     books = Books(name, installed.residency.book, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
     inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
