--- /dev/null
+++ b/packages/quota/tests/test_admission.py
@@ -0,0 +1,74 @@
+"""Admission: a limit is nearly used up and never exceeded, and what a charge refunds."""
+
+from __future__ import annotations
+
+import pytest
+
+from puffindeck_quota import Charge, ClockTooFar, Limit, Unit
+from puffindeck_testing.gateways import NAMES, WINDOW_MS, Gateways
+
+LIMITS = (Limit("acme", Unit.OPENED_CONNECTIONS, 200, WINDOW_MS),)
+
+
+@pytest.mark.parametrize(
+    "rates",
+    [
+        dict.fromkeys(NAMES, 8.0),
+        {"e1": 36.0, "e2": 1.0, "e3": 1.0, "e4": 1.0, "e5": 1.0},
+        {"e3": 40.0},
+    ],
+    ids=["even", "nine tenths at one", "all at one"],
+)
+def test_nearly_all_of_a_limit_is_admitted_and_never_more(rates: dict[str, float]) -> None:
+    fleet = Gateways(LIMITS)
+    fleet.settle()
+    first = fleet.window
+    fleet.run(40, rates)
+    found = [fleet.admitted_in(first + i) for i in range(4)]
+    assert max(found) <= 200
+    assert min(found) >= 0.97 * 200, found
+
+
+def test_a_limit_that_is_not_strict_serves_on_and_its_excess_is_bounded() -> None:
+    fleet = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 200, WINDOW_MS, strict=False),))
+    fleet.settle()
+    fleet.split({"e1"}, {"e2"}, {"e3"}, {"e4"}, {"e5"})
+    fleet.run(30, dict.fromkeys(NAMES, 30.0))
+    assert 190 <= fleet.max_admitted() <= 200 + 5 * 40
+    connected = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 200, WINDOW_MS, strict=False),))
+    connected.settle()
+    connected.run(20, dict.fromkeys(NAMES, 30.0))
+    assert connected.max_admitted() <= 200  # no overdraft while all are connected
+
+
+def test_a_clock_out_of_sync_rejects_strict_limits_and_is_reported() -> None:
+    fleet = Gateways(LIMITS)
+    fleet.settle()
+    fleet.clock_skews_ms = {"e1": 2000.0}
+    fleet.run(5, {"e1": 10.0, "e2": 10.0})
+    assert fleet.admitted_by["e1"] == 0
+    assert fleet.admitted_by["e2"] > 30
+    assert {(type(r.error), r.error.where) for r in fleet.reports} == {(ClockTooFar, "quota.skew")}
+
+
+def test_each_tenant_has_a_limit_for_all_for_itself() -> None:
+    fleet = Gateways((Limit("*", Unit.OPENED_CONNECTIONS, 20, WINDOW_MS),))
+    fleet.settle()
+    for tenant in ("one", "two"):
+        fleet.run(3, {"e2": 20.0}, tenant)
+    assert {tenant for tenant, _ in fleet.admitted} == {"one", "two"}
+    assert fleet.max_admitted() <= 20
+    assert min(fleet.admitted.values()) >= 18
+
+
+def test_a_request_rejected_elsewhere_refunds_its_permit_once() -> None:
+    fleet = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 5, WINDOW_MS),), names=("e1",))
+    fleet.settle()
+    quota = fleet.gateways["e1"]
+    for _ in range(30):
+        charge = quota.admit("acme", fleet.now_ms, fleet.now_ms + 500)
+        assert isinstance(charge, Charge)
+        quota.refund(charge)
+        quota.refund(charge)
+        quota.on_ended(charge)
+    assert sum(isinstance(quota.admit("acme", fleet.now_ms, fleet.now_ms + 500), Charge) for _ in range(9)) == 5
--- a/packages/quota/tests/test_rights_machine.py
+++ b/packages/quota/tests/test_quota_state_machine.py
@@ -1,4 +1,4 @@
-"""Rights through arbitrary schedules of faults: whatever is cut, killed, paused or late, no window has more."""
+"""Quotas through arbitrary schedules of faults: no window admits more than the limit."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from puffindeck_quota import Limit, Unit
-from puffindeck_testing.gateways import SIZE, Gateways
+from puffindeck_testing.gateways import WINDOW_MS, Gateways
 
 NAMES = ("e1", "e2", "e3")
 AMOUNT = 30
 
 
-class Rights(RuleBasedStateMachine):
+class QuotaMachine(RuleBasedStateMachine):
     """Three gateways; demand always beyond the limit."""
 
     @initialize(seed=st.integers(0, 1 << 16))
     def begin(self, seed: int) -> None:
-        self.fleet: Any = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, AMOUNT, SIZE),), seed, NAMES)
+        self.fleet: Any = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, AMOUNT, WINDOW_MS),), seed, NAMES)
         self.fleet.run(14, {})
 
     @rule(rates=st.tuples(*[st.sampled_from([0.0, 5.0, 40.0])] * 3), seconds=st.sampled_from([0.3, 2.0, 7.0]))
@@ -29,11 +29,11 @@
 
     @rule(links=st.sets(st.tuples(st.sampled_from(NAMES), st.sampled_from(NAMES))))
     def cut(self, links: set[tuple[str, str]]) -> None:
-        self.fleet.cut = links
+        self.fleet.cut_links = links
 
     @rule(loss=st.sampled_from([0.0, 0.3, 0.8]), copies=st.sampled_from([0.0, 0.7]))
     def network(self, loss: float, copies: float) -> None:
-        self.fleet.loss, self.fleet.copies = loss, copies
+        self.fleet.loss, self.fleet.duplication = loss, copies
 
     @rule(name=st.sampled_from(NAMES))
     def kill_or_start(self, name: str) -> None:
@@ -48,13 +48,13 @@
 
     @rule(name=st.sampled_from(NAMES), skew=st.sampled_from([0.0, 90.0, -90.0, 2000.0]))
     def clock(self, name: str, skew: float) -> None:
-        self.fleet.skews = {name: skew}
+        self.fleet.clock_skews_ms = {name: skew}
 
     @invariant()
-    def no_window_has_more(self) -> None:
+    def no_window_exceeds_the_limit(self) -> None:
         if hasattr(self, "fleet"):
-            assert self.fleet.worst() <= AMOUNT, self.fleet.admitted
+            assert self.fleet.max_admitted() <= AMOUNT, self.fleet.admitted
 
 
-Rights.TestCase.settings = settings(derandomize=True, max_examples=20, stateful_step_count=12, deadline=None)
-TestRights = Rights.TestCase
+QuotaMachine.TestCase.settings = settings(derandomize=True, max_examples=20, stateful_step_count=12, deadline=None)
+TestQuota = QuotaMachine.TestCase
--- /dev/null
+++ b/packages/quota/tests/test_renewal.py
@@ -0,0 +1,40 @@
+"""Renewal of the permits of open connections."""
+
+from __future__ import annotations
+
+from puffindeck_quota import Charge, Limit, Unit
+from puffindeck_testing.gateways import WINDOW_MS, Gateways
+
+
+def test_concurrent_connections_are_bounded_and_their_permits_are_reused() -> None:
+    fleet = Gateways((Limit("acme", Unit.CONCURRENT_CONNECTIONS, 50, WINDOW_MS),))
+    fleet.settle()
+    charges = []
+    for _ in range(30 * 50):
+        fleet.step()
+        for name in ("e1", "e2"):
+            quota = fleet.gateways[name]
+            charge = quota.admit("acme", fleet.now_ms, fleet.now_ms + 500)
+            if isinstance(charge, Charge):
+                quota.on_established(charge, fleet.now_ms)
+                charges.append((quota, charge))
+        open_now = [c for _, c in charges if not c.closed]
+        assert len(open_now) <= 50
+        if len(open_now) >= 48 and fleet.random.random() < 0.05:
+            quota, charge = fleet.random.choice([pair for pair in charges if not pair[1].closed])
+            quota.on_ended(charge)
+    assert len([c for _, c in charges if not c.closed]) >= 45
+    assert len(charges) > 60  # permits are used again
+
+
+def test_connections_are_revoked_when_their_seconds_run_out() -> None:
+    fleet = Gateways((Limit("acme", Unit.CONNECTION_SECONDS, 60, WINDOW_MS),), names=("e1", "e2", "e3"))
+    fleet.settle()
+    quota = fleet.gateways["e1"]
+    for _ in range(20):
+        charge = quota.admit("acme", fleet.now_ms, fleet.now_ms + 500)
+        if isinstance(charge, Charge):
+            quota.on_established(charge, fleet.now_ms)
+        fleet.step()
+    fleet.run(6, {})
+    assert fleet.revoked
--- a/packages/testing/src/puffindeck_testing/gateways.py
+++ b/packages/testing/src/puffindeck_testing/gateways.py
@@ -1,6 +1,6 @@
-"""Gateways that keep quotas together, on virtual time with the faults of a real network, by a seed.
+"""Simulated gateways that enforce quotas together, on virtual time with the faults of a real network, by a seed.
 
-What was admitted is counted here by true time, and shares nothing with the gateways' own counts.
+What was admitted is counted here by true time, independently of the gateways' own counts.
 """
 
 from __future__ import annotations
@@ -8,17 +8,49 @@
 from collections import Counter
 from collections.abc import Callable, Sequence
 from random import Random
-from typing import Any
+from typing import Any, NamedTuple
 
 from puffindeck_messaging import MessageReceived, Report, SendMessage
 from puffindeck_quota import Charge, Limit, MembersChanged, Quota, QuotaSettings, Revoke, Tick
 
 NAMES = ("e1", "e2", "e3", "e4", "e5")
-SIZE = 10000
+WINDOW_MS = 10000
+START_MS = 1_000_000.0
+STEP_MS = 20.0
+STEPS_PER_SECOND = 50
+CLOCK_SKEW_MS = 100.0  # the clock skew that the gateways are set to allow
+DEADLINE_MS = 500  # in which a request has to be served
+SERVICE_MS = 15  # in which the server serves it here, at most
+MIN_DELAY_MS = 1
+DELAY_MS = 30  # the most that chance adds to the delay of a message
+DUPLICATE_DELAY_FACTOR = 20  # how much later messages may be where they are duplicated
+SETTLE_S = 16  # seconds after which the gateways have their first permits
+AFTER_WINDOW_START_MS = 200  # where in a window `settle` ends, at least
+AFTER_WINDOW_START_MAX_MS = 250
+
+
+class InFlight(NamedTuple):
+    """A message on the network; those due in one step arrive in the order of these fields."""
+
+    arrives_ms: float
+    number: int
+    sender: str
+    receiver: str
+    data: bytes
+
+
+class TenantWindow(NamedTuple):
+    """A tenant, and a window by true time."""
+
+    tenant: str
+    window: int
 
 
 class Gateways:
-    """Gateways, what passes between them, and what was admitted."""
+    """The gateways, the network between them, and what was admitted.
+
+    `loss` and `duplication` are the probabilities that a message is lost or sent twice; `factory` makes a gateway.
+    """
 
     def __init__(
         self,
@@ -26,107 +58,158 @@
         seed: int = 1,
         names: tuple[str, ...] = NAMES,
         loss: float = 0.0,
-        copies: float = 0.0,
-        make: Callable[..., Any] = Quota,
+        duplication: float = 0.0,
+        factory: Callable[..., Any] = Quota,
     ) -> None:
         self.random = Random(seed)
-        self.names, self.limits, self.loss, self.copies = names, limits, loss, copies
-        self.now = 1_000_000.0
-        self.lives = 0
+        self.names = names
+        self.limits = limits
+        self.loss = loss
+        self.duplication = duplication
+        self.factory = factory
+        self.now_ms = START_MS
+        self.process_count = 0
+        self.message_count = 0
         self.gateways: dict[str, Any] = {}
-        self.make = make
-        self.cut: set[tuple[str, str]] = set()
-        self.skews: dict[str, float] = {}
+        self.cut_links: set[tuple[str, str]] = set()  # sender and receiver
+        self.clock_skews_ms: dict[str, float] = {}
         self.paused: set[str] = set()
-        self.flying: list[tuple[float, int, str, str, bytes]] = []
-        self.count = 0
-        self.admitted: Counter[tuple[str, int]] = Counter()  # tenant and window, by true time
-        self.by: Counter[str] = Counter()
-        self.refused = 0
-        self.released: list[Charge] = []
+        self.in_flight: list[InFlight] = []
+        self.admitted: Counter[TenantWindow] = Counter()
+        self.admitted_by: Counter[str] = Counter()  # by gateway
+        self.rejected = 0
+        self.revoked: list[Charge] = []
         self.reports: list[Report] = []
         for name in names:
             self.start(name)
 
     def start(self, name: str) -> None:
-        self.lives += 1
-        self.gateways[name] = self.make(
+        """Start a new process of a gateway."""
+        self.process_count += 1
+        self.gateways[name] = self.factory(
             name,
-            process_incarnation=self.lives,
+            process_incarnation=self.process_count,
             voters=self.names,
             limits=self.limits,
-            seed=self.lives,
-            settings=QuotaSettings(skew_ms=100.0),
+            seed=self.process_count,
+            settings=QuotaSettings(skew_ms=CLOCK_SKEW_MS),
         )
 
     def kill(self, name: str) -> None:
+        """End a gateway's process with no message."""
         del self.gateways[name]
 
     def split(self, *sides: set[str]) -> None:
-        self.cut = {(a, b) for one in sides for other in sides if one is not other for a in one for b in other}
-
-    def clock(self, name: str) -> float:
-        return self.now + self.skews.get(name, 0.0)
-
-    def step(self, ms: float = 20.0) -> None:
-        self.now += ms
-        due = sorted(item for item in self.flying if item[0] <= self.now)
-        self.flying = [item for item in self.flying if item[0] > self.now]
-        for _, _, sender, to, data in due:
-            if to in self.gateways and to not in self.paused:
-                self._do(to, self.gateways[to].handle(self.clock(to), [MessageReceived(sender, data)]))
-            elif to in self.paused:
-                self.flying.append((self.now + 1, 0, sender, to, data))
+        """Cut every link between gateways of different sides."""
+        self.cut_links = {
+            (sender, receiver)
+            for side in sides
+            for other in sides
+            if side is not other
+            for sender in side
+            for receiver in other
+        }
+
+    def clock_ms(self, name: str) -> float:
+        """A gateway's own clock."""
+        return self.now_ms + self.clock_skews_ms.get(name, 0.0)
+
+    def step(self, ms: float = STEP_MS) -> None:
+        """Let time pass, deliver what is due, and tick every gateway."""
+        self.now_ms += ms
+        self._deliver_due()
         for name, quota in list(self.gateways.items()):
             if name not in self.paused:
-                living = {o: "" for o in self.gateways if o != name and (o, name) not in self.cut}
-                middle = sorted([0.0, *(self.skews.get(o, 0.0) - self.skews.get(name, 0.0) for o in living)])
-                apart = -middle[len(middle) // 2]
-                self._do(name, quota.handle(self.clock(name), [MembersChanged(living, apart), Tick()]))
+                events = [self._members_seen_by(name), Tick()]
+                self.apply_actions(name, quota.handle(self.clock_ms(name), events))
 
-    def _do(self, name: str, actions: Sequence[object]) -> None:
+    def apply_actions(self, name: str, actions: Sequence[object]) -> None:
+        """Do what a gateway's quota has decided."""
         for action in actions:
             if isinstance(action, Revoke):
-                self.released.append(action.charge)
+                self.revoked.append(action.charge)
             elif isinstance(action, Report):
                 self.reports.append(action)
             elif isinstance(action, SendMessage):
-                if (name, action.to) in self.cut or self.random.random() < self.loss:
-                    continue
-                for _ in range(1 + (self.random.random() < self.copies)):
-                    self.count += 1
-                    late = 1 + 30 * self.random.random() * (1 + 20 * self.copies * self.random.random())
-                    self.flying.append((self.now + late, self.count, name, action.to, action.data))
-
-    def ask(self, name: str, tenant: str = "acme") -> bool:
-        """A client; its server says up some milliseconds later, which counts."""
+                self._send(name, action)
+
+    def request(self, name: str, tenant: str = "acme") -> bool:
+        """Send a request to a gateway; whether it was admitted. Its server serves it some milliseconds later."""
         quota = self.gateways.get(name)
         if quota is None or name in self.paused:
             return False
-        charge = quota.admit(tenant, self.clock(name), self.clock(name) + 500)
+        charge = quota.admit(tenant, self.clock_ms(name), self.clock_ms(name) + DEADLINE_MS)
         if not isinstance(charge, Charge):
-            self.refused += 1
+            self.rejected += 1
             assert charge.retry_after_ms > 0
             return False
-        late = self.random.uniform(0, 15)
-        quota.on_established(charge, self.clock(name) + 15)
-        self.admitted[tenant, int((self.now + late) // SIZE)] += 1
-        self.by[name] += 1
+        served_after_ms = self.random.uniform(0, SERVICE_MS)
+        quota.on_established(charge, self.clock_ms(name) + SERVICE_MS)
+        window = int((self.now_ms + served_after_ms) // WINDOW_MS)
+        self.admitted[TenantWindow(tenant, window)] += 1
+        self.admitted_by[name] += 1
         return True
 
     def run(self, seconds: float, rates: dict[str, float], tenant: str = "acme") -> None:
-        """So many requests a second at each gateway."""
-        for _ in range(int(seconds * 50)):
+        """Let seconds pass with that many requests a second at each gateway."""
+        for _ in range(int(seconds * STEPS_PER_SECOND)):
             self.step()
             for name, rate in rates.items():
-                for _ in range(int(rate / 50) + (self.random.random() < rate / 50 % 1)):
-                    self.ask(name, tenant)
+                for _ in range(self._request_count(rate)):
+                    self.request(name, tenant)
 
     def settle(self) -> None:
-        """To a moment after the beginning of a window with rights."""
-        self.run(16, {})
-        while not 200 <= self.now % SIZE < 250:
+        """Run without requests until shortly after the beginning of a window with permits."""
+        self.run(SETTLE_S, {})
+        while not AFTER_WINDOW_START_MS <= self.now_ms % WINDOW_MS < AFTER_WINDOW_START_MAX_MS:
             self.step()
 
-    def worst(self) -> int:
+    @property
+    def window(self) -> int:
+        """The number of the current window, by true time."""
+        return int(self.now_ms // WINDOW_MS)
+
+    def admitted_in(self, window: int, tenant: str = "acme") -> int:
+        """What was admitted of a tenant in a window, by true time."""
+        return self.admitted[TenantWindow(tenant, window)]
+
+    def max_admitted(self) -> int:
+        """The most that was admitted of a tenant in one window."""
         return max(self.admitted.values(), default=0)
+
+    def _request_count(self, rate: float) -> int:
+        """Requests in one step; chance rounds a fraction."""
+        whole = int(rate / STEPS_PER_SECOND)
+        return whole + (self.random.random() < rate / STEPS_PER_SECOND % 1)
+
+    def _deliver_due(self) -> None:
+        due = sorted(message for message in self.in_flight if message.arrives_ms <= self.now_ms)
+        self.in_flight = [message for message in self.in_flight if message.arrives_ms > self.now_ms]
+        for message in due:
+            if message.receiver in self.paused:
+                self.in_flight.append(message._replace(arrives_ms=self.now_ms + 1, number=0))
+            elif message.receiver in self.gateways:
+                self._deliver(message)
+
+    def _deliver(self, message: InFlight) -> None:
+        receiver = message.receiver
+        event = MessageReceived(message.sender, message.data)
+        self.apply_actions(receiver, self.gateways[receiver].handle(self.clock_ms(receiver), [event]))
+
+    def _members_seen_by(self, name: str) -> MembersChanged:
+        regions = {other: "" for other in self.gateways if other != name and (other, name) not in self.cut_links}
+        own_skew_ms = self.clock_skews_ms.get(name, 0.0)
+        offsets_ms = sorted([0.0, *(self.clock_skews_ms.get(other, 0.0) - own_skew_ms for other in regions)])
+        return MembersChanged(regions, -offsets_ms[len(offsets_ms) // 2])
+
+    def _send(self, sender: str, message: SendMessage) -> None:
+        if (sender, message.to) in self.cut_links or self.random.random() < self.loss:
+            return
+        for _ in range(1 + (self.random.random() < self.duplication)):
+            self.message_count += 1
+            delay_ms = MIN_DELAY_MS + DELAY_MS * self.random.random() * (
+                1 + DUPLICATE_DELAY_FACTOR * self.duplication * self.random.random()
+            )
+            self.in_flight.append(
+                InFlight(self.now_ms + delay_ms, self.message_count, sender, message.to, message.data)
+            )
