--- a/packages/quota/src/puffindeck_quota/errors.py
+++ b/packages/quota/src/puffindeck_quota/errors.py
@@ -19,8 +19,10 @@
 class NoMajority(QuotaError):
     """No allocation for the current epoch: too few of the voters can be reached."""
 
-    what = "no majority of the voters {voters} agreed on who is given rights since {since_ms:.0f} ms ago."
-    cure = "Bring the missing voters back or mend the network; strict quotas refuse here once held rights are spent."
+    what = "no majority of the voters {voters} agreed on who is given permits since {since_ms:.0f} ms ago."
+    cure = (
+        "Bring the missing voters back or mend the network; strict quotas refuse here once their permits are consumed."
+    )
 
 
 class VotersDiffer(QuotaError):
