--- a/packages/quota/src/puffindeck_quota/admission.py
+++ b/packages/quota/src/puffindeck_quota/admission.py
@@ -47,9 +47,10 @@
             self._tenant_limits.active.add(tenant_limit)
             permits = ChargedPermits(tenant_limit, set())
             charge.permits.append(permits)
+            may_consume = not tenant_limit.limit.strict or self._peers.clock_in_sync
             for window in tenant_limit.limit.windows_between(first_ms, last_ms):
                 ledger = tenant_limit.ledgers.get(window) or self._allocator.ledger(tenant_limit, window)
-                if self._may_consume(tenant_limit) and ledger.consume():
+                if may_consume and ledger.consume():
                     permits.windows.add(window)
                 elif not self.overdraw(charge, tenant_limit, window):
                     ledger.rejected += 1
@@ -104,9 +105,6 @@
             if permits.tenant_limit.limit.unit == Unit.CONCURRENT_CONNECTIONS:
                 permits.tenant_limit.refund(permits.windows)
 
-    def _may_consume(self, tenant_limit: TenantLimit) -> bool:
-        return not tenant_limit.limit.strict or self._peers.clock_in_sync
-
     def _retry_after_ms(self, tenant_limit: TenantLimit, window: int, ledger: PermitLedger, now_ms: float) -> float:
         """Until permits are expected: soon where others may have some, else spread over the window's successor."""
         limit = tenant_limit.limit
--- a/packages/quota/src/puffindeck_quota/errors.py
+++ b/packages/quota/src/puffindeck_quota/errors.py
@@ -6,7 +6,7 @@
 class QuotaError(OperatorError):
     """The root of this package's errors."""
 
-    what = "a quota can't be kept"
+    what = "a quota can't be enforced"
 
 
 class ClockTooFar(QuotaError):
--- a/packages/quota/src/puffindeck_quota/limits.py
+++ b/packages/quota/src/puffindeck_quota/limits.py
@@ -43,7 +43,7 @@
 
     def windows_between(self, first_ms: float, last_ms: float) -> range:
         """The numbers of the windows from one moment to another, both included; milliseconds since 1970."""
-        return range(self.window_at(first_ms), self.window_at(last_ms) + 1)
+        return range(int(first_ms // self.window_ms), int(last_ms // self.window_ms) + 1)
 
     def applies_to(self, tenant: str, region: str) -> bool:
         """Whether a gateway of that region enforces this limit on that tenant."""
