--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -37,8 +37,7 @@
 from puffindeck_quota import Quota, Release, Seen
 from puffindeck_quota import Retuned as QuotaRetuned
 from puffindeck_quota import Tick as QuotaTick
-from puffindeck_residency import Books
-from puffindeck_residency import Seen as BookSeen
+from puffindeck_residency import LiveMembersUpdated, RulesetStore
 
 log = Logger("puffindeck")
 
@@ -87,7 +86,7 @@
             incarnation=incarnation,
         )
         self.quota: Quota | None = None
-        self.books: Books | None = None
+        self.ruleset_store: RulesetStore | None = None
         self._governor: Governor | None = None
         self._engine: Any = None
         self._wake: Deadline | None = None
@@ -101,7 +100,7 @@
         """The node's engine, and its governor where there are quotas."""
         self._engine, self._governor = engine, governor
         self.quota = governor.quota if governor is not None else None
-        self.books = governor.books if governor is not None else None
+        self.ruleset_store = governor.ruleset_store if governor is not None else None
 
     def start(self) -> None:
         """Open the socket and look for the others. BindFailed if there is none."""
@@ -211,8 +210,8 @@
     def _arrived(self, parcel: Arrived) -> None:
         if parcel.channel == "quota" and self.quota is not None:
             self._do_quota(MessageReceived(parcel.sender, parcel.data))
-        elif parcel.channel == "residency" and self.books is not None:
-            self._do_books(MessageReceived(parcel.sender, parcel.data))
+        elif parcel.channel == "residency" and self.ruleset_store is not None:
+            self._run_ruleset_actions(MessageReceived(parcel.sender, parcel.data))
         else:
             self.dropped["channel"] += 1
 
@@ -220,16 +219,16 @@
         if self._governor is None:
             return
         self._turn = self.deadlines.after(TURN, self._tick_quota)
-        if self.books is not None:
-            self._do_books(BookSeen(frozenset(self.member.table.living)))
+        if self.ruleset_store is not None:
+            self._run_ruleset_actions(LiveMembersUpdated(frozenset(self.member.table.living)))
             self._engine.tell(FLUSH)
         if self.quota is not None:
             living = {m.name: m.news.region for m in self.member.table.living.values()}
             self._do_quota(Seen(living, self.member.apart_ms(), self.member.shunned), QuotaTick())
 
-    def _do_books(self, event: MessageReceived | BookSeen) -> None:
-        assert self.books is not None
-        for action in self.books.handle(self._now(), [event]):
+    def _run_ruleset_actions(self, event: MessageReceived | LiveMembersUpdated) -> None:
+        assert self.ruleset_store is not None
+        for action in self.ruleset_store.handle(self._now(), [event]):
             if isinstance(action, SendMessage):
                 self.send(action.to, "residency", action.data)
             elif isinstance(action, Report):
@@ -259,11 +258,11 @@
         for post in self.member.parcel(name, channel, data):
             self._post(post)
 
-    def reload(self, told: Any, limits: tuple[Any, ...], book: Any) -> None:
+    def reload(self, told: Any, limits: tuple[Any, ...], ruleset: Any) -> None:
         """Peers, limits and rules of a file that was read anew."""
         self._do_member(Retuned(told.peers))
-        if self.books is not None and book is not None:
-            self.books.reread(book)
+        if self.ruleset_store is not None and ruleset is not None:
+            self.ruleset_store.reload(ruleset)
         if self.quota is not None:
             self._do_quota(QuotaRetuned(limits))
 
@@ -308,21 +307,21 @@
 
     def residency(self) -> dict[str, Any]:
         """`GET /_residency`."""
-        if self.books is None or self._governor is None:
+        if self.ruleset_store is None or self._governor is None:
             return {"version": 0, "services": []}
         names: dict[str, list[str]] = {}
-        for book in self.books.in_force():
-            for service in book.services:
+        for ruleset in self.ruleset_store.active():
+            for service in ruleset.services:
                 before = names.get(service.name, list(service.allowed))
                 names[service.name] = [region for region in before if region in service.allowed]
-        outside = self._governor.standing_outside()
+        outside = self._governor.count_violating_connections()
         rows = [
             {"name": name, "allowed": allowed, "standing_outside": outside.get(name, 0)}
             for name, allowed in sorted(names.items())
         ]
         return {
-            "version": self.books.newest.version,
-            "stale": not self.books.fresh(self._now()),
-            "serves": self.books.serves(self._now()),
+            "version": self.ruleset_store.current.version,
+            "stale": not self.ruleset_store.has_quorum_contact(self._now()),
+            "serves": self.ruleset_store.may_serve(self._now()),
             "services": rows,
         }
--- a/packages/fleet/src/puffindeck_fleet/governor.py
+++ b/packages/fleet/src/puffindeck_fleet/governor.py
@@ -29,8 +29,7 @@
     TimerFired,
 )
 from puffindeck_quota import Charge, Quota, Refusal
-from puffindeck_residency import Books, Regional
-from puffindeck_residency.rules import Verdict, judged
+from puffindeck_residency import Regional, RegionConstraint, RulesetStore, evaluate
 
 DEFAULT = "default"  # whoever is no named tenant
 FLUSH = TimerFired(-1)  # hand out what has come up between two events
@@ -54,9 +53,10 @@
 
 
 class Governor:
-    """The decision module behind the quotas and the book of rules.
+    """The decision module behind the quotas and the rulesets.
 
-    `view` says what a front knows of a request, `tenant` whose it is by that. With `books` the module is a Regional.
+    `view` says what a front knows of a request, `tenant` whose it is by that. With `ruleset_store` the module is a
+    Regional.
     """
 
     def __init__(
@@ -67,13 +67,13 @@
         tenant: Callable[[Any], str] = lambda view: DEFAULT,
         *,
         view: Callable[[RequestArrived], Any] = lambda event: event,
-        books: Books | None = None,
+        ruleset_store: RulesetStore | None = None,
         region: str = "",
         moved_within_ms: float = 30000.0,
     ) -> None:
         self.inner: Any = inner
         self.settings, self.quota, self.tenant, self.view = settings, quota, tenant, view
-        self.books, self.region, self.moved_within_ms = books, region, moved_within_ms
+        self.ruleset_store, self.region, self.moved_within_ms = ruleset_store, region, moved_within_ms
         self._generation = -1
         self._swept_ms = float("-inf")
         self._outside_ms: float | None = None  # since when some stand outside
@@ -101,7 +101,7 @@
         """As the module has it."""
         passed: list[Event] = []
         refused: list[Action] = []
-        if self.books is not None and self._generation != self.books.generation:
+        if self.ruleset_store is not None and self._generation != self.ruleset_store.generation:
             self._rule_anew()
         for event in events:
             if event is FLUSH:
@@ -122,7 +122,7 @@
         for action in actions:
             if isinstance(action, (Reject, Fail)):
                 self._answered(now_ms, action.request)
-        if self.books is not None and now_ms - self._swept_ms >= SWEEP_MS:
+        if self.ruleset_store is not None and now_ms - self._swept_ms >= SWEEP_MS:
             self._sweep(now_ms)
         moves, self._moves = self._moves, []
         return refused + actions + [Migrate(request) for request in moves if request in self.held]
@@ -131,34 +131,34 @@
 
     def _ruled(self, now: float, event: RequestArrived, view: Any) -> Reject | None:
         """Note where the request may go; or refuse it, before a byte of it reaches a server."""
-        assert self.books is not None
-        verdict = judged(self.books.in_force(), view, self.region)
-        if verdict is None:
+        assert self.ruleset_store is not None
+        constraint = evaluate(self.ruleset_store.active(), view, self.region)
+        if constraint is None:
             return None
-        if not verdict.carried or not verdict.allowed or not self.books.serves(now):
+        if not constraint.transit_allowed or not constraint.allowed or not self.ruleset_store.may_serve(now):
             self.refused += 1
             return Reject(event.request, min(self.settings.max_retry_after_ms, AGAIN_MS))
-        self._order(event.request, verdict)
+        self._order(event.request, constraint)
         return None
 
-    def _order(self, request: int, verdict: Verdict | None) -> None:
+    def _order(self, request: int, constraint: RegionConstraint | None) -> None:
         module: Regional = self.inner
-        if verdict is None:
+        if constraint is None:
             module.orders.pop(request, None)
         else:
-            module.orders[request] = verdict.allowed
+            module.orders[request] = constraint.allowed
 
     def _rule_anew(self) -> None:
         """Other rules count: they hold for what stands, too, unless it may stay until it ends."""
-        assert self.books is not None
-        self._generation = self.books.generation
+        assert self.ruleset_store is not None
+        self._generation = self.ruleset_store.generation
         for request, held in self.held.items():
-            verdict = judged(self.books.in_force(), held.view, self.region)
-            if verdict is None or not (held.begun and verdict.keeps):
-                self._order(request, verdict)
+            constraint = evaluate(self.ruleset_store.active(), held.view, self.region)
+            if constraint is None or not (held.begun and constraint.allow_existing):
+                self._order(request, constraint)
 
     def _sweep(self, now: float) -> None:
-        """Move what stands outside, at an even rate, all within the time that the book sets."""
+        """Move what stands outside, at an even rate, all within the time that the ruleset sets."""
         self._swept_ms = now
         outside = self.inner.outside()
         self.outside = len(outside)
@@ -170,12 +170,16 @@
         left = max(1.0, (self._outside_ms + NEARLY * self.moved_within_ms - now) / SWEEP_MS)
         self._moves += outside[: max(1, round(len(outside) / left + 0.5))]
 
-    def standing_outside(self) -> dict[str, int]:
+    def count_violating_connections(self) -> dict[str, int]:
         """By service: connections that stand where its rule does not allow it."""
         found: dict[str, int] = {}
-        for request in self.inner.outside() if self.books is not None else ():
-            verdict = judged(self.books.in_force(), self.held[request].view, self.region) if self.books else None
-            for name in verdict.names if verdict is not None and request in self.held else ():
+        for request in self.inner.outside() if self.ruleset_store is not None else ():
+            constraint = (
+                evaluate(self.ruleset_store.active(), self.held[request].view, self.region)
+                if self.ruleset_store
+                else None
+            )
+            for name in constraint.service_names if constraint is not None and request in self.held else ():
                 found[name] = found.get(name, 0) + 1
         return found
 
@@ -185,12 +189,12 @@
         if event.request in self.held:
             return None
         view = self.view(event)
-        if self.books is not None and (refusal := self._ruled(now, event, view)) is not None:
+        if self.ruleset_store is not None and (refusal := self._ruled(now, event, view)) is not None:
             return refusal
         charge = self.quota.admit(self.tenant(view), now, now + event.remaining_ms) if self.quota is not None else None
         if isinstance(charge, Refusal):
             self.refused += 1
-            if self.books is not None:
+            if self.ruleset_store is not None:
                 self._order(event.request, None)
             return Reject(event.request, min(self.settings.max_retry_after_ms, charge.wait_ms))
         self.held[event.request] = Held(charge, view)
--- a/packages/residency/src/puffindeck_residency/__init__.py
+++ b/packages/residency/src/puffindeck_residency/__init__.py
@@ -1,19 +1,20 @@
-"""Services kept inside their regions. docs/design/residency.md has the ways weighed."""
+"""Services that may be served only in certain regions. docs/design/residency.md compares the designs."""
 
-from puffindeck_residency.books import Books, Seen
 from puffindeck_residency.errors import BooksDiffer, BookUnreadable, ResidencyError
 from puffindeck_residency.regional import Regional, RegionalBalancer
-from puffindeck_residency.rules import Book, Service, Verdict
+from puffindeck_residency.ruleset import RegionConstraint, Ruleset, ServiceRule, evaluate
+from puffindeck_residency.ruleset_store import LiveMembersUpdated, RulesetStore
 
 __all__ = [
-    "Book",
     "BookUnreadable",
-    "Books",
     "BooksDiffer",
+    "LiveMembersUpdated",
+    "RegionConstraint",
     "Regional",
     "RegionalBalancer",
     "ResidencyError",
-    "Seen",
-    "Service",
-    "Verdict",
+    "Ruleset",
+    "RulesetStore",
+    "ServiceRule",
+    "evaluate",
 ]
--- a/puffindeck/config/fleet.py
+++ b/puffindeck/config/fleet.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from puffindeck.routing import Condition
     from puffindeck_quota import Limit
-    from puffindeck_residency import Service
+    from puffindeck_residency import ServiceRule
 
 UNITS = {"ms": 1.0, "s": 1000.0, "m": 60000.0, "h": 3600000.0, "d": 86400000.0}
 UNIT_NAMES = ("opens", "seconds", "standing")
@@ -105,11 +105,11 @@
 
 
 class Residency(msgspec.Struct, frozen=True):
-    """Its rules, checked; `book` is a puffindeck_residency.Book."""
+    """Its rules, checked; `ruleset` is a puffindeck_residency.Ruleset."""
 
-    book: Any
-    refuses: bool
-    stale_ms: float
+    ruleset: Any
+    refuse_when_stale: bool
+    stale_after_ms: float
     moved_within_ms: float
 
 
@@ -216,13 +216,13 @@
     return Quotas(tuple(tenants), limits, voters, skew, int(epoch))
 
 
-def _fits(when: Groups) -> Callable[[Any], bool]:
+def _matches_any_group(when: Groups) -> Callable[[Any], bool]:
     return lambda view: any(all(one.holds(view) for one in group) for group in when)
 
 
-def book_of(given: Any) -> Residency:
+def residency_of(given: Any) -> Residency:
     """The rules of a table, in a file or as another member sent it. ConfigError names the faulty key."""
-    from puffindeck_residency import Book, Service
+    from puffindeck_residency import Ruleset, ServiceRule
 
     table: ResidencyTable = _table(given, ResidencyTable, "residency")
     if table.version < 1:
@@ -235,7 +235,7 @@
             if not region or not zone or zone in zones:
                 raise ConfigError(f"residency.regions.{region}: {zone!r} is empty, or in two regions")
             zones[zone] = region
-    services: list[Service] = []
+    services: list[ServiceRule] = []
     for i, service in enumerate(table.services):
         at = f"residency.services[{i}]"
         if not service.name or service.name in {other.name for other in services}:
@@ -247,21 +247,22 @@
                 raise ConfigError(f"{at}.{key}: there is no region {min(strange)!r} in residency.regions")
         if service.standing not in ("move", "keep"):
             raise ConfigError(f"{at}.standing must be move or keep, not {service.standing!r}")
-        fits = _fits(groups(service.when, f"{at}.when"))
-        transit, keeps = frozenset(service.transit), service.standing == "keep"
-        services.append(Service(service.name, fits, tuple(service.allowed), transit, keeps))
+        matches = _matches_any_group(groups(service.when, f"{at}.when"))
+        transit = frozenset(service.transit)
+        allow_existing = service.standing == "keep"
+        services.append(ServiceRule(service.name, matches, tuple(service.allowed), transit, allow_existing))
     text = msgspec.json.encode(table, order="sorted")
     return Residency(
-        Book(table.version, text, tuple(services), zones),
+        Ruleset(table.version, text, tuple(services), zones),
         table.stale == "refuse",
         duration_ms(table.stale_after, "residency.stale_after"),
         duration_ms(table.moved_within, "residency.moved_within"),
     )
 
 
-def read_book(text: bytes) -> Any:
-    """A book that another member sent. ValueError says why it can't be used here."""
-    return book_of(msgspec.json.decode(text)).book
+def parse_ruleset(text: bytes) -> Any:
+    """A ruleset that another member sent. ValueError says why it can't be used here."""
+    return residency_of(msgspec.json.decode(text)).ruleset
 
 
 def installation(fleet: Any, quota: Any, residency: Any, instance: str) -> Installation | None:
@@ -274,4 +275,4 @@
     told = _told(_table(fleet, FleetTable, "fleet"), instance)
     quotas = _quotas(_table(quota, QuotaTable, "quota"), told, instance) if quota is not None else None
     voters = quotas.voters if quotas is not None else tuple(sorted({instance, *told.peers}))
-    return Installation(told, quotas, book_of(residency) if residency is not None else None, voters)
+    return Installation(told, quotas, residency_of(residency) if residency is not None else None, voters)
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -48,38 +48,43 @@
                 settings=QuotaSettings(skew_ms=told.skew_ms, epoch_ms=told.epoch_ms),
                 region=installed.fleet.region,
             )
-        books = None
+        ruleset_store = None
         if rules is not None:
-            from puffindeck.config.fleet import read_book
-            from puffindeck_residency import Books, RegionalBalancer
+            from puffindeck.config.fleet import parse_ruleset
+            from puffindeck_residency import RegionalBalancer, RulesetStore
 
-            books = Books(
-                self.told.name, rules.book, read_book, installed.voters, rules.stale_ms, rules.refuses
+            ruleset_store = RulesetStore(
+                self.told.name,
+                rules.ruleset,
+                parse_ruleset,
+                installed.voters,
+                rules.stale_after_ms,
+                rules.refuse_when_stale,
             )
             balancer = RegionalBalancer(settings, self.told.seed)
-            balancer.region_of = self._region_of(books)
+            balancer.region_of = self._region_of(ruleset_store)
         governor = Governor(
             balancer,
             settings,
             quota,
             self._tenant,
             view=self._view,
-            books=books,
+            ruleset_store=ruleset_store,
             region=installed.fleet.region,
             moved_within_ms=rules.moved_within_ms if rules is not None else 0.0,
         )
         self.governor = governor
         return governor
 
-    def _region_of(self, books: Any) -> Callable[[int], str]:
-        """The region of a zone; one that two books in force have in different regions is in none."""
+    def _region_of(self, ruleset_store: Any) -> Callable[[int], str]:
+        """The region of a zone; one that two active rulesets have in different regions is in none."""
         known: dict[tuple[int, int], str] = {}
 
         def region_of(zone: int) -> str:
-            key = books.generation, zone
+            key = ruleset_store.generation, zone
             if key not in known:
                 name = self.directory.zone_name(zone)
-                found = {book.regions.get(name, "") for book in books.in_force()}
+                found = {ruleset.region_by_zone.get(name, "") for ruleset in ruleset_store.active()}
                 known[key] = found.pop() if len(found) == 1 else ""
             return known[key]
 
@@ -117,7 +122,7 @@
             self.fleet.reload(
                 installed.fleet,
                 installed.quota.limits if installed.quota is not None else (),
-                rules.book if rules is not None else None,
+                rules.ruleset if rules is not None else None,
             )
 
     # For staff
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -13,7 +13,7 @@
 
 import puffindeck_membership.messages as membership_messages
 import puffindeck_quota.model as quota_messages
-import puffindeck_residency.books as residency_messages
+import puffindeck_residency.messages as residency_messages
 from puffindeck import benchlink
 from puffindeck.config.fleet import installation
 from puffindeck.core.timer_queue import TimerQueue
@@ -25,7 +25,7 @@
 from puffindeck_fleet.keeping import Keeper, Kept
 from puffindeck_fleet.wire import Wire
 from puffindeck_quota import Quota
-from puffindeck_residency import Books
+from puffindeck_residency import RulesetStore
 
 
 def _by_tag(module: Any) -> dict[int, type[msgspec.Struct]]:
@@ -180,10 +180,12 @@
     limits = Quota(
         name, life=process, voters=installed.quota.voters, limits=installed.quota.limits, seed=seed
     )
-    books = Books(name, installed.residency.book, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
+    assert installed.residency is not None
+    initial = installed.residency.ruleset
+    rulesets = RulesetStore(name, initial, lambda text: initial, installed.voters, 30000.0, True)
     inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
     settings = Settings((), 1, 0, 1, 0.0, 0.0, 1.0, 0.0, 1.0, 0.0)
-    governor = Governor(inner, settings, limits, books=books)
+    governor = Governor(inner, settings, limits, ruleset_store=rulesets)
     gateway.join(None, governor)
     for fields in peers:
         gateway.member.table.put(member_update(*fields), 0.0)
