--- a/packages/errors/src/puffindeck_errors/__init__.py
+++ b/packages/errors/src/puffindeck_errors/__init__.py
@@ -6,33 +6,37 @@
 
 
 class OperatorError(Exception):
-    """Something an operator can mend.
+    """The base of all errors that an operator can mend.
 
-    `what` says what happened in this class's words, `remedy` what to do; both are templates that the keyword
-    arguments fill. `where` is a file, a key of one, or a peer.
+    A subclass gives two templates for `str.format`: `message_template` says what happened and `remedy_template`
+    what to do. `{where}` in them stands for the place and the names of `details` for those values; a template that
+    names a value that is not given raises KeyError. Subclasses declare their details as keyword arguments of
+    their own constructor.
     """
 
-    what: ClassVar[str] = "something failed"
-    cure: ClassVar[str] = "See the log lines before this one."
+    message_template: ClassVar[str] = "something failed"
+    remedy_template: ClassVar[str] = "See the log lines before this one."
 
-    def __init__(self, where: str, **facts: object) -> None:
-        self.where, self.facts = where, facts
-        super().__init__(self.what.format(where=where, **facts))
+    def __init__(self, where: str, **details: object) -> None:
+        """`where` is a file, a key of one, or the name of a peer."""
+        self.where = where
+        self.details = details
+        super().__init__(self.message_template.format(where=where, **details))
 
     @property
     def remedy(self) -> str:
-        """One sentence that an operator can act on."""
-        return self.cure.format(where=self.where, **self.facts)
+        """What an operator can do, in one sentence."""
+        return self.remedy_template.format(where=self.where, **self.details)
 
 
-def described(error: OperatorError) -> str:
-    """The error as one line, for a log or a call of staff."""
+def describe(error: OperatorError) -> str:
+    """The error as one line `KIND: WHERE: what happened. What to do.`, for a log or an operators' call."""
     return f"{type(error).__name__}: {error.where}: {error} {error.remedy}"
 
 
-def tree(root: type[OperatorError]) -> list[type[OperatorError]]:
-    """A package's errors, its root first, each under the one it is a kind of."""
+def subclass_tree(root: type[OperatorError]) -> list[type[OperatorError]]:
+    """An error class and all its subclasses, depth first, siblings by name."""
     found = [root]
     for kind in sorted(root.__subclasses__(), key=lambda kind: kind.__name__):
-        found += tree(kind)
+        found += subclass_tree(kind)
     return found
--- a/packages/fleet/src/puffindeck_fleet/errors.py
+++ b/packages/fleet/src/puffindeck_fleet/errors.py
@@ -6,25 +6,27 @@
 class FleetError(OperatorError):
     """The root of this package's errors."""
 
-    what = "the fleet can't be joined"
+    message_template = "the fleet can't be joined"
 
 
 class BindFailed(FleetError):
     """The address for datagrams can't be had."""
 
-    what = "{address} can't be bound: {reason}."
-    cure = "Give {where} an address of this machine that no other process uses."
+    message_template = "{address} can't be bound: {reason}."
+    remedy_template = "Give {where} an address of this machine that no other process uses."
 
 
 class FolderUnusable(FleetError):
     """Nothing can be kept in the folder."""
 
-    what = "nothing can be kept there: {reason}."
-    cure = "Make the folder writable for this process, or leave `fleet.folder` out; the node runs on without it."
+    message_template = "nothing can be kept there: {reason}."
+    remedy_template = (
+        "Make the folder writable for this process, or leave `fleet.folder` out; the node runs on without it."
+    )
 
 
 class StateUnreadable(FleetError):
     """A kept file is damaged, or of another version."""
 
-    what = "the file can't be read: {reason}; it was set aside as {aside}."
-    cure = "Nothing has to be done: the member starts as a new one; look at the disk if this comes again."
+    message_template = "the file can't be read: {reason}; it was set aside as {aside}."
+    remedy_template = "Nothing has to be done: the member starts as a new one; look at the disk if this comes again."
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -12,7 +12,7 @@
 
 from puffindeck.core.clock import ms, span
 from puffindeck.core.timer_queue import Deadline, TimerQueue
-from puffindeck_errors import OperatorError, described
+from puffindeck_errors import OperatorError, describe
 from puffindeck_fleet.datagrams import Datagrams
 from puffindeck_fleet.errors import FleetError
 from puffindeck_fleet.governor import FLUSH, Governor
@@ -121,7 +121,7 @@
         try:
             kept = self._keeper.read() if self._keeper is not None else None
         except FleetError as error:
-            log.error("fleet: {error}", error=described(error))
+            log.error("fleet: {error}", error=describe(error))
             return 0
         return kept.incarnation if kept is not None else 0
 
@@ -133,7 +133,7 @@
             self._keeper.write(Kept(self.name, incarnation))
         except FleetError as error:
             if not self._unkept:
-                log.error("fleet: {error}", error=described(error))
+                log.error("fleet: {error}", error=describe(error))
             self._unkept = True
             self._keep_again = self.deadlines.after(KEEP_AGAIN, self._keep_once_more)
         else:
@@ -175,7 +175,7 @@
             elif isinstance(action, Changed):
                 self._changed(action)
             elif isinstance(action, Report):
-                log.error("fleet: {error}", error=described(action.error))
+                log.error("fleet: {error}", error=describe(action.error))
             elif isinstance(action, Usurped):
                 self._ended(NameTaken(f"fleet {self.told.name}: {self.name}", address=action.address))
         self._keep()
@@ -232,7 +232,7 @@
             if isinstance(action, SendMessage):
                 self.send(action.to, "residency", action.data)
             elif isinstance(action, Report):
-                log.error("residency: {error}", error=described(action.error))
+                log.error("residency: {error}", error=describe(action.error))
 
     def _do_quota(self, *events: Any) -> None:
         assert self.quota is not None
@@ -245,7 +245,7 @@
                 self._governor.release(action.charge)
                 moved = True
             elif isinstance(action, Report):
-                log.error("quota: {error}", error=described(action.error))
+                log.error("quota: {error}", error=describe(action.error))
         for parcel in posted:
             self.send(parcel.to, "quota", parcel.data)
         if moved and self._engine is not None:
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -75,7 +75,7 @@
     assert set(phases(net, "e4")) == {"e1", "e2", "e3", "e4"}
     assert all_alive(net)
     reported = [a for _, who, a in net.other if who == "e4" and isinstance(a, Report)]
-    assert {(type(r.error), r.error.where, r.error.facts["found"]) for r in reported} == {
+    assert {(type(r.error), r.error.where, r.error.details["found"]) for r in reported} == {
         (PeerMisnamed, "fleet.peers.e9", "e1")
     }
 
--- a/packages/quota/src/puffindeck_quota/errors.py
+++ b/packages/quota/src/puffindeck_quota/errors.py
@@ -6,32 +6,36 @@
 class QuotaError(OperatorError):
     """The root of this package's errors."""
 
-    what = "a quota can't be kept"
+    message_template = "a quota can't be kept"
 
 
 class ClockTooFar(QuotaError):
     """The clock differs from the others' by more than the file allows: nothing strict is admitted."""
 
-    what = "this machine's clock is {apart_ms:.0f} ms from most members' clocks, and {allowed_ms:.0f} ms are allowed."
-    cure = "Set this machine's clock by its time service; until it agrees, strict quotas refuse here."
+    message_template = (
+        "this machine's clock is {apart_ms:.0f} ms from most members' clocks, and {allowed_ms:.0f} ms are allowed."
+    )
+    remedy_template = "Set this machine's clock by its time service; until it agrees, strict quotas refuse here."
 
 
 class NoMajority(QuotaError):
     """No roster for the current windows: too few of the voters can be reached."""
 
-    what = "no majority of the voters {voters} agreed on who is given rights since {since_ms:.0f} ms ago."
-    cure = "Bring the missing voters back or mend the network; strict quotas refuse here once held rights are spent."
+    message_template = "no majority of the voters {voters} agreed on who is given rights since {since_ms:.0f} ms ago."
+    remedy_template = (
+        "Bring the missing voters back or mend the network; strict quotas refuse here once held rights are spent."
+    )
 
 
 class VotersDiffer(QuotaError):
     """Another member's file names other voters: two majorities could do without each other."""
 
-    what = "{peer} counts the voters {theirs}, and this file {ours}."
-    cure = "Give both files the same `quota.voters`; until then strict quotas refuse here."
+    message_template = "{peer} counts the voters {theirs}, and this file {ours}."
+    remedy_template = "Give both files the same `quota.voters`; until then strict quotas refuse here."
 
 
 class LimitUnknown(QuotaError):
     """Another member's file has another limit of this name."""
 
-    what = "{peer} has {theirs} for this limit, and this file {ours}: the lower one counts."
-    cure = "Give all files the same limits, or reload those that are older."
+    message_template = "{peer} has {theirs} for this limit, and this file {ours}: the lower one counts."
+    remedy_template = "Give all files the same limits, or reload those that are older."
--- a/packages/residency/src/puffindeck_residency/errors.py
+++ b/packages/residency/src/puffindeck_residency/errors.py
@@ -6,18 +6,28 @@
 class ResidencyError(OperatorError):
     """The base of this package's errors."""
 
-    what = "the book of rules can't be kept"
+    message_template = "the rulesets can't be kept"
 
 
 class BooksDiffer(ResidencyError):
-    """Two rulesets of one version have different content."""
+    """Two rulesets of one version have different content. `peer` is the member that sent the other one."""
 
-    what = "{peer} has another book of version {version}; until one is replaced only what both allow is served."
-    cure = "Give the right one a higher `residency.version` and reload it at one gateway."
+    message_template = (
+        "{peer} has another book of version {version}; until one is replaced only what both allow is served."
+    )
+    remedy_template = "Give the right one a higher `residency.version` and reload it at one gateway."
+
+    def __init__(self, where: str, *, peer: str, version: int) -> None:
+        super().__init__(where, peer=peer, version=version)
 
 
 class BookUnreadable(ResidencyError):
-    """A ruleset from another member can't be parsed here."""
+    """A ruleset that the member `peer` has sent can't be parsed here."""
+
+    message_template = (
+        "the book of version {version} that {peer} has can't be read here: {reason}; ruled services are refused."
+    )
+    remedy_template = "Bring this gateway to the program version of {peer}, or correct that book."
 
-    what = "the book of version {version} that {peer} has can't be read here: {reason}; ruled services are refused."
-    cure = "Bring this gateway to the program version of {peer}, or correct that book."
+    def __init__(self, where: str, *, peer: str, version: int, reason: ValueError) -> None:
+        super().__init__(where, peer=peer, version=version, reason=reason)
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -107,10 +107,10 @@
     def _usurped(self, error: Exception) -> None:
         """Another process has this instance's name: this one has to go."""
         if not self.failed:
-            from puffindeck_errors import OperatorError, described
+            from puffindeck_errors import OperatorError, describe
 
             assert isinstance(error, OperatorError)
-            self.failed = described(error)
+            self.failed = describe(error)
             log.error("{error}", error=self.failed)
             self.stop()
 
