--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -183,7 +183,7 @@
                 asked.hint,
                 asked.group,
                 returning=asked.returning,
-                facts=asked.facts,
+                connection_info=asked.facts,
             )
         )
         return number
--- /dev/null
+++ b/puffindeck/interface/__init__.py
@@ -0,0 +1,78 @@
+"""What the decision module is given and returns: settings, events and actions. No logic is here.
+
+Times are in milliseconds. The numbers of requests, endpoints, zones, kinds, cells, classes and tenants are
+plain integers that mean nothing beyond being equal or not.
+"""
+
+from puffindeck.interface.actions import (
+    Action,
+    Cancel,
+    Fail,
+    Log,
+    Migrate,
+    Reject,
+    ScheduleTimer,
+    Send,
+    WatchEndpoints,
+)
+from puffindeck.interface.events import (
+    NOT_PROCESSED,
+    AttemptEnded,
+    AttemptEstablished,
+    ClientDisconnected,
+    ConnectionInfo,
+    ConnectionRestored,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
+    Event,
+    LatencyReported,
+    ListUpdateKind,
+    LoadLimitRestored,
+    LoadReported,
+    Outcome,
+    RequestAborted,
+    RequestArrived,
+    SettingsChanged,
+    TimerFired,
+)
+from puffindeck.interface.settings import ClassSettings, Effect, Scope, Settings
+
+__all__ = [
+    "NOT_PROCESSED",
+    "Action",
+    "AttemptEnded",
+    "AttemptEstablished",
+    "Cancel",
+    "ClassSettings",
+    "ClientDisconnected",
+    "ConnectionInfo",
+    "ConnectionRestored",
+    "Effect",
+    "EndpointAttached",
+    "EndpointDetached",
+    "EndpointEntry",
+    "EndpointListUpdated",
+    "EndpointStatus",
+    "Event",
+    "Fail",
+    "LatencyReported",
+    "ListUpdateKind",
+    "LoadLimitRestored",
+    "LoadReported",
+    "Log",
+    "Migrate",
+    "Outcome",
+    "Reject",
+    "RequestAborted",
+    "RequestArrived",
+    "ScheduleTimer",
+    "Scope",
+    "Send",
+    "Settings",
+    "SettingsChanged",
+    "TimerFired",
+    "WatchEndpoints",
+]
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -95,7 +95,7 @@
         from puffindeck.routing import View
 
         cls = self.engine.settings.classes[event.cls].name
-        return View(event.facts or ConnectionInfo(), cls, lambda pool: 0, event.group)
+        return View(event.connection_info or ConnectionInfo(), cls, lambda pool: 0, event.group)
 
     def _tenant(self, view: Any) -> str:
         """The first tenant whose conditions hold; else `default`."""
--- a/puffindeck/policy/attempts.py
+++ b/puffindeck/policy/attempts.py
@@ -31,7 +31,7 @@
     def _requested(self, event: RequestArrived) -> None:
         if event.request in self.requests:
             return
-        load = event.hint or self._class_load(event.cls)
+        load = event.load_hint or self._class_load(event.cls)
         request = Request(event, self.settings, load, self.now + event.remaining_ms)
         request.mid_flow, request.returning, request.came_ms = event.mid_flow, event.returning, self.now
         self.requests[request.id] = request
@@ -43,7 +43,7 @@
     def _opened(self, event: ConnectionRestored) -> None:
         if event.request in self.requests:
             return
-        request = Request(event, self.settings, event.hint or self._class_load(event.cls), INF)
+        request = Request(event, self.settings, event.load_hint or self._class_load(event.cls), INF)
         request.attempts, request.out, request.begun = 1, True, True
         self.requests[request.id] = request
         self._saw(request)
--- a/puffindeck/policy/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -140,7 +140,7 @@
 
     def _recalled(self, event: LoadLimitRestored) -> None:
         endpoint = self.live[event.endpoint] = self._server(event.endpoint)
-        endpoint.ceiling, endpoint.cut_ms = min(endpoint.ceiling, event.ceiling), self.now
+        endpoint.ceiling, endpoint.cut_ms = min(endpoint.ceiling, event.load_limit), self.now
 
     def _attached(self, event: EndpointAttached) -> None:
         """Cold since the start that the list tells of, or since now: it may tell of it only seconds later."""
--- a/puffindeck/policy/records.py
+++ b/puffindeck/policy/records.py
@@ -52,7 +52,7 @@
         self.group = event.group
         self.key = event.group or event.key
         self.hash, self.lot = mixed(self.key or event.request), event.key or event.request
-        self.deadline, self.load, self.told = deadline, load, event.hint > 0
+        self.deadline, self.load, self.told = deadline, load, event.load_hint > 0
         self.tried: set[int] = set()
         self.failed_at: list[Endpoint] = []  # where it was not served though the server spoke: whose fault?
 
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -225,7 +225,9 @@
         if event.request in self.places:
             return
         cls = self.settings.classes[event.cls].name
-        name = self.routing.table.choose(View(event.facts or UNKNOWN, cls, self.usable, event.group))
+        name = self.routing.table.choose(
+            View(event.connection_info or UNKNOWN, cls, self.usable, event.group)
+        )
         pool = self.pools.get(name)
         if pool is None or (pool.pool.limit and pool.standing() >= pool.pool.limit):
             self._refuse(event.request)
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -129,7 +129,7 @@
     seen: dict[str, set[int]] = {"127.0.0.1": set(), "10.0.0.1": set()}
     for request in range(1, 200):
         source = "127.0.0.1" if request % 2 else "10.0.0.1"
-        world.do(RequestArrived(request, 0, 0, request, 1200, 0.0, 0, facts=ConnectionInfo(source)))
+        world.do(RequestArrived(request, 0, 0, request, 1200, 0.0, 0, connection_info=ConnectionInfo(source)))
         seen[source].add(world.at[request])
     assert seen["127.0.0.1"] == {1, 2}
     assert seen["10.0.0.1"] == {3, 4, 5}
