--- /dev/null
+++ b/puffindeck/simulator/action_records.py
@@ -0,0 +1,63 @@
+"""Actions of the decision module, as records for the simulator."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from struct import Struct
+from typing import Any
+
+from puffindeck.interface import (
+    Action,
+    Cancel,
+    Fail,
+    Log,
+    Migrate,
+    Reject,
+    ScheduleTimer,
+    Send,
+    WatchEndpoints,
+)
+
+# Each begins with the record's code and the bytes of its fields.
+SEND = Struct("<BIIId")  # request, endpoint, timeout in ms
+REJECT = Struct("<BIId")  # request, delay in ms
+REQUEST_ONLY = Struct("<BII")  # request
+CANCEL = Struct("<BIIB")  # request, attempt
+TIMER = Struct("<BIdI")  # delay in ms, token
+WATCH = Struct("<BIB")  # 1
+TEXT = Struct("<BIH")  # bytes of the text after it
+INSTANCE = Struct("<BIH")  # instance
+
+LONGEST_TEXT_BYTES = 60000
+
+
+def encode_action(action: Action) -> bytes:
+    """The record of an action."""
+    return ENCODERS[type(action)](action)
+
+
+def encode_failure(text: str) -> bytes:
+    """The record that says that a decision has failed."""
+    return _text(9, text)
+
+
+def encode_instance(instance: int) -> bytes:
+    """The record that names the instance that the actions after it are of."""
+    return INSTANCE.pack(13, 2, instance)
+
+
+def _text(code: int, text: str) -> bytes:
+    data = text.encode()[:LONGEST_TEXT_BYTES]
+    return TEXT.pack(code, 2 + len(data), len(data)) + data
+
+
+ENCODERS: dict[type[Any], Callable[[Any], bytes]] = {
+    Send: lambda action: SEND.pack(0, 16, action.request, action.endpoint, action.timeout_ms),
+    Reject: lambda action: REJECT.pack(1, 12, action.request, action.retry_after_ms),
+    Fail: lambda action: REQUEST_ONLY.pack(2, 4, action.request),
+    Cancel: lambda action: CANCEL.pack(3, 5, action.request, action.attempt),
+    ScheduleTimer: lambda action: TIMER.pack(4, 12, action.delay_ms, action.token),
+    Log: lambda action: _text(8, action.text),
+    WatchEndpoints: lambda action: WATCH.pack(10, 1, 1),
+    Migrate: lambda action: REQUEST_ONLY.pack(12, 4, action.request),
+}
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -14,7 +14,7 @@
 import puffindeck_membership.messages as membership_messages
 import puffindeck_quota.model as quota_messages
 import puffindeck_residency.messages as residency_messages
-from puffindeck import benchlink
+from puffindeck import simulator
 from puffindeck.config.fleet import installation
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Settings
@@ -199,5 +199,5 @@
 def play_frames(frames: bytes) -> bytes:
     """What the decision module answers to a session of the simulator."""
     sink = io.BytesIO()
-    benchlink.run(io.BytesIO(frames), sink)
+    simulator.serve(io.BytesIO(frames), sink)
     return sink.getvalue()
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_session.py
@@ -1,4 +1,4 @@
-"""The simulator's wire, the bench link, the README's example and the limits of the decision module."""
+"""Sessions with the simulator, its settings, the README's example and the limits of the decision module."""
 
 from __future__ import annotations
 
@@ -13,16 +13,9 @@
 
 import pytest
 
-from puffindeck import benchlink, config, wire
-from puffindeck.interface import (
-    AttemptEnded,
-    EndpointListUpdated,
-    EndpointStatus,
-    LatencyReported,
-    LoadReported,
-    Outcome,
-    RequestArrived,
-)
+from puffindeck import config
+from puffindeck.simulator import FrameError, serve
+from puffindeck.simulator.frames import split_records
 
 ROOT = Path(__file__).parents[2]
 LONGEST_MODULE = 300  # lines of a module of the decision package
@@ -66,7 +59,7 @@
 
 def run(*batches: bytes) -> bytes:
     sink = io.BytesIO()
-    benchlink.run(io.BytesIO(b"".join(batches)), sink)
+    serve(io.BytesIO(b"".join(batches)), sink)
     return sink.getvalue()
 
 
@@ -78,7 +71,7 @@
     out = run(batch(1, *start(), REQUEST))
     count, size, number = struct.unpack_from("<III", out)
     assert (size + 8, number) == (len(out), 1)
-    codes = {code: data for code, data in wire.records(out[12:], count)}
+    codes = {code: data for code, data in split_records(out[12:], count)}
     assert codes[13] == struct.pack("<H", 4)
     request, endpoint, timeout = struct.unpack("<IId", codes[0])
     assert request == 55
@@ -92,33 +85,13 @@
     out = run(batch(1, *start(), REQUEST), again)
     second = out[8 + struct.unpack_from("<I", out, 4)[0] :]
     count = struct.unpack_from("<I", second)[0]
-    assert 0 not in [code for code, _ in wire.records(second[12:], count)]
-
-
-def test_unknown_codes_and_trailing_fields_are_skipped() -> None:
-    assert wire.event(99, b"abc") is None
-    data = struct.pack("<IBIBBd", 5, 6, 9, 1, 1, 2.5)
-    assert wire.event(4, data + b"\x01later fields") == AttemptEnded(5, Outcome.RESET, 9, 1, True, 2.5)
-
-
-def test_fields_left_off_read_as_zero() -> None:
-    event = wire.event(2, struct.pack("<IB", 5, 0))
-    assert event == RequestArrived(5, 0, 0, 0, 0.0, 0.0, 0)
-
-
-def test_notes_and_lists() -> None:
-    assert wire.event(11, struct.pack("<IBIBf", 5, 0, 9, 1, 2.0)) == LoadReported(5, 9, 2.0)
-    assert wire.event(11, struct.pack("<IBIBf", 5, 0, 9, 2, 8.0)) == LatencyReported(5, 9, 8.0)
-    listed = wire.event(1, struct.pack("<BII", 4, 3, 1) + struct.pack("<IHBHBfd", 7, 1, 2, 3, 2, 1.5, 9.0))
-    assert isinstance(listed, EndpointListUpdated)
-    assert listed.entries[0].state == EndpointStatus.DRAINING
-    assert listed.entries[0].cell == 3
+    assert 0 not in [code for code, _ in split_records(second[12:], count)]
 
 
 @pytest.mark.parametrize("cut", [1, 10, 30])
 def test_a_truncated_frame_is_named(cut: int) -> None:
     whole = batch(1, *start(), REQUEST)
-    with pytest.raises(wire.WireError, match="truncated frame"):
+    with pytest.raises(FrameError, match="truncated frame"):
         run(whole[:-cut])
 
 
@@ -134,12 +107,6 @@
     assert re.fullmatch(rb"puffindeck: truncated frame: .*\n", done.stderr)
 
 
-def test_an_outcome_not_known_may_have_run() -> None:
-    event = wire.event(4, struct.pack("<IBIBBd", 5, 66, 9, 1, 0, 2.5))
-    assert isinstance(event, AttemptEnded)
-    assert event.outcome == Outcome.ERROR
-
-
 @pytest.mark.parametrize("key", ["classes", "peersTotal", "limits", "rules"])
 def test_a_missing_setting_is_named(key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
@@ -155,7 +122,7 @@
     bad = record(2, struct.pack("<IBHQddQB", 55, 77, 0, 9, 1200.0, 0.0, 0, 0))  # a class that is not there
     out = run(batch(1, *start(), bad))
     count = struct.unpack_from("<I", out)[0]
-    assert 9 in [code for code, _ in wire.records(out[12:], count)]
+    assert 9 in [code for code, _ in split_records(out[12:], count)]
 
 
 def test_the_example_in_the_readme_runs(capsys: pytest.CaptureFixture[str]) -> None:
