--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -1,4 +1,4 @@
-"""One real node, from what its environment tells it to SIGTERM."""
+"""The program `python -m puffindeck`: one node, from its configuration to SIGTERM."""
 
 from __future__ import annotations
 
@@ -7,7 +7,8 @@
 import signal
 import sys
 from argparse import ArgumentParser
-from typing import Any
+from collections.abc import Callable, Sequence
+from typing import Any, Protocol, runtime_checkable
 
 from twisted.internet import reactor as default_reactor
 from twisted.internet.error import CannotListenError
@@ -20,60 +21,109 @@
 from puffindeck.net.node import Node
 
 reactor: Any = default_reactor
-FIRST_TURN = span(5)
+START_DELAY = span(5)  # milliseconds
+EXIT_FAILURE = 2
 
 
-def main(given: list[str] | None = None) -> int:
-    """Run until told to stop. Configuration that can't be used ends it with one line."""
-    use_monotonic_clock(reactor)
-    arguments = ArgumentParser(prog="puffindeck", description="One real node.")
-    arguments.add_argument("--config", default="", metavar="FILE", help="an operator's file, for EDGE_CONFIG")
-    chosen = arguments.parse_args(given)
-    # Before the file is read: a change of it that is told from here on is not missed. What a handler asks for
-    # is done once the reactor runs.
-    signal.signal(signal.SIGHUP, lambda number, frame: reactor.callFromThread(lambda: reload()))
-    try:
-        told = config.node(os.environ, chosen.config)
-    except config.ConfigError as error:
-        print(f"puffindeck: {error}", file=sys.stderr)
-        return 2
-    observer: Any = FileLogObserver(sys.stdout, json_line if told.json_logs else line)
-    globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False)
-    gc.freeze()  # what was loaded stays; the collector need not look at it again
-    node = Node(reactor, told, Clock())
+@runtime_checkable
+class ActionableError(Protocol):
+    """An error that says what an operator can do.
 
-    def reload() -> None:
-        node.reload(lambda now: config.again(now, os.environ, chosen.config))
+    `puffindeck_errors.OperatorError` is one; that package is installed only where a node is in a fleet.
+    """
 
-    failed = False
+    where: str
 
-    def fail(why: str) -> None:
-        nonlocal failed
-        print(f"puffindeck: {why}", file=sys.stderr)
-        failed = True
-        reactor.stop()
+    @property
+    def remedy(self) -> str:
+        """What an operator can do, in one sentence."""
+
+
+class NodeProcess:
+    """This process's node, and its signals: SIGHUP reloads the file, SIGTERM and SIGINT stop the node."""
+
+    _node: Node  # set by `run`: the reactor, which calls all other methods, runs only after that
 
-    def begin() -> None:
-        if node.leaving is not None:  # told to stop before it had begun
+    def __init__(self, config_file: str) -> None:
+        """`config_file` goes before EDGE_CONFIG; empty: none."""
+        self._config_file = config_file
+        self._start_failed = False
+
+    def read_config(self) -> config.Node:
+        """Read the configuration; from now on SIGHUP reloads it. Raises ConfigError if it can't be used."""
+        # The handler comes first, so that no change of the file is missed from the moment that it is read.
+        _on_signal(signal.SIGHUP, self._reload)
+        return config.node(os.environ, self._config_file)
+
+    def run(self, node_config: config.Node) -> int:
+        """Run the node until it is stopped; returns the exit status."""
+        self._node = Node(reactor, node_config, Clock())
+        # Clients may connect, and count their time, from the moment that the port is open. So it opens in a
+        # later turn of the reactor: what waits for a node's first turn is answered late by the duration of
+        # the whole start.
+        reactor.callLater(START_DELAY.total_seconds(), self._start)
+        for number in (signal.SIGTERM, signal.SIGINT):
+            _on_signal(number, self._node.stop)
+        reactor.run(installSignalHandlers=False)
+        return EXIT_FAILURE if self._start_failed or self._node.failed else 0
+
+    def _reload(self) -> None:
+        self._node.reload(lambda now: config.again(now, os.environ, self._config_file))
+
+    def _start(self) -> None:
+        if self._node.leaving is not None:  # a signal has stopped it before its start
             return
         try:
-            node.start()
+            self._node.start()
         except CannotListenError as error:
-            fail(str(error))
+            self._fail(str(error))
         except Exception as error:
-            where, remedy = getattr(error, "where", ""), getattr(error, "remedy", "")
-            if not remedy:  # an error of a fleet says what to do; others are faults
+            if not isinstance(error, ActionableError):
                 raise
-            fail(f"{where}: {error} {remedy}")
-
-    # Clients may connect, and count their time, from the moment the port is open. So it opens in a later turn
-    # of the reactor, when all that a start costs has passed: what waits for a node's first turn is answered
-    # late by as long as that took.
-    reactor.callLater(FIRST_TURN.total_seconds(), begin)
-    for number in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(number, lambda number, frame: reactor.callFromThread(node.stop))
-    reactor.run(installSignalHandlers=False)
-    return 2 if failed or node.failed else 0
+            self._fail(f"{error.where}: {error} {error.remedy}")
+
+    def _fail(self, reason: str) -> None:
+        _print_error(reason)
+        self._start_failed = True
+        reactor.stop()
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Run a node until it is stopped; returns the exit status.
+
+    `arguments` are those of the command line, by default this process's own. Configuration that can't be used
+    ends the process with one line on standard error and status 2.
+    """
+    use_monotonic_clock(reactor)
+    process = NodeProcess(_config_file(arguments))
+    try:
+        node_config = process.read_config()
+    except config.ConfigError as error:
+        _print_error(error)
+        return EXIT_FAILURE
+    _begin_logging(json_logs=node_config.json_logs)
+    gc.freeze()  # what has been loaded stays; the collector need not look at it again
+    return process.run(node_config)
+
+
+def _config_file(arguments: Sequence[str] | None) -> str:
+    parser = ArgumentParser(prog="puffindeck", description="One real node.")
+    parser.add_argument("--config", default="", metavar="FILE", help="an operator's file, for EDGE_CONFIG")
+    return str(parser.parse_args(arguments).config)
+
+
+def _begin_logging(json_logs: bool) -> None:
+    observer: Any = FileLogObserver(sys.stdout, json_line if json_logs else line)
+    globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False)
+
+
+def _on_signal(number: signal.Signals, handler: Callable[[], None]) -> None:
+    """Have the reactor call the handler, once it runs."""
+    signal.signal(number, lambda signal_number, frame: reactor.callFromThread(handler))
+
+
+def _print_error(reason: object) -> None:
+    print(f"puffindeck: {reason}", file=sys.stderr)
 
 
 if __name__ == "__main__":
