--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/crowd_ways.py
@@ -23,7 +23,7 @@
 from puffindeck.client_side import Member
 from puffindeck.client_side.even import Ring, owner
 from puffindeck.client_side.ring import EVENNESS, EvenBalancer
-from puffindeck.hashes import mixed, points
+from puffindeck.hashes import mix64, ring_positions
 from puffindeck.interface import (
     AttemptEnded,
     AttemptEstablished,
@@ -116,13 +116,15 @@
         return [
             point
             for turn in range(times)
-            for point in points(int.from_bytes(blake2b(b"%d %d" % (endpoint, turn), digest_size=7).digest()))
+            for point in ring_positions(
+                int.from_bytes(blake2b(b"%d %d" % (endpoint, turn), digest_size=7).digest())
+            )
         ]
 
     def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
         owners = {point: s for s in endpoints if s not in cold for point in drawn(s)}
         ring: Ring = sorted(owners), owners
-        return [owner(ring, mixed(key) >> 34) for key in keys]
+        return [owner(ring, mix64(key) >> 34) for key in keys]
 
     return way
 
@@ -137,7 +139,7 @@
             turn, place = divmod(i * size, len(warm))
             order = Random(turn).sample(warm, len(warm))
             some = [order[(place + k) % len(warm)] for k in range(size)]
-            found.append(max(some, key=lambda s: mixed(key ^ mixed(s))))
+            found.append(max(some, key=lambda s: mix64(key ^ mix64(s))))
         return found
 
     return way
@@ -145,7 +147,7 @@
 
 def luck(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
     warm = [s for s in endpoints if s not in cold]
-    return [warm[mixed(key) % len(warm)] for key in keys]
+    return [warm[mix64(key) % len(warm)] for key in keys]
 
 
 WAYS: list[tuple[str, Way]] = [
--- a/puffindeck/client_side/even.py
+++ b/puffindeck/client_side/even.py
@@ -13,9 +13,9 @@
 from bisect import bisect_left
 from collections.abc import Mapping
 
-from puffindeck.hashes import mixed
+from puffindeck.hashes import mix64
 
-SPAN = 1 << 30  # points on the ring, as `hashes.points` draws them
+SPAN = 1 << 30  # points on the ring, as `hashes.ring_positions` draws them
 
 Ring = tuple[list[int], dict[int, int]]  # the points in order, and whose each is
 
@@ -42,7 +42,7 @@
     over: list[tuple[int, int]] = []
     for endpoint, own in arcs.items():
         # in an order of the points' own: a due that changes a little moves one arc's cut, not all
-        for end, length in sorted(own, key=lambda arc: mixed(arc[0])):
+        for end, length in sorted(own, key=lambda arc: mix64(arc[0])):
             part = min(length, int(room.get(endpoint, 0.0)))
             if part:
                 room[endpoint] -= part
--- a/puffindeck/client_side/member.py
+++ b/puffindeck/client_side/member.py
@@ -15,7 +15,7 @@
 from puffindeck.client_side.admission import Admission
 from puffindeck.client_side.even import Ring, evened
 from puffindeck.client_side.ring import EvenBalancer
-from puffindeck.hashes import mixed
+from puffindeck.hashes import mix64
 from puffindeck.interface import (
     Action,
     AttemptEnded,
@@ -41,7 +41,7 @@
     def __init__(self, settings: Settings, seed: int) -> None:
         self._warm: dict[int | None, Ring] = {}  # the whole rings, with the cold ones' arcs handed on
         super().__init__(replace(settings, must_watch_endpoints=True), seed)
-        self.admission = Admission(mixed(self.random.getrandbits(63)))
+        self.admission = Admission(mix64(self.random.getrandbits(63)))
         self.heard_ms = -INF  # when the roster last gave a sign of life
         self._cold: frozenset[int] = frozenset()
 
--- a/puffindeck/policy/attempts.py
+++ b/puffindeck/policy/attempts.py
@@ -1,6 +1,6 @@
 """Attempts and patience: the life of a request from its arrival to its one answer."""
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.interface import (
     NOT_PROCESSED,
     AttemptEnded,
@@ -188,7 +188,9 @@
 
     def _come_back(self, request: Request) -> float:
         """When a refused client may come again: after a tick, when ceilings may give; not all at once."""
-        return min(self.settings.max_retry_after_ms, TICK_MS * (0.5 + lot(request.id, self.settings.zone)))
+        return min(
+            self.settings.max_retry_after_ms, TICK_MS * (0.5 + hash_fraction(request.id, self.settings.zone))
+        )
 
     def _close(self, request: Request) -> None:
         """Nothing more is owed; an attempt still out is followed to its outcome."""
--- a/puffindeck/policy/records.py
+++ b/puffindeck/policy/records.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from puffindeck.hashes import mixed
+from puffindeck.hashes import mix64
 from puffindeck.interface import ConnectionRestored, Effect, EndpointStatus, RequestArrived, Scope, Settings
 
 INF = float("inf")
@@ -51,7 +51,7 @@
         self.rules, self.most = settings.classes[event.cls], settings.max_attempts
         self.group = event.group
         self.key = event.group or event.key
-        self.hash, self.lot = mixed(self.key or event.request), event.key or event.request
+        self.hash, self.lot = mix64(self.key or event.request), event.key or event.request
         self.deadline, self.load, self.told = deadline, load, event.load_hint > 0
         self.tried: set[int] = set()
         self.failed_at: list[Endpoint] = []  # where it was not served though the server spoke: whose fault?
--- a/puffindeck/policy/ring.py
+++ b/puffindeck/policy/ring.py
@@ -5,7 +5,7 @@
 from heapq import nlargest
 from itertools import chain, islice
 
-from puffindeck.hashes import mixed, points
+from puffindeck.hashes import mix64, ring_positions
 from puffindeck.interface import Effect, EndpointStatus, Scope
 from puffindeck.policy.cold import Cold
 from puffindeck.policy.records import INF, Endpoint, Request
@@ -29,7 +29,7 @@
             self.owners = {point: s for point, s in self.owners.items() if s in self.ready}
             self.ring = [point for point in self.ring if point in self.owners]
         for joined in sorted(self.ready.keys() - before.keys()):
-            new = points(joined)
+            new = ring_positions(joined)
             self.owners.update(dict.fromkeys(new, joined))
             self.ring += new
         self.ring.sort()
@@ -100,7 +100,7 @@
             scale = self.bound / max(1e-9, self.zone_sizes[None])
             for key in sorted(nlargest(PLANNED, self.counts, lambda key: self.counts[key])):
                 before, rest, stops = used.copy(), self._part(key), 0
-                for endpoint in self._around(mixed(key)):
+                for endpoint in self._around(mix64(key)):
                     here = min(rest, max(0.0, scale * endpoint.size - used[endpoint.id]))
                     used[endpoint.id], rest, stops = used[endpoint.id] + here, rest - here, stops + 1
                     if rest <= 0:
--- a/puffindeck/policy/walk.py
+++ b/puffindeck/policy/walk.py
@@ -1,6 +1,6 @@
 """Placing: the first server clockwise that is under its bound, and how the bound gives way."""
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.policy.cold import BACK_MS
 from puffindeck.policy.judging import Judging
 from puffindeck.policy.ledger import GROUP_COST
@@ -63,7 +63,7 @@
                     # server takes its bounded part of the key's expected share, by lot; the rest spills on.
                     part = self.bound * stretch * endpoint.size / size - taken.get(endpoint.id, 0.0)
                     bound = self.bound * mean * endpoint.size
-                    if bound < floor and rest * lot(request.lot, endpoint.id) > part:
+                    if bound < floor and rest * hash_fraction(request.lot, endpoint.id) > part:
                         rest -= max(0.0, part)
                     elif endpoint.id in fit and endpoint.load < stretch * max(bound, floor):
                         return endpoint, stretch == 1.0
@@ -79,4 +79,4 @@
         if endpoint.connections:
             return endpoint.load + extra + request.load <= endpoint.ceiling
         # an empty one by chance, the same at each try: gateways that all round up would fill it again
-        return lot(request.id, endpoint.id) * (extra + request.load) <= endpoint.ceiling
+        return hash_fraction(request.id, endpoint.id) * (extra + request.load) <= endpoint.ceiling
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.interface import (
     Action,
     AttemptEnded,
@@ -256,7 +256,7 @@
                 if tier.returning:
                     warmth = tier.balancer.warmth()
                     tier.returning = warmth < 1.0
-                    if stands_in and lot(key, tier.number) >= warmth:
+                    if stands_in and hash_fraction(key, tier.number) >= warmth:
                         continue
                 return tier
             if not tier.down:
--- a/tests/client_side/test_client_balancer.py
+++ b/tests/client_side/test_client_balancer.py
@@ -15,7 +15,7 @@
 from puffindeck.client_side.admission import STEADY_PART, STORM_PART, Admission
 from puffindeck.client_side.even import SPAN, Ring, evened, owner, shares
 from puffindeck.client_side.ring import EVENNESS, EvenBalancer
-from puffindeck.hashes import points
+from puffindeck.hashes import ring_positions
 from puffindeck.interface import (
     AttemptEnded,
     AttemptEstablished,
@@ -53,7 +53,7 @@
 
 
 def ring(endpoints: list[int]) -> Ring:
-    owners = {point: endpoint for endpoint in endpoints for point in points(endpoint)}
+    owners = {point: endpoint for endpoint in endpoints for point in ring_positions(endpoint)}
     return sorted(owners), owners
 
 
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -16,7 +16,7 @@
 from puffindeck.client_side.even import owner
 from puffindeck.config.client import Client, Rpc, RpcTable, rpc
 from puffindeck.config.members import Members, Target
-from puffindeck.hashes import mixed
+from puffindeck.hashes import mix64
 from puffindeck.interface import ClassSettings, Effect, Settings
 from puffindeck.rpc.grpc import BalancedChannel
 from puffindeck.service_discovery.keys import number
@@ -284,5 +284,5 @@
         return next(
             key
             for key in (f"desk {i}" for i in range(10000))
-            if owner(ring, mixed(number(key.encode())) >> 34) == wanted
+            if owner(ring, mix64(number(key.encode())) >> 34) == wanted
         )
