--- /dev/null
+++ b/tests/simulator/settings_table.py
@@ -0,0 +1,16 @@
+"""Settings as the simulator sends them."""
+
+TABLE = {
+    "classes": [{"aimMs": 300, "hardLimitMs": 1200, "repeat": "pure"}],
+    "peersTotal": 2,
+    "limits": {"maxAttempts": 3},
+    "rules": {
+        "drainGraceMs": 500,
+        "answerSlackMs": 8,
+        "coldFrom": 0.2,
+        "warmAfterMs": 9000,
+        "overloadFactor": 3,
+        "fallMs": 2000,
+    },
+    "somethingNew": {"is": "ignored"},
+}
