--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -12,7 +12,7 @@
 
 from puffindeck.core.clock import ms, span
 from puffindeck.core.timer_queue import Deadline, TimerQueue
-from puffindeck_errors import OperatorError, described
+from puffindeck_errors import OperatorError, describe
 from puffindeck_fleet.datagrams import Datagrams
 from puffindeck_fleet.errors import FleetError
 from puffindeck_fleet.governor import FLUSH, Governor
@@ -36,8 +36,7 @@
 from puffindeck_messaging import MessageReceived, Report, SendMessage
 from puffindeck_quota import LimitsChanged, MembersChanged, Quota, Revoke
 from puffindeck_quota import Tick as QuotaTick
-from puffindeck_residency import Books
-from puffindeck_residency import Seen as BookSeen
+from puffindeck_residency import LiveMembersUpdated, RulesetStore
 
 log = Logger("puffindeck")
 
@@ -86,7 +85,7 @@
             incarnation=incarnation,
         )
         self.quota: Quota | None = None
-        self.books: Books | None = None
+        self.ruleset_store: RulesetStore | None = None
         self._governor: Governor | None = None
         self._engine: Any = None
         self._wake: Deadline | None = None
@@ -100,7 +99,7 @@
         """The node's engine, and its governor where there are quotas."""
         self._engine, self._governor = engine, governor
         self.quota = governor.quota if governor is not None else None
-        self.books = governor.books if governor is not None else None
+        self.ruleset_store = governor.ruleset_store if governor is not None else None
 
     def start(self) -> None:
         """Open the socket and look for the others. BindFailed if there is none."""
@@ -121,7 +120,7 @@
         try:
             kept = self._keeper.read() if self._keeper is not None else None
         except FleetError as error:
-            log.error("fleet: {error}", error=described(error))
+            log.error("fleet: {error}", error=describe(error))
             return 0
         return kept.incarnation if kept is not None else 0
 
@@ -133,7 +132,7 @@
             self._keeper.write(Kept(self.name, incarnation))
         except FleetError as error:
             if not self._unkept:
-                log.error("fleet: {error}", error=described(error))
+                log.error("fleet: {error}", error=describe(error))
             self._unkept = True
             self._keep_again = self.deadlines.after(KEEP_AGAIN, self._keep_once_more)
         else:
@@ -175,7 +174,7 @@
             elif isinstance(action, Changed):
                 self._changed(action)
             elif isinstance(action, Report):
-                log.error("fleet: {error}", error=described(action.error))
+                log.error("fleet: {error}", error=describe(action.error))
             elif isinstance(action, Usurped):
                 self._ended(NameTaken(f"fleet {self.told.name}: {self.name}", address=action.address))
         self._keep()
@@ -210,8 +209,8 @@
     def _arrived(self, parcel: Arrived) -> None:
         if parcel.channel == "quota" and self.quota is not None:
             self._do_quota(MessageReceived(parcel.sender, parcel.data))
-        elif parcel.channel == "residency" and self.books is not None:
-            self._do_books(MessageReceived(parcel.sender, parcel.data))
+        elif parcel.channel == "residency" and self.ruleset_store is not None:
+            self._run_ruleset_actions(MessageReceived(parcel.sender, parcel.data))
         else:
             self.dropped["channel"] += 1
 
@@ -219,20 +218,20 @@
         if self._governor is None:
             return
         self._turn = self.deadlines.after(TURN, self._tick_quota)
-        if self.books is not None:
-            self._do_books(BookSeen(frozenset(self.member.table.living)))
+        if self.ruleset_store is not None:
+            self._run_ruleset_actions(LiveMembersUpdated(frozenset(self.member.table.living)))
             self._engine.tell(FLUSH)
         if self.quota is not None:
             living = {m.name: m.news.region for m in self.member.table.living.values()}
             self._do_quota(MembersChanged(living, self.member.apart_ms(), self.member.shunned), QuotaTick())
 
-    def _do_books(self, event: MessageReceived | BookSeen) -> None:
-        assert self.books is not None
-        for action in self.books.handle(self._now(), [event]):
+    def _run_ruleset_actions(self, event: MessageReceived | LiveMembersUpdated) -> None:
+        assert self.ruleset_store is not None
+        for action in self.ruleset_store.handle(self._now(), [event]):
             if isinstance(action, SendMessage):
                 self.send(action.to, "residency", action.data)
             elif isinstance(action, Report):
-                log.error("residency: {error}", error=described(action.error))
+                log.error("residency: {error}", error=describe(action.error))
 
     def _do_quota(self, *events: Any) -> None:
         assert self.quota is not None
@@ -245,7 +244,7 @@
                 self._governor.release(action.charge)
                 moved = True
             elif isinstance(action, Report):
-                log.error("quota: {error}", error=described(action.error))
+                log.error("quota: {error}", error=describe(action.error))
         for parcel in posted:
             self.send(parcel.to, "quota", parcel.data)
         if moved and self._engine is not None:
@@ -258,11 +257,11 @@
         for post in self.member.parcel(name, channel, data):
             self._post(post)
 
-    def reload(self, told: Any, limits: tuple[Any, ...], book: Any) -> None:
+    def reload(self, told: Any, limits: tuple[Any, ...], ruleset: Any) -> None:
         """Peers, limits and rules of a file that was read anew."""
         self._do_member(Retuned(told.peers))
-        if self.books is not None and book is not None:
-            self.books.reread(book)
+        if self.ruleset_store is not None and ruleset is not None:
+            self.ruleset_store.reload(ruleset)
         if self.quota is not None:
             self._do_quota(LimitsChanged(limits))
 
@@ -307,21 +306,21 @@
 
     def residency(self) -> dict[str, Any]:
         """`GET /_residency`."""
-        if self.books is None or self._governor is None:
+        if self.ruleset_store is None or self._governor is None:
             return {"version": 0, "services": []}
         names: dict[str, list[str]] = {}
-        for book in self.books.in_force():
-            for service in book.services:
+        for ruleset in self.ruleset_store.active():
+            for service in ruleset.services:
                 before = names.get(service.name, list(service.allowed))
                 names[service.name] = [region for region in before if region in service.allowed]
-        outside = self._governor.standing_outside()
+        outside = self._governor.count_violating_connections()
         rows = [
             {"name": name, "allowed": allowed, "standing_outside": outside.get(name, 0)}
             for name, allowed in sorted(names.items())
         ]
         return {
-            "version": self.books.newest.version,
-            "stale": not self.books.fresh(self._now()),
-            "serves": self.books.serves(self._now()),
+            "version": self.ruleset_store.current.version,
+            "stale": not self.ruleset_store.has_quorum_contact(self._now()),
+            "serves": self.ruleset_store.may_serve(self._now()),
             "services": rows,
         }
--- a/packages/quota/src/puffindeck_quota/errors.py
+++ b/packages/quota/src/puffindeck_quota/errors.py
@@ -6,21 +6,23 @@
 class QuotaError(OperatorError):
     """The root of this package's errors."""
 
-    what = "a quota can't be enforced"
+    message_template = "a quota can't be enforced"
 
 
 class ClockTooFar(QuotaError):
     """This clock differs from the others' by more than `quota.skew`: strict limits admit nothing here."""
 
-    what = "this machine's clock is {apart_ms:.0f} ms from most members' clocks, and {allowed_ms:.0f} ms are allowed."
-    cure = "Set this machine's clock by its time service; until it agrees, strict quotas refuse here."
+    message_template = (
+        "this machine's clock is {apart_ms:.0f} ms from most members' clocks, and {allowed_ms:.0f} ms are allowed."
+    )
+    remedy_template = "Set this machine's clock by its time service; until it agrees, strict quotas refuse here."
 
 
 class NoMajority(QuotaError):
     """No allocation for the current epoch: too few of the voters can be reached."""
 
-    what = "no majority of the voters {voters} agreed on who is given permits since {since_ms:.0f} ms ago."
-    cure = (
+    message_template = "no majority of the voters {voters} agreed on who is given permits since {since_ms:.0f} ms ago."
+    remedy_template = (
         "Bring the missing voters back or mend the network; strict quotas refuse here once their permits are consumed."
     )
 
@@ -28,12 +30,12 @@
 class VotersDiffer(QuotaError):
     """Another member's file names other voters or another epoch: two majorities need not share a voter."""
 
-    what = "{peer} counts the voters {theirs}, and this file {ours}."
-    cure = "Give both files the same `quota.voters`; until then strict quotas refuse here."
+    message_template = "{peer} counts the voters {theirs}, and this file {ours}."
+    remedy_template = "Give both files the same `quota.voters`; until then strict quotas refuse here."
 
 
 class LimitUnknown(QuotaError):
     """Another member's file gives this limit another amount."""
 
-    what = "{peer} has {theirs} for this limit, and this file {ours}: the lower one counts."
-    cure = "Give all files the same limits, or reload those that are older."
+    message_template = "{peer} has {theirs} for this limit, and this file {ours}: the lower one counts."
+    remedy_template = "Give all files the same limits, or reload those that are older."
--- a/puffindeck/policy/attempts.py
+++ b/puffindeck/policy/attempts.py
@@ -1,6 +1,6 @@
 """Attempts and patience: the life of a request from its arrival to its one answer."""
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.interface import (
     NOT_PROCESSED,
     AttemptEnded,
@@ -31,7 +31,7 @@
     def _requested(self, event: RequestArrived) -> None:
         if event.request in self.requests:
             return
-        load = event.hint or self._class_load(event.cls)
+        load = event.load_hint or self._class_load(event.cls)
         request = Request(event, self.settings, load, self.now + event.remaining_ms)
         request.mid_flow, request.returning, request.came_ms = event.mid_flow, event.returning, self.now
         self.requests[request.id] = request
@@ -43,7 +43,7 @@
     def _opened(self, event: ConnectionRestored) -> None:
         if event.request in self.requests:
             return
-        request = Request(event, self.settings, event.hint or self._class_load(event.cls), INF)
+        request = Request(event, self.settings, event.load_hint or self._class_load(event.cls), INF)
         request.attempts, request.out, request.begun = 1, True, True
         self.requests[request.id] = request
         self._saw(request)
@@ -188,7 +188,9 @@
 
     def _come_back(self, request: Request) -> float:
         """When a refused client may come again: after a tick, when ceilings may give; not all at once."""
-        return min(self.settings.max_retry_after_ms, TICK_MS * (0.5 + lot(request.id, self.settings.zone)))
+        return min(
+            self.settings.max_retry_after_ms, TICK_MS * (0.5 + hash_fraction(request.id, self.settings.zone))
+        )
 
     def _close(self, request: Request) -> None:
         """Nothing more is owed; an attempt still out is followed to its outcome."""
--- a/puffindeck/routing/pooled.py
+++ b/puffindeck/routing/pooled.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.interface import (
     Action,
     AttemptEnded,
@@ -225,7 +225,9 @@
         if event.request in self.places:
             return
         cls = self.settings.classes[event.cls].name
-        name = self.routing.table.choose(View(event.facts or UNKNOWN, cls, self.usable, event.group))
+        name = self.routing.table.choose(
+            View(event.connection_info or UNKNOWN, cls, self.usable, event.group)
+        )
         pool = self.pools.get(name)
         if pool is None or (pool.pool.limit and pool.standing() >= pool.pool.limit):
             self._refuse(event.request)
@@ -254,7 +256,7 @@
                 if tier.returning:
                     warmth = tier.balancer.warmth()
                     tier.returning = warmth < 1.0
-                    if stands_in and lot(key, tier.number) >= warmth:
+                    if stands_in and hash_fraction(key, tier.number) >= warmth:
                         continue
                 return tier
             if not tier.down:
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -13,8 +13,8 @@
 
 import puffindeck_membership.messages as membership_messages
 import puffindeck_quota.messages as quota_messages
-import puffindeck_residency.books as residency_messages
-from puffindeck import benchlink
+import puffindeck_residency.messages as residency_messages
+from puffindeck import simulator
 from puffindeck.config.fleet import installation
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Settings
@@ -25,7 +25,7 @@
 from puffindeck_fleet.keeping import Keeper, Kept
 from puffindeck_fleet.wire import Wire
 from puffindeck_quota import Quota
-from puffindeck_residency import Books
+from puffindeck_residency import RulesetStore
 
 
 def _by_tag(module: Any) -> dict[int, type[msgspec.Struct]]:
@@ -185,10 +185,12 @@
         limits=installed.quota.limits,
         seed=seed,
     )
-    books = Books(name, installed.residency.book, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
+    assert installed.residency is not None
+    initial = installed.residency.ruleset
+    rulesets = RulesetStore(name, initial, lambda text: initial, installed.voters, 30000.0, True)
     inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
     settings = Settings((), 1, 0, 1, 0.0, 0.0, 1.0, 0.0, 1.0, 0.0)
-    governor = Governor(inner, settings, limits, books=books)
+    governor = Governor(inner, settings, limits, ruleset_store=rulesets)
     gateway.join(None, governor)
     for fields in peers:
         gateway.member.table.put(member_update(*fields), 0.0)
@@ -202,5 +204,5 @@
 def play_frames(frames: bytes) -> bytes:
     """What the decision module answers to a session of the simulator."""
     sink = io.BytesIO()
-    benchlink.run(io.BytesIO(frames), sink)
+    simulator.serve(io.BytesIO(frames), sink)
     return sink.getvalue()
