--- a/benchmarks/rpc_cost.py
+++ b/benchmarks/rpc_cost.py
@@ -17,7 +17,7 @@
 
 from benchmarks.rpc_side_by_side import Part
 from benchmarks.table import table
-from puffindeck.config.members import Target
+from puffindeck.config.endpoint_list import Target
 from puffindeck.rpc.grpc import BalancedChannel
 from tests.support.rpc_world import Stub, keyed, told
 
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -28,7 +28,7 @@
 
 from benchmarks.table import table
 from puffindeck.client_side.ring import EVENNESS
-from puffindeck.config.members import Target
+from puffindeck.config.endpoint_list import Target
 from tests.support.rpc_world import METHODS, Discovery
 
 RULES = {
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -55,8 +55,8 @@
 class Fleet:
     """One member, on its node's reactor and deadlines.
 
-    `told` is the file's `[fleet]` (puffindeck.config.fleet.Told). `ended` is called with the error if this process
-    has to end, as another one has its name.
+    `told` is the file's `[fleet]` (puffindeck.config.fleet.FleetConfig). `ended` is called with the error if this
+    process has to end, as another one has its name.
     """
 
     def __init__(
--- a/packages/fleet/tests/test_parts.py
+++ b/packages/fleet/tests/test_parts.py
@@ -11,7 +11,8 @@
 from hypothesis import strategies as st
 
 from puffindeck import config
-from puffindeck.config.fleet import duration_ms, installation
+from puffindeck.config.durations import duration_ms
+from puffindeck.config.fleet import parse_fleet_member
 from puffindeck_fleet.errors import FolderUnusable, StateUnreadable
 from puffindeck_fleet.keeping import Keeper, Kept
 from puffindeck_fleet.wire import FRAME, MOST, VERSION, Dropped, Wire
@@ -96,7 +97,7 @@
 
 
 def test_the_tables_are_read_with_their_defaults() -> None:
-    found = installation(FLEET, QUOTA, RESIDENCY, "e1")
+    found = parse_fleet_member(FLEET, QUOTA, RESIDENCY, "e1")
     assert found is not None
     assert found.quota is not None
     assert found.residency is not None
@@ -104,8 +105,8 @@
     sliced, standing = found.quota.limits
     assert (sliced.amount, sliced.window_ms, sliced.strict) == (100, 10000, True)
     assert (standing.unit, standing.tenant) == ("standing", "*")
-    assert (found.residency.book.version, found.residency.refuses) == (7, True)
-    assert installation(None, None, None, "e1") is None
+    assert (found.residency.ruleset.version, found.residency.rejects_when_stale) == (7, True)
+    assert parse_fleet_member(None, None, None, "e1") is None
 
 
 @pytest.mark.parametrize(
@@ -147,25 +148,26 @@
         inner = inner[int(key) if key.isdigit() else key]
     inner[last] = value
     with pytest.raises(config.ConfigError) as raised:
-        installation(tables["fleet"], tables["quota"], tables["residency"], "e1")
+        parse_fleet_member(tables["fleet"], tables["quota"], tables["residency"], "e1")
     assert named.replace(".0.", "[0]").replace(".1.", "[1]") in str(raised.value)
 
 
 def test_quotas_and_rules_need_a_fleet_and_an_operators_file(tmp_path: Path) -> None:
     for quota, rules in ((QUOTA, None), (None, RESIDENCY)):
         with pytest.raises(config.ConfigError, match=r"needs a .fleet. table"):
-            installation(None, quota, rules, "e1")
+            parse_fleet_member(None, quota, rules, "e1")
     file = tmp_path / "node.json"
     file.write_bytes(Path("examples/node.json").read_bytes().rstrip()[:-1] + b', "fleet": {"name": "x", "bind": "y"}}')
     with pytest.raises(config.ConfigError, match="operator's file's only"):
-        config.node({"EDGE_CONFIG": str(file)})
+        config.load_node_config({"EDGE_CONFIG": str(file)})
 
 
 def test_the_example_files_are_read() -> None:
     for number in (1, 2, 3):
-        told = config.node({}, f"deploy/operator-fleet-{number}.toml")
-        assert told.installation.fleet.name == "sfpx"
-        assert len(told.installation.voters) == 3
+        told = config.load_node_config({}, f"deploy/operator-fleet-{number}.toml")
+        assert told.fleet_member is not None
+        assert told.fleet_member.fleet.name == "sfpx"
+        assert len(told.fleet_member.voters) == 3
 
 
 @pytest.mark.parametrize(("text", "ms"), [("250ms", 250), ("60s", 60000), ("1.5m", 90000), ("1h", 3600000)])
--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -33,17 +33,17 @@
     # is done once the reactor runs.
     signal.signal(signal.SIGHUP, lambda number, frame: reactor.callFromThread(lambda: reload()))
     try:
-        told = config.node(os.environ, chosen.config)
+        node_config = config.load_node_config(os.environ, chosen.config)
     except config.ConfigError as error:
         print(f"puffindeck: {error}", file=sys.stderr)
         return 2
-    observer: Any = FileLogObserver(sys.stdout, json_line if told.json_logs else line)
+    observer: Any = FileLogObserver(sys.stdout, json_line if node_config.json_logs else line)
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False)
     gc.freeze()  # what was loaded stays; the collector need not look at it again
-    node = Node(reactor, told, Clock())
+    node = Node(reactor, node_config, Clock())
 
     def reload() -> None:
-        node.reload(lambda now: config.again(now, os.environ, chosen.config))
+        node.reload(lambda now: config.reload_node_config(now, os.environ, chosen.config))
 
     failed = False
 
--- a/puffindeck/benchlink.py
+++ b/puffindeck/benchlink.py
@@ -26,7 +26,7 @@
             text = data[wire.OPEN_INSTANCE.size :]
             if len(text) < size:
                 raise wire.WireError("truncated frame: the settings are cut short")
-            instances[current] = Balancer(config.settings(text[:size]), seed)
+            instances[current] = Balancer(config.decode_settings(text[:size]), seed)
             pending[current] = []
         elif code == wire.STOP:
             instances.pop(current, None)
--- a/puffindeck/cli/commands.py
+++ b/puffindeck/cli/commands.py
@@ -9,7 +9,7 @@
 import os
 import sys
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 import msgspec
@@ -19,15 +19,19 @@
 from puffindeck.importer.account import Account
 from puffindeck.importer.command import replaced, texts
 
+if TYPE_CHECKING:
+    from puffindeck.routing import Pool, Routing
+
 FILE = click.Path(dir_okay=False, path_type=Path)
 
 
-class Stop(click.ClickException):
-    """An end with one line that says why."""
+class CommandError(click.ClickException):
+    """The command cannot go on: one line on standard error, exit code 2."""
 
     exit_code = 2
 
     def show(self, file: Any = None) -> None:
+        """Print the line on standard error."""
         click.echo(f"puffindeck: {self.message}", err=True)
 
 
@@ -43,9 +47,9 @@
 )
 def run(file: Path | None) -> None:
     """Run one node until SIGTERM."""
-    from puffindeck.__main__ import main as node  # installs the reactor
+    from puffindeck.__main__ import main as run_node  # installs the reactor
 
-    sys.exit(node(["--config", str(file)] if file else []))
+    sys.exit(run_node(["--config", str(file)] if file else []))
 
 
 @main.command()
@@ -53,30 +57,37 @@
 def check(file: Path) -> None:
     """Read an operator's file as a node would, and say what it has. No socket is opened."""
     try:
-        told = config.node({}, str(file))
+        node = config.load_node_config({}, str(file))
     except config.ConfigError as error:
-        raise Stop(str(error)) from None
-    host, port = told.listen
+        raise CommandError(str(error)) from None
+    host, port = node.listen
+    class_names = ", ".join(request_class.name for request_class in node.settings.classes)
     click.echo(
-        f"{file}: node {told.name} on {host}:{port}, {len(told.known.targets)} servers, classes "
-        f"{', '.join(c.name for c in told.settings.classes)}"
+        f"{file}: node {node.name} on {host}:{port}, {len(node.known.targets)} servers, classes {class_names}"
     )
-    if told.routing is None:
-        return
-    for name, (where, number) in told.routing.listeners.items():
-        click.echo(f"  listener {name} on {where}:{number}")
-    listed = [target.uid for target in told.known.targets]
-    for pool in told.routing.pools:
+    if node.routing is not None:
+        _describe_routing(file, node, node.routing)
+
+
+def _describe_routing(file: Path, node: config.NodeConfig, routing: Routing) -> None:
+    for name, (host, port) in routing.listeners.items():
+        click.echo(f"  listener {name} on {host}:{port}")
+    for pool in routing.pools:
         tiers = "; then ".join(", ".join(tier) for tier in pool.tiers)
         click.echo(f"  pool {pool.name}: {tiers}")
-        if told.discovery is None:
-            lost = [
-                s for tier in pool.tiers for s in tier if "*" not in s and "?" not in s and s not in listed
-            ]
-            if lost:
-                raise Stop(f"{file}: routing.pools.{pool.name}: {lost[0]} is not in known")
-    for i, route in enumerate(told.routing.table.routes):
-        click.echo(f"  route {i + 1}: {route.pool}{' under conditions' if route.when else ''}")
+        if node.discovery is None:
+            _check_servers_are_known(file, node, pool)
+    for number, route in enumerate(routing.table.routes, 1):
+        click.echo(f"  route {number}: {route.pool}{' under conditions' if route.when else ''}")
+
+
+def _check_servers_are_known(file: Path, node: config.NodeConfig, pool: Pool) -> None:
+    """Check a pool of a file without discovery. Raises CommandError for a server that is not in `known`."""
+    known = {target.uid for target in node.known.targets}
+    for server in (server for tier in pool.tiers for server in tier):
+        is_pattern = "*" in server or "?" in server
+        if not is_pattern and server not in known:
+            raise CommandError(f"{file}: routing.pools.{pool.name}: {server} is not in known")
 
 
 @main.group("import")
@@ -119,9 +130,9 @@
         else:
             sys.stdout.buffer.write(written)
     except haproxy.ImportError_ as error:
-        raise Stop(str(error)) from None
+        raise CommandError(str(error)) from None
     except OSError as error:
-        raise Stop(f"{error.filename or files[0]}: {error.strerror}") from None
+        raise CommandError(f"{error.filename or files[0]}: {error.strerror}") from None
 
 
 def told(account: Account, every: bool) -> None:
--- a/puffindeck/config/__init__.py
+++ b/puffindeck/config/__init__.py
@@ -1,31 +1,42 @@
-"""The one place where configuration is read, checked and given defaults; errors name the faulty key.
+"""The one place where configuration is read, checked and given defaults; errors name the key at fault.
 
-A module a section: `checks` is what they share, `tuning` the decision module's settings, `members` the list
-of hosts, `nodefile` a node's own file, `quicfront` its QUIC table, `reload` a file read anew, `client` that
-of a client-side plug-in.
+| module | content |
+| --- | --- |
+| `errors` | the errors |
+| `checks`, `durations` | checks and parsers of single values |
+| `endpoint_list` | the list of endpoints |
+| `policy_settings` | the decision module's settings |
+| `routing`, `quic` | the tables of routes and of the QUIC front |
+| `fleet`, `quota`, `residency` | the tables of a fleet's member, not loaded by other nodes |
+| `node_config`, `reload` | a node's whole configuration, and its reload |
+| `client_config` | the configuration of a client-side plug-in |
 """
 
-from puffindeck.config.checks import ConfigError, ConfigUnreadable, address
-from puffindeck.config.members import Members, Target
-from puffindeck.config.nodefile import Limits, Node, NodeFile, node
-from puffindeck.config.quicfront import Quic, QuicTable, quic
-from puffindeck.config.reload import again
-from puffindeck.config.tuning import settings, settings_of
+from puffindeck.config.checks import parse_address
+from puffindeck.config.endpoint_list import EndpointList, Target
+from puffindeck.config.errors import ConfigError, ConfigUnreadable, InvalidValueError, MissingKeyError
+from puffindeck.config.node_config import Limits, NodeConfig, NodeFile, load_node_config
+from puffindeck.config.policy_settings import decode_settings, parse_settings
+from puffindeck.config.quic import QuicConfig, QuicTable, parse_quic
+from puffindeck.config.reload import ReloadedConfig, reload_node_config
 
 __all__ = [
     "ConfigError",
     "ConfigUnreadable",
+    "EndpointList",
+    "InvalidValueError",
     "Limits",
-    "Members",
-    "Node",
+    "MissingKeyError",
+    "NodeConfig",
     "NodeFile",
-    "Quic",
+    "QuicConfig",
     "QuicTable",
+    "ReloadedConfig",
     "Target",
-    "address",
-    "again",
-    "node",
-    "quic",
-    "settings",
-    "settings_of",
+    "decode_settings",
+    "load_node_config",
+    "parse_address",
+    "parse_quic",
+    "parse_settings",
+    "reload_node_config",
 ]
--- /dev/null
+++ b/puffindeck/config/durations.py
@@ -0,0 +1,19 @@
+"""Durations as operators' files have them."""
+
+from __future__ import annotations
+
+from puffindeck.config.errors import InvalidValueError
+
+UNITS_MS = {"ms": 1.0, "s": 1000.0, "m": 60000.0, "h": 3600000.0, "d": 86400000.0}
+
+
+def duration_ms(text: str, key: str) -> float:
+    """Milliseconds of `250ms`, `60s`, `5m`, `1h` or `1d`. Raises InvalidValueError, which names the key."""
+    unit = text.lstrip("0123456789.")
+    try:
+        value = float(text[: len(text) - len(unit)])
+    except ValueError:
+        value = -1.0
+    if unit not in UNITS_MS or value <= 0:
+        raise InvalidValueError(key, f"must be a span like 250ms, 60s, 5m or 1h, not {text!r}")
+    return value * UNITS_MS[unit]
--- a/puffindeck/config/tuning.py
+++ b/puffindeck/config/policy_settings.py
@@ -6,16 +6,18 @@
 
 import msgspec
 
-from puffindeck.config.checks import ConfigError, figure_list, name_list, need, number, subtable
+from puffindeck.config.checks import name_list, number, number_list, optional_table, require
+from puffindeck.config.errors import ConfigError, InvalidValueError
 from puffindeck.interface import ClassSettings, Effect, Scope, Settings
 
 EFFECTS = {"pure": Effect.IDEMPOTENT, "token": Effect.IDEMPOTENCY_KEY, "side_effect": Effect.NOT_IDEMPOTENT}
 SCOPES = {"all": Scope.ALL, "zone": Scope.ZONE, "cell": Scope.CELL}
 
 
-def _class(table: Any, index: int, aims: list[float]) -> ClassSettings:
+def _parse_class(table: Any, index: int, message_objectives_ms: list[float]) -> ClassSettings:
     at = f"settings: classes[{index}]"
-    effect, scope = str(need(table, "repeat", at)), str(table.get("group", "all"))
+    effect = str(require(table, "repeat", at))
+    scope = str(table.get("group", "all"))
     if effect not in EFFECTS or scope not in SCOPES:
         raise ConfigError(f"{at}.repeat or .group is not known")
     return ClassSettings(
@@ -25,35 +27,54 @@
         effect=EFFECTS[effect],
         scope=SCOPES[scope],
         window_ms=number(table, "keyTtlMs", default=0.0, where=at),
-        message_latency_objective_ms=aims[index] if index < len(aims) else 0.0,
+        message_latency_objective_ms=(
+            message_objectives_ms[index] if index < len(message_objectives_ms) else 0.0
+        ),
         name=str(table.get("name", "")),
     )
 
 
-def _bound(table: Any) -> float:
+def _parse_classes(table: Any, family: dict[str, Any]) -> tuple[ClassSettings, ...]:
+    classes = require(table, "classes")
+    if not isinstance(classes, list) or not classes:
+        raise InvalidValueError("settings: classes", "must be a list of at least one")
+    message_objectives_ms = number_list(family, "messageAimMs")
+    return tuple(_parse_class(item, index, message_objectives_ms) for index, item in enumerate(classes))
+
+
+def _parse_bound(table: Any) -> float:
     bound = number(table, "bound", default=0.0)
     if bound and bound <= 1:
-        raise ConfigError("settings: bound must be over 1, or 0 for the module's own")
+        raise InvalidValueError("settings: bound", "must be over 1, or 0 for the module's own")
     return bound
 
 
-def _evenness(table: Any) -> float:
+def _parse_evenness(table: Any) -> float:
     evenness = number(table, "evenness", default=0.0)
     if evenness and evenness < 1:
-        raise ConfigError("settings: evenness must be 1 or more, or 0 for the ring as its points fall")
+        raise InvalidValueError(
+            "settings: evenness", "must be 1 or more, or 0 for the ring as its points fall"
+        )
     return evenness
 
 
-def settings_of(table: Any) -> Settings:
-    """The settings, as the simulator's first message and a node's file have them."""
-    family, prices = subtable(table, "familyInfo"), subtable(table, "prices")
-    need(table, "limits")
-    limits, classes = subtable(table, "limits"), need(table, "classes")
-    if not isinstance(classes, list) or not classes:
-        raise ConfigError("settings: classes must be a list of at least one")
-    aims = figure_list(family, "messageAimMs")
+def _parse_max_retry_after_ms(table: Any, limits: dict[str, Any]) -> float:
+    if not limits.get("retryAfter"):
+        return 0.0
+    return number(table, "limits.maxRetryAfterMs", default=0.0)
+
+
+def parse_settings(table: Any) -> Settings:
+    """The settings, as the simulator's first message and a node's file have them.
+
+    Raises ConfigError, which names the key at fault.
+    """
+    family = optional_table(table, "familyInfo")
+    prices = optional_table(table, "prices")
+    require(table, "limits")
+    limits = optional_table(table, "limits")
     return Settings(
-        classes=tuple(_class(item, i, aims) for i, item in enumerate(classes)),
+        classes=_parse_classes(table, family),
         gateways=int(number(table, "peersTotal", 1)),
         zone=int(number(table, "locality", default=0.0)),
         max_attempts=int(number(table, "limits.maxAttempts", 1)),
@@ -71,23 +92,39 @@
         uses_weights=table.get("weights", "silent") in ("nominal", "rough"),
         cross_zone_cost=number({"prices": prices}, "prices.crossZone", default=0.0),
         over_quota_weight=number(table, "overShareWorth", default=1.0),
-        tenant_connection_quotas=tuple(figure_list(family, "tenantQuotaConnections")),
+        tenant_connection_quotas=tuple(number_list(family, "tenantQuotaConnections")),
         reports_load=bool(family.get("tellsLoad", False)),
         reports_latency=bool(family.get("tellsDelay", False)),
-        bound=_bound(table),
-        evenness=_evenness(table),
-        max_retry_after_ms=(
-            number(table, "limits.maxRetryAfterMs", default=0.0) if limits.get("retryAfter") else 0.0
-        ),
+        bound=_parse_bound(table),
+        evenness=_parse_evenness(table),
+        max_retry_after_ms=_parse_max_retry_after_ms(table, limits),
         zones=name_list(table, "zones"),
         kinds=name_list(table, "kinds"),
     )
 
 
-def settings(text: bytes) -> Settings:
-    """The settings in the first message of an instance."""
+def decode_settings(text: bytes) -> Settings:
+    """The settings in the first message of a simulated instance, which is JSON.
+
+    Raises ConfigError, which names the key at fault.
+    """
     try:
         table = msgspec.json.decode(text)
     except ValueError as error:
         raise ConfigError(f"settings: not JSON: {error}") from None
-    return settings_of(table)
+    return parse_settings(table)
+
+
+def check_class_names(settings: Settings) -> None:
+    """Check that no two classes have the same name. Raises ConfigError."""
+    names = {request_class.name for request_class in settings.classes}
+    if len(names) < len(settings.classes):
+        raise ConfigError("settings: classes must have different names")
+
+
+def class_index(settings: Settings, name: str, key: str) -> int:
+    """The number of the class of that name. Raises InvalidValueError, which names `key`, if there is none."""
+    names = [request_class.name for request_class in settings.classes]
+    if name not in names:
+        raise InvalidValueError(key, f"must be one of {', '.join(names)}, not {name!r}")
+    return names.index(name)
--- /dev/null
+++ b/puffindeck/config/quic.py
@@ -0,0 +1,113 @@
+"""The QUIC table of an operator's file."""
+
+from __future__ import annotations
+
+from datetime import timedelta
+from importlib.util import find_spec
+
+import msgspec
+
+from puffindeck.config.checks import check_at_least, check_seconds, parse_address, parse_hexadecimal
+from puffindeck.config.errors import ConfigError, InvalidValueError
+from puffindeck.config.policy_settings import class_index
+from puffindeck.interface import Settings
+
+MAX_CONFIG_ID = 6  # QUIC-LB keeps 7 for ids that carry no server id
+MAX_SERVER_ID_OCTETS = 15
+MIN_NONCE_OCTETS = 4
+MAX_SERVER_ID_AND_NONCE_OCTETS = 19
+KEY_OCTETS = 16
+
+
+class QuicTable(msgspec.Struct):
+    """The QUIC table as it is read; QUIC is off where the file has none."""
+
+    listen: str
+    class_: str = msgspec.field(name="class", default="")
+    config_id: int = 0
+    server_id_length: int = 4
+    nonce_length: int = 8
+    key: str = ""
+    connections: int = 2048
+    deadline_ms: float = 0.0
+    idle_s: float = 30.0
+    silent_s: float = 5.0
+    boxes: dict[str, str] = msgspec.field(default_factory=dict)
+
+
+class QuicConfig(msgspec.Struct, frozen=True):
+    """The QUIC front's configuration, checked."""
+
+    listen: tuple[str, int]
+    cls: int  # the number of the class that connections belong to
+    deadline: timedelta  # from a client's first Initial to the answer
+    idle: timedelta  # how long a flow without datagrams lasts
+    silent: timedelta  # how long a flow without an answer of its endpoint lasts
+    config_id: int
+    server_id_length: int  # octets
+    nonce_length: int  # octets
+    key: bytes
+    connections: int  # flows at once
+    boxes: dict[bytes, str]  # an endpoint's uid by the server id in its connection ids
+
+
+def _check_connection_id_layout(table: QuicTable) -> None:
+    if not (0 <= table.config_id <= MAX_CONFIG_ID):
+        raise InvalidValueError("quic.config_id", f"must be 0 to {MAX_CONFIG_ID}")
+    if not 1 <= table.server_id_length <= MAX_SERVER_ID_OCTETS:
+        raise InvalidValueError("quic.server_id_length", f"must be 1 to {MAX_SERVER_ID_OCTETS}")
+    max_nonce_octets = MAX_SERVER_ID_AND_NONCE_OCTETS - table.server_id_length
+    if not MIN_NONCE_OCTETS <= table.nonce_length <= max_nonce_octets:
+        raise InvalidValueError(
+            "quic.nonce_length",
+            f"must be {MIN_NONCE_OCTETS} or more, and {MAX_SERVER_ID_AND_NONCE_OCTETS} or less with "
+            "server_id_length",
+        )
+
+
+def _parse_key(text: str) -> bytes:
+    key = parse_hexadecimal(text, "quic.key")
+    if len(key) not in (0, KEY_OCTETS):
+        raise InvalidValueError("quic.key", f"must have {KEY_OCTETS} octets")
+    return key
+
+
+def _parse_server_ids(table: QuicTable) -> dict[bytes, str]:
+    """The endpoints' uids by server id."""
+    uids: dict[bytes, str] = {}
+    for uid, text in table.boxes.items():
+        server_id = parse_hexadecimal(text, f"quic.boxes.{uid}")
+        if len(server_id) != table.server_id_length:
+            raise InvalidValueError(f"quic.boxes.{uid}", "must have server_id_length octets")
+        if server_id in uids:
+            raise ConfigError(f"quic.boxes.{uid} has the id of {uids[server_id]}")
+        uids[server_id] = uid
+    return uids
+
+
+def parse_quic(table: QuicTable, settings: Settings) -> QuicConfig:
+    """Check the QUIC table. Raises ConfigError, which names the key at fault or the library to install."""
+    if find_spec("aioquic") is None:
+        raise ConfigError(
+            "quic: the front wants what requirements-operator.txt names, aioquic, which is not installed"
+        )
+    cls = class_index(settings, table.class_, "quic.class") if table.class_ else 0
+    _check_connection_id_layout(table)
+    key = _parse_key(table.key)
+    check_at_least(table.connections, 1, "quic.connections")
+    check_seconds(table.idle_s, "quic.idle_s")
+    check_seconds(table.silent_s, "quic.silent_s")
+    uids = _parse_server_ids(table)
+    return QuicConfig(
+        listen=parse_address(table.listen, "quic.listen"),
+        cls=cls,
+        deadline=timedelta(milliseconds=table.deadline_ms or settings.classes[cls].deadline_ms),
+        idle=timedelta(seconds=table.idle_s),
+        silent=timedelta(seconds=table.silent_s),
+        config_id=table.config_id,
+        server_id_length=table.server_id_length,
+        nonce_length=table.nonce_length,
+        key=key,
+        connections=table.connections,
+        boxes=uids,
+    )
--- a/puffindeck/config/reload.py
+++ b/puffindeck/config/reload.py
@@ -1,72 +1,114 @@
-"""A file read anew by a running node, all or nothing."""
+"""Reload of a running node's configuration file, all or nothing."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 
-from puffindeck.config.checks import ConfigError, address
-from puffindeck.config.nodefile import Node, NodeFile, node
+from puffindeck.config.checks import parse_address
+from puffindeck.config.endpoint_list import EndpointList
+from puffindeck.config.errors import ConfigError
+from puffindeck.config.node_config import NodeConfig, NodeFile, load_node_config
 
-OPEN = ("known", "quic.boxes", "fleet.peers", "quota", "residency")  # what these name is up to the file
-# keys that a running node takes up, and `known` where that is the list
-RELOADED = ("discovery", "limits", "settings", "quota", "residency")
-UNSEEN = ("seed", "known")  # a node's own from its start on: no word is lost on their change
+FREE_FORM_KEYS = ("known", "quic.boxes", "fleet.peers", "quota", "residency")  # entries of these may go
+# keys that a running node takes up, and `known` where there is no discovery
+RELOADED_KEYS = ("discovery", "limits", "settings", "quota", "residency")
+START_ONLY_KEYS = ("seed", "known")  # they count for a node's start only: their change is not reported
 
 
-def _lost(before: Any, now: Any, path: str = "") -> str:
-    """The first key that the running file has and the new one has not; empty if there is none.
+class ReloadedConfig(NamedTuple):
+    """A configuration that was read again."""
 
-    A default must not fill the hole that a file cut short leaves. In a list of tables, which may have others
-    now, each must have the keys that all the running ones have.
+    config: NodeConfig  # in force from now on
+    restart_keys: list[str]  # keys that have changed and take a restart
+
+
+def _missing_in_table(running: dict[str, Any], new: Any, path: str) -> str:
+    for key, value in running.items():
+        key_path = f"{path}.{key}" if path else key
+        if not isinstance(new, dict) or key not in new:
+            return key_path
+        if key_path in FREE_FORM_KEYS:
+            continue
+        if missing := _missing_key(value, new[key], key_path):
+            return missing
+    return ""
+
+
+def _missing_in_list(running: list[dict[str, Any]], new: Any, path: str) -> str:
+    """As `_missing_key`, for a list of tables, which may have other entries than before.
+
+    Each new entry must have the keys that all the running ones have.
     """
-    if isinstance(before, dict):
-        for key, value in before.items():
-            at = f"{path}.{key}" if path else key
-            if not isinstance(now, dict) or key not in now:
-                return at
-            if at not in OPEN and (lost := _lost(value, now[key], at)):
-                return lost
-    elif isinstance(before, list) and before and all(isinstance(item, dict) for item in before):
-        shared = {key: before[0][key] for key in before[0] if all(key in item for item in before)}
-        for item in now if isinstance(now, list) else [now]:
-            if lost := _lost(shared, item, path):
-                return lost
+    first = running[0]
+    shared = {key: first[key] for key in first if all(key in item for item in running)}
+    for item in new if isinstance(new, list) else [new]:
+        if missing := _missing_key(shared, item, path):
+            return missing
     return ""
 
 
-def again(told: Node, environment: Mapping[str, str], operators: str = "") -> tuple[Node, list[str]]:
-    """The file read anew by a running node: what holds from now on, and changed keys that take a restart.
+def _missing_key(running: Any, new: Any, path: str = "") -> str:
+    """The path of the first key that the running file has and the new one lacks; empty if there is none.
 
-    The environment can't change meanwhile, so a `discovery` that has changed in the file goes before it.
+    A default must not take the place of a key that is lost from a file cut short.
     """
-    new = node(environment, operators)
-    if lost := _lost(told.keys, new.keys):
-        raise ConfigError(f"{lost} is missing, which the running file has")
-    before, file = told.file, new.file
-    assert before is not None
-    assert file is not None
-    discovery = told.discovery
-    if file.discovery and file.discovery != before.discovery:
-        discovery = address(file.discovery, "discovery")
-    later = [
+    if isinstance(running, dict):
+        return _missing_in_table(running, new, path)
+    if isinstance(running, list) and running and all(isinstance(item, dict) for item in running):
+        return _missing_in_list(running, new, path)
+    return ""
+
+
+def _changed_restart_keys(running: NodeFile, new: NodeFile) -> list[str]:
+    return [
         key
         for key in NodeFile.__struct_fields__
-        if key not in RELOADED + UNSEEN and getattr(file, key) != getattr(before, key)
+        if key not in RELOADED_KEYS + START_ONLY_KEYS and getattr(new, key) != getattr(running, key)
     ]
-    known = told.known if told.discovery else new.known
-    for key in later:  # still to be named at the next reload, as the old values stay in force
-        setattr(file, key, getattr(before, key))
-    kept = msgspec.structs.replace(
-        told,
+
+
+def _reloaded_discovery(
+    running: NodeConfig, running_file: NodeFile, file: NodeFile
+) -> tuple[str, int] | None:
+    """A `discovery` that has changed in the file goes before the environment, which cannot change."""
+    if file.discovery and file.discovery != running_file.discovery:
+        return parse_address(file.discovery, "discovery")
+    return running.discovery
+
+
+def _reloaded_endpoints(running: NodeConfig, new: NodeConfig) -> EndpointList:
+    return running.known if running.discovery else new.known
+
+
+def reload_node_config(
+    running: NodeConfig, environment: Mapping[str, str], operator_file: str = ""
+) -> ReloadedConfig:
+    """Read the configuration file of a running node again, as `load_node_config` does.
+
+    Raises ConfigError, which names the file or the key at fault; the running configuration then stays.
+    """
+    new = load_node_config(environment, operator_file)
+    if missing := _missing_key(running.file_keys, new.file_keys):
+        raise ConfigError(f"{missing} is missing, which the running file has")
+    running_file = running.file
+    file = new.file
+    assert running_file is not None
+    assert file is not None
+    discovery = _reloaded_discovery(running, running_file, file)
+    restart_keys = _changed_restart_keys(running_file, file)
+    for key in restart_keys:  # the old values stay in force, so the next reload has to name these again
+        setattr(file, key, getattr(running_file, key))
+    config = msgspec.structs.replace(
+        running,
         discovery=discovery,
         sockets=new.sockets,
-        known=known,
+        known=_reloaded_endpoints(running, new),
         file=file,
         settings=new.settings,
-        keys=new.keys,
-        installation=new.installation,
+        file_keys=new.file_keys,
+        fleet_member=new.fleet_member,
     )
-    return kept, later
+    return ReloadedConfig(config, restart_keys)
--- a/puffindeck/config/routing.py
+++ b/puffindeck/config/routing.py
@@ -6,10 +6,14 @@
 
 import msgspec
 
-from puffindeck.config.checks import ConfigError, address
+from puffindeck.config.checks import parse_address
+from puffindeck.config.errors import ConfigError, InvalidValueError
 
 if TYPE_CHECKING:
-    from puffindeck.routing import Condition, Routing
+    from puffindeck.routing import Condition, Pool, Route, Routing
+
+Tiers = tuple[tuple[str, ...], ...]
+ConditionGroups = tuple[tuple["Condition", ...], ...]  # they hold where all conditions of one group hold
 
 
 class ConditionTable(msgspec.Struct, forbid_unknown_fields=True):
@@ -31,7 +35,7 @@
 
 
 class PoolTable(msgspec.Struct, forbid_unknown_fields=True):
-    """A pool, and what stands in for it."""
+    """A pool and its backup tiers."""
 
     members: list[str]
     backups: list[list[str]] = msgspec.field(default_factory=list)
@@ -52,8 +56,8 @@
     listeners: dict[str, str] = msgspec.field(default_factory=dict)
 
 
-def condition(table: ConditionTable, at: str) -> Condition:
-    """One condition, checked. ConfigError names it."""
+def parse_condition(table: ConditionTable, at: str) -> Condition:
+    """Check one condition. Raises ConfigError, which names the key `at` which it stands."""
     from puffindeck.routing import Condition, ConditionError
 
     try:
@@ -69,58 +73,85 @@
         raise ConfigError(f"{at}: {error}") from None
 
 
-def routing(table: RoutingTable) -> Routing:
-    """The table, checked. ConfigError names the faulty key."""
-    from puffindeck.routing import Pool, Route, RouteTable, Routing  # only where a file has such a table
-
-    pools = []
-    for name, pool in table.pools.items():
-        at = f"routing.pools.{name}"
-        if not pool.members:
-            raise ConfigError(f"{at}.members must name at least one server")
-        tiers = (tuple(pool.members), *(tuple(tier) for tier in pool.backups))
-        if not all(tiers):
-            raise ConfigError(f"{at}.backups has a tier without servers")
-        seen: set[str] = set()
-        for server in (server for tier in tiers for server in tier):
-            if server in seen:
-                raise ConfigError(f"{at}: {server} stands twice")
-            seen.add(server)
-        if pool.limit < 0 or pool.attempts < 0 or any(most < 1 for most in pool.server_limits.values()):
-            raise ConfigError(f"{at}: limits and attempts must be above 0, or left out")
-        if strange := set(pool.server_limits) - seen:
-            raise ConfigError(f"{at}.server_limits: {min(strange)} is in no tier of the pool")
-        if pool.bound and not 1 < pool.bound < 1000:
-            raise ConfigError(f"{at}.bound must be over 1, or left out")
-        pools.append(
-            Pool(
-                name,
-                tiers,
-                pool.limit,
-                dict(pool.server_limits),
-                tuple(pool.drained),
-                pool.attempts,
-                pool.bound,
-                pool.warm_ms,
-            )
-        )
-    if not pools:
-        raise ConfigError("routing.pools must name at least one pool")
+def parse_condition_groups(tables: list[list[ConditionTable]], at: str) -> ConditionGroups:
+    """Check groups of conditions. Raises ConfigError, which names the condition at fault."""
+    return tuple(
+        tuple(parse_condition(table, f"{at}[{i}][{j}]") for j, table in enumerate(group))
+        for i, group in enumerate(tables)
+    )
+
+
+def check_no_empty_group(tables: list[list[ConditionTable]], at: str) -> None:
+    """Check that each group has a condition. Raises ConfigError, which names the key."""
+    if any(not group for group in tables):
+        raise ConfigError(f"{at} has an empty group")
+
+
+def _parse_tiers(table: PoolTable, at: str) -> Tiers:
+    if not table.members:
+        raise InvalidValueError(f"{at}.members", "must name at least one server")
+    tiers = (tuple(table.members), *(tuple(tier) for tier in table.backups))
+    if not all(tiers):
+        raise ConfigError(f"{at}.backups has a tier without servers")
+    seen: set[str] = set()
+    for server in (server for tier in tiers for server in tier):
+        if server in seen:
+            raise ConfigError(f"{at}: {server} stands twice")
+        seen.add(server)
+    return tiers
+
+
+def _check_pool_limits(table: PoolTable, tiers: Tiers, at: str) -> None:
+    if table.limit < 0 or table.attempts < 0 or any(limit < 1 for limit in table.server_limits.values()):
+        raise InvalidValueError(f"{at}: limits and attempts", "must be above 0, or left out")
+    servers = {server for tier in tiers for server in tier}
+    if unknown := set(table.server_limits) - servers:
+        raise ConfigError(f"{at}.server_limits: {min(unknown)} is in no tier of the pool")
+    if table.bound and not 1 < table.bound < 1000:
+        raise InvalidValueError(f"{at}.bound", "must be over 1, or left out")
+
+
+def _parse_pool(name: str, table: PoolTable) -> Pool:
+    from puffindeck.routing import Pool
+
+    at = f"routing.pools.{name}"
+    tiers = _parse_tiers(table, at)
+    _check_pool_limits(table, tiers, at)
+    return Pool(
+        name,
+        tiers,
+        table.limit,
+        dict(table.server_limits),
+        tuple(table.drained),
+        table.attempts,
+        table.bound,
+        table.warm_ms,
+    )
+
+
+def _parse_routes(entries: list[RouteEntry]) -> tuple[Route, ...]:
+    from puffindeck.routing import Route
+
     routes = tuple(
-        Route(
-            entry.pool,
-            tuple(
-                tuple(condition(c, f"routing.routes[{i}].when[{j}][{k}]") for k, c in enumerate(group))
-                for j, group in enumerate(entry.when)
-            ),
-        )
-        for i, entry in enumerate(table.routes)
+        Route(entry.pool, parse_condition_groups(entry.when, f"routing.routes[{i}].when"))
+        for i, entry in enumerate(entries)
     )
-    for i, entry in enumerate(table.routes):
-        if any(not group for group in entry.when):
-            raise ConfigError(f"routing.routes[{i}].when has an empty group")
-    whole = RouteTable(routes, table.default)
-    if strange := whole.pools() - table.pools.keys():
-        raise ConfigError(f"routing: there is no pool {min(strange)}")
-    listeners = {name: address(text, f"routing.listeners.{name}") for name, text in table.listeners.items()}
-    return Routing(whole, tuple(pools), listeners)
+    for i, entry in enumerate(entries):
+        check_no_empty_group(entry.when, f"routing.routes[{i}].when")
+    return routes
+
+
+def parse_routing(table: RoutingTable) -> Routing:
+    """Check the routing table. Raises ConfigError, which names the key at fault."""
+    from puffindeck.routing import RouteTable, Routing  # only where a file has such a table
+
+    pools = tuple(_parse_pool(name, pool) for name, pool in table.pools.items())
+    if not pools:
+        raise InvalidValueError("routing.pools", "must name at least one pool")
+    route_table = RouteTable(_parse_routes(table.routes), table.default)
+    if unknown := route_table.pools() - table.pools.keys():
+        raise ConfigError(f"routing: there is no pool {min(unknown)}")
+    listeners = {
+        name: parse_address(text, f"routing.listeners.{name}") for name, text in table.listeners.items()
+    }
+    return Routing(route_table, pools, listeners)
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -72,7 +72,7 @@
         self.setRawMode()
         left = head.left or ZERO
         told = self.node.told
-        facts = self._facts() if told.routing is not None or told.installation is not None else None
+        facts = self._facts() if told.routing is not None or told.fleet_member is not None else None
         asked = Request(cls, head.key, left, head.hint, head.group, head.returning, facts, head.id.decode())
         if head.at:
             self._set_up_again(asked, head.at)
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 from twisted.web.client import Agent, HTTPConnectionPool
 
-from puffindeck.config import Members
+from puffindeck.config import EndpointList
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import ListUpdateKind
@@ -159,7 +159,7 @@
             self._drop()
             self.ask()
 
-    def _read(self, read: Callable[[bytes], Members | None], text: bytes) -> bool:
+    def _read(self, read: Callable[[bytes], EndpointList | None], text: bytes) -> bool:
         try:
             members = read(text)
         except WatchError as error:
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -21,7 +21,7 @@
 
     def _governed(self, balancer: Any) -> Decisions:
         """The decision module, behind the quotas where there are any."""
-        installed, settings = self.told.installation, self.told.settings
+        installed, settings = self.told.fleet_member, self.told.settings
         if installed is None:
             decisions: Decisions = balancer
             return decisions
@@ -50,11 +50,16 @@
             )
         books = None
         if rules is not None:
-            from puffindeck.config.fleet import read_book
+            from puffindeck.config.residency import decode_ruleset
             from puffindeck_residency import Books, RegionalBalancer
 
             books = Books(
-                self.told.name, rules.book, read_book, installed.voters, rules.stale_ms, rules.refuses
+                self.told.name,
+                rules.ruleset,
+                decode_ruleset,
+                installed.voters,
+                rules.stale_after_ms,
+                rules.rejects_when_stale,
             )
             balancer = RegionalBalancer(settings, self.told.seed)
             balancer.region_of = self._region_of(books)
@@ -94,9 +99,12 @@
 
     def _tenant(self, view: Any) -> str:
         """The first tenant whose conditions hold; else `default`."""
-        for name, groups in self.told.installation.quota.tenants:
+        installed = self.told.fleet_member
+        assert installed is not None
+        assert installed.quota is not None
+        for name, groups in installed.quota.tenants:
             if any(all(one.holds(view) for one in group) for group in groups):
-                return str(name)
+                return name
         return "default"
 
     def _usurped(self, error: Exception) -> None:
@@ -111,13 +119,13 @@
 
     def _rejoin(self) -> None:
         """Limits and peers of a file that was read anew."""
-        installed = self.told.installation
+        installed = self.told.fleet_member
         if self.fleet is not None and installed is not None:
             rules = installed.residency
             self.fleet.reload(
                 installed.fleet,
                 installed.quota.limits if installed.quota is not None else (),
-                rules.book if rules is not None else None,
+                rules.ruleset if rules is not None else None,
             )
 
     # For staff
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -10,8 +10,7 @@
 from twisted.internet.protocol import Factory
 from twisted.logger import Logger
 
-from puffindeck.config import ConfigError, ConfigUnreadable, Quic
-from puffindeck.config import Node as Told
+from puffindeck.config import ConfigError, ConfigUnreadable, NodeConfig, QuicConfig
 from puffindeck.core.clock import span
 from puffindeck.core.datagram_port import listen_datagrams
 from puffindeck.interface import ListUpdateKind, Settings
@@ -120,7 +119,7 @@
             port=address[1],
         )
 
-    def _start_quic(self, told: Quic) -> None:
+    def _start_quic(self, told: QuicConfig) -> None:
         from puffindeck.quic.front import (
             QuicFront,  # its libraries stay out of a node that has no use for them
         )
@@ -150,7 +149,7 @@
             pushed=not self.told.settings.must_watch_endpoints,
         )
 
-    def reload(self, read: Callable[[Told], tuple[Told, list[str]]]) -> None:
+    def reload(self, read: Callable[[NodeConfig], tuple[NodeConfig, list[str]]]) -> None:
         """Take up what has changed in the file. One that can't be used changes nothing."""
         self.deadlines.cancel(self._read_again)
         if self.ended:
--- a/puffindeck/net/parts.py
+++ b/puffindeck/net/parts.py
@@ -8,7 +8,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.config import Node as Told
+from puffindeck.config import NodeConfig
 from puffindeck.core.clock import Clock, span
 from puffindeck.core.engine import Decisions, Engine
 from puffindeck.core.timer_queue import Deadline, TimerQueue
@@ -25,7 +25,7 @@
 log = Logger("puffindeck")
 
 
-def balancer_of(told: Told, directory: Directory) -> Any:
+def balancer_of(told: NodeConfig, directory: Directory) -> Any:
     """The decision module; one for each tier where there are pools; on an evened ring if asked."""
     settings, seed = told.settings, told.seed
     if told.routing is not None:
@@ -42,7 +42,7 @@
 class Parts:
     """What a node is made of."""
 
-    def __init__(self, reactor: Any, told: Told, clock: Clock) -> None:
+    def __init__(self, reactor: Any, told: NodeConfig, clock: Clock) -> None:
         self.reactor, self.told = reactor, told
         settings = told.settings
         self.deadlines = TimerQueue(clock, reactor)
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -19,7 +19,7 @@
 from twisted.internet.protocol import DatagramProtocol
 from twisted.logger import Logger
 
-from puffindeck.config import Quic
+from puffindeck.config import QuicConfig
 from puffindeck.core.clock import ZERO, ms, span
 from puffindeck.core.datagram_port import listen_datagrams
 from puffindeck.core.engine import Engine
@@ -275,7 +275,7 @@
     def __init__(
         self,
         reactor: Any,
-        told: Quic,
+        told: QuicConfig,
         engine: Engine,
         deadlines: TimerQueue,
         directory: Directory,
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -19,7 +19,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from puffindeck.config import Members, Target
+from puffindeck.config import EndpointList, Target
 from puffindeck.core.clock import ZERO, Clock, ms, span
 from puffindeck.core.engine import Engine
 from puffindeck.core.requests import AttemptId, Link, Request
@@ -69,7 +69,7 @@
     def listed(self, targets: Iterable[Target]) -> None:
         """The whole list of servers, as it is now."""
         self._version += 1
-        members = Members(self._version, True, list(targets))
+        members = EndpointList(self._version, True, list(targets))
         now = self.deadlines.clock.now()
         entries = self.directory.entries(members, now)
         self.directory.hear(now)
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -20,7 +20,7 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.config import ConfigError
-from puffindeck.config.client import Client, client
+from puffindeck.config.client_config import ClientConfig, load_client_config
 from puffindeck.rpc.calls import CALLS, Asked, BalancedCall
 from puffindeck.rpc.intercept import INTERCEPTED, sorted_by_kind
 from puffindeck.rpc.resuming import resuming
@@ -41,7 +41,7 @@
 
     def __init__(
         self,
-        told: Client,
+        told: ClientConfig,
         *,
         credentials: grpc.ChannelCredentials | None = None,
         options: Sequence[tuple[str, Any]] = (),
@@ -62,7 +62,7 @@
     @classmethod
     def from_config(cls, path: str | Path, **keywords: Any) -> Self:
         """A channel as a TOML file says. ConfigError is one line that names the file and the key."""
-        return cls(client(path), **keywords)
+        return cls(load_client_config(path), **keywords)
 
     # Its parts, made when first used: only then is the event loop known
 
--- a/puffindeck/rpc/roster.py
+++ b/puffindeck/rpc/roster.py
@@ -11,7 +11,7 @@
 import httpx
 from twisted.logger import Logger
 
-from puffindeck.config import Members
+from puffindeck.config import EndpointList
 from puffindeck.core.engine import Engine
 from puffindeck.interface import ListUpdateKind
 from puffindeck.service_discovery.directory import Directory
@@ -105,7 +105,7 @@
         if answer.status_code != 200:
             raise WatchError(f"status {answer.status_code}")
 
-    def _take(self, members: Members | None) -> None:
+    def _take(self, members: EndpointList | None) -> None:
         if members is not None:
             entries = self._directory.entries(members, self._engine.clock.now())
             self._engine.listed(kind(members), members.rev, entries)
--- a/puffindeck/rpc/shared.py
+++ b/puffindeck/rpc/shared.py
@@ -10,7 +10,7 @@
 from twisted.logger import STDLibLogObserver, globalLogPublisher
 
 from puffindeck.client_side import Member
-from puffindeck.config.client import Client
+from puffindeck.config.client_config import ClientConfig
 from puffindeck.core.clock import Clock, ms
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import TimerQueue
@@ -36,7 +36,7 @@
 
     _of: dict[tuple[int, bytes], Shared] = {}  # by loop and configuration  # noqa: RUF012
 
-    def __init__(self, told: Client, key: tuple[int, bytes] | None) -> None:
+    def __init__(self, told: ClientConfig, key: tuple[int, bytes] | None) -> None:
         self.loop = asyncio.get_running_loop()
         self.told, self._key, self.users = told, key, 0
         self.clock = Clock()
@@ -65,7 +65,7 @@
         return PooledMember(told.routing, told.settings, told.seed, names.number, names.name)
 
     @classmethod
-    def take(cls, told: Client, alone: bool = False) -> Shared:
+    def take(cls, told: ClientConfig, alone: bool = False) -> Shared:
         """The running loop's, made where there is none; to be released. `alone`: nobody else gets it."""
         if not globalLogPublisher._observers.count(_OBSERVER):
             globalLogPublisher.addObserver(_OBSERVER)
--- a/puffindeck/service_discovery/directory.py
+++ b/puffindeck/service_discovery/directory.py
@@ -8,7 +8,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.config import ConfigError, Members, Target, address
+from puffindeck.config import ConfigError, EndpointList, Target, parse_address
 from puffindeck.core.clock import ms
 from puffindeck.interface import EndpointEntry, EndpointStatus
 from puffindeck.service_discovery.start_times import StartTimes
@@ -59,7 +59,7 @@
         """At this moment discovery has said that all its news is told."""
         self._heard_ms = ms(now)
 
-    def entries(self, members: Members, now: timedelta) -> list[EndpointEntry]:
+    def entries(self, members: EndpointList, now: timedelta) -> list[EndpointEntry]:
         """A piece of list news for the module. An entry that can't be used is left out, with a line."""
         return [entry for target in members.targets if (entry := self._entry(target, ms(now))) is not None]
 
@@ -71,7 +71,7 @@
         endpoint = self.number(target.uid)
         if target.endpoint:
             try:
-                self.addresses[endpoint] = address(target.endpoint, "endpoint")
+                self.addresses[endpoint] = parse_address(target.endpoint, "endpoint")
             except ConfigError as error:
                 log.warn("list: host {uid}: {error}", uid=target.uid, error=error)
                 return None
--- a/puffindeck/service_discovery/watch.py
+++ b/puffindeck/service_discovery/watch.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from puffindeck.config import Members
+from puffindeck.config import EndpointList
 from puffindeck.core.clock import span
 from puffindeck.interface import ListUpdateKind
 
@@ -25,7 +25,7 @@
 AGAIN = span(250)  # how soon such an agent, which costs nothing, is asked again
 MOST = 1 << 22  # octets of a line, or of the whole list
 TRUNCATED = "Input data was truncated"  # as msgspec says that an object goes on
-DECODER = msgspec.json.Decoder(Members)
+DECODER = msgspec.json.Decoder(EndpointList)
 
 
 class WatchError(ValueError):
@@ -54,7 +54,7 @@
         self._begun = b""
         return PATH if self.version is None else f"{PATH}?watch=1&after={self.version}"
 
-    def line(self, line: bytes) -> Members | None:
+    def line(self, line: bytes) -> EndpointList | None:
         """A watch's line; None if it only says that the watch is alive, or if an indented list goes on.
 
         Raises WatchError.
@@ -77,7 +77,7 @@
             return None
         return self._know(members)
 
-    def whole(self, text: bytes) -> Members:
+    def whole(self, text: bytes) -> EndpointList:
         """A list that has ended, whole or of what has changed. Raises WatchError, and knows what it knew."""
         if len(text) > MOST:
             raise WatchError(f"a list over {MOST >> 20} MiB")
@@ -86,7 +86,7 @@
         except msgspec.MsgspecError as error:
             raise WatchError(f"a list that can't be read: {error}") from None
 
-    def _know(self, members: Members) -> Members:
+    def _know(self, members: EndpointList) -> EndpointList:
         self._begun = b""
         if not members.all and self.version is not None and members.rev < self.version:
             known, self.version = self.version, None
@@ -95,6 +95,6 @@
         return members
 
 
-def kind(members: Members) -> ListUpdateKind:
+def kind(members: EndpointList) -> ListUpdateKind:
     """What a piece of list news is to the decision module."""
     return ListUpdateKind.FULL if members.all else ListUpdateKind.CHANGES
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -15,7 +15,7 @@
 import puffindeck_quota.model as quota_messages
 import puffindeck_residency.books as residency_messages
 from puffindeck import benchlink
-from puffindeck.config.fleet import installation
+from puffindeck.config.fleet import parse_fleet_member
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Settings
 from puffindeck.net.records import Records
@@ -172,7 +172,7 @@
     peers: Iterable[tuple[Any, ...]],
 ) -> dict[str, bytes]:
     """The JSON of each operators' call of a gateway that has just started and knows those peers."""
-    installed = installation(fleet, quota, residency, name)
+    installed = parse_fleet_member(fleet, quota, residency, name)
     assert installed is not None
     assert installed.quota is not None
     deadlines = TimerQueue(FixedClock(), SimpleNamespace())  # type: ignore[arg-type]
@@ -180,7 +180,7 @@
     limits = Quota(
         name, life=process, voters=installed.quota.voters, limits=installed.quota.limits, seed=seed
     )
-    books = Books(name, installed.residency.book, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
+    books = Books(name, installed.residency.ruleset, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
     inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
     settings = Settings((), 1, 0, 1, 0.0, 0.0, 1.0, 0.0, 1.0, 0.0)
     governor = Governor(inner, settings, limits, books=books)
--- a/tests/deploy/test_imports.py
+++ b/tests/deploy/test_imports.py
@@ -11,6 +11,8 @@
 APART = (
     "puffindeck_",
     "puffindeck.config.fleet",
+    "puffindeck.config.quota",
+    "puffindeck.config.residency",
     "puffindeck.client_side",
     "puffindeck.rpc",
     "puffindeck.routing",
--- a/tests/importer/test_haproxy.py
+++ b/tests/importer/test_haproxy.py
@@ -72,7 +72,7 @@
     assert verdicts[20]["says"] == "ssl: no TLS towards servers; verify: no TLS towards servers"
     assert (verdicts[3]["verdict"], verdicts[7]["verdict"]) == ("harmless", "changed")
     assert "h.cfg:20: refused, traffic is affected: server b" in done.stderr
-    told = config.node({}, str(tmp_path / "o.toml"))
+    told = config.load_node_config({}, str(tmp_path / "o.toml"))
     assert told.listen == ("127.0.0.1", 7000)
     assert told.sockets == 4064
     assert told.settings.max_attempts == 3
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -56,7 +56,7 @@
         self.path = Path(folder.name, "operator.toml")
         self.bring(name, text)
         with patch.dict(os.environ, {"TMPDIR": folder.name}):
-            told = config.node(os.environ, str(self.path))
+            told = config.load_node_config(os.environ, str(self.path))
         self.cls = told.settings.classes[0].name
         self.node = NetNode(reactor, told, Clock())
         self.node.start()
@@ -154,11 +154,11 @@
             changed = text.replace(*change)
             self.assertNotEqual(changed, text)
             self.bring(name, changed)
-            self.node.reload(lambda told: config.again(told, os.environ, str(self.path)))
+            self.node.reload(lambda told: config.reload_node_config(told, os.environ, str(self.path)))
             await self.compare(Reference(changed, self.environment), [("127.0.0.1", "FRONT")], times=16)
             self.assertFalse([client for client in standing if client.end is not None])
         self.bring(name, text)
-        self.node.reload(lambda told: config.again(told, os.environ, str(self.path)))
+        self.node.reload(lambda told: config.reload_node_config(told, os.environ, str(self.path)))
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=30)
 
     async def test_backups_in_order(self) -> None:
--- a/tests/importer/test_sections.py
+++ b/tests/importer/test_sections.py
@@ -184,10 +184,10 @@
 
 
 def test_the_operators_files_that_are_shipped_are_read() -> None:
-    told = config.node({}, str(ROOT / "deploy/operator-pools.toml"))
+    told = config.load_node_config({}, str(ROOT / "deploy/operator-pools.toml"))
     assert {pool.name for pool in told.routing.pools} == {"claims", "partners"}
     assert told.json_logs
-    assert config.node({}, str(ROOT / "deploy/operator-quic.toml")).quic is not None
+    assert config.load_node_config({}, str(ROOT / "deploy/operator-quic.toml")).quic is not None
 
 
 ROUTED = '[routing.pools.a]\nmembers = ["x"]\n[[routing.routes]]\npool = "a"\n'
@@ -266,7 +266,7 @@
         "20-boxes.cfg",
     }
     assert "20-boxes.cfg:1" in done.stderr
-    assert config.node({}, str(out)).settings.connect_timeout_ms == 100
+    assert config.load_node_config({}, str(out)).settings.connect_timeout_ms == 100
     checked = subprocess.run([*command, "check", str(out)], capture_output=True, text=True, cwd=ROOT)
     assert (checked.returncode, "pool b: y" in checked.stdout) == (0, True), checked.stderr
     out.write_text(re.sub(r'(members = \[\s*)"y"', r'\1"why"', out.read_text()))
@@ -296,7 +296,7 @@
 
     (tmp_path / "o.toml").write_bytes(msgspec.toml.encode(table) + b"\n" + line.encode())
     with pytest.raises(config.ConfigError, match=key):
-        config.node({}, str(tmp_path / "o.toml"))
+        config.load_node_config({}, str(tmp_path / "o.toml"))
 
 
 WORDS = st.sampled_from(
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -13,8 +13,7 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import maybeDeferred
 
-from puffindeck.config import Node as Told
-from puffindeck.config import Target
+from puffindeck.config import NodeConfig, Target
 from puffindeck.core.clock import Clock, span
 from puffindeck.interface import EndpointListUpdated, ListUpdateKind
 from puffindeck.net import discovery
@@ -154,7 +153,7 @@
         second.generation.end()
         second.deadlines.clear()
 
-    def changed(self, told: Told) -> Told:
+    def changed(self, told: NodeConfig) -> NodeConfig:
         if hasattr(self, "held"):
             return msgspec.structs.replace(told, inherited=self.held.fileno(), folder=self.folder)
         return told
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from puffindeck.config import Node as Told
+from puffindeck.config import NodeConfig
 from puffindeck.core.clock import span
 from puffindeck.interface import Effect, Scope
 from puffindeck.net import node as node_module
@@ -217,7 +217,7 @@
         self.addCleanup(other.port.stopListening)
         name, port = other.address.split(":")
 
-        def read(now: Told) -> tuple[Told, list[str]]:
+        def read(now: NodeConfig) -> tuple[NodeConfig, list[str]]:
             self.node.stop()
             return msgspec.structs.replace(now, discovery=(name, int(port))), []
 
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import maybeDeferred
 
 from puffindeck import config
-from puffindeck.config import Node as Told
+from puffindeck.config import NodeConfig
 from puffindeck.core.clock import Clock, span
 from puffindeck.net import node
 from puffindeck.net.graceful_shutdown import DrainSchedule
@@ -39,7 +39,7 @@
         self.addCleanup(self.close_second)
         self.second.start()
 
-    def changed(self, told: Told) -> Told:
+    def changed(self, told: NodeConfig) -> NodeConfig:
         return msgspec.structs.replace(told, inherited=self.socket.fileno(), folder=self.folder)
 
     async def made_ready(self, started: Node) -> None:
@@ -147,4 +147,4 @@
             for bad in ("x", "-1", "99999", str(plain.fileno()), str(file.fileno())):
                 environment: dict[str, Any] = {**os.environ, "EDGE_INHERITED_FD": bad}
                 with self.assertRaisesRegex(config.ConfigError, "EDGE_INHERITED_FD"):
-                    config.node(environment)
+                    config.load_node_config(environment)
--- a/tests/net/test_logs.py
+++ b/tests/net/test_logs.py
@@ -55,4 +55,4 @@
 def test_another_kind_of_log_is_an_error_that_names_the_key(tmp_path: Any) -> None:
     (tmp_path / "o.toml").write_text('log = "xml"\n[settings]\n')
     with pytest.raises(config.ConfigError, match="log must be text or json"):
-        config.node({}, str(tmp_path / "o.toml"))
+        config.load_node_config({}, str(tmp_path / "o.toml"))
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -476,12 +476,12 @@
         return "reload: done" in log.read_text()[after:]
 
     def reread(self, path: str) -> None:
-        self.node.reload(lambda told: config.again(told, {"EDGE_CONFIG": path}))
+        self.node.reload(lambda told: config.reload_node_config(told, {"EDGE_CONFIG": path}))
 
     async def test_a_reload_goes_to_the_new_discovery_and_keeps_what_stands(self) -> None:
         self.build()
         path = self.configured()
-        read = config.node({"EDGE_CONFIG": path})
+        read = config.load_node_config({"EDGE_CONFIG": path})
         self.node.told = msgspec.structs.replace(self.node.told, file=read.file)
         client, uid, host = await self.served(ASK)
         old = await self.watched()
@@ -521,19 +521,21 @@
     def test_what_a_reload_cant_change_is_named_each_time_and_stays(self) -> None:
         self.discovery = Listener()
         self.addCleanup(self.discovery.port.stopListening)
-        told = config.node({"EDGE_CONFIG": self.configured(), "EDGE_DISCOVERY": "127.0.0.1:9"})
+        told = config.load_node_config({"EDGE_CONFIG": self.configured(), "EDGE_DISCOVERY": "127.0.0.1:9"})
         for _ in range(2):
             path = self.configured(listen="127.0.0.1:7", known={"rev": 3, "all": True, "targets": []})
-            told, later = config.again(told, {"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:9"})
+            told, later = config.reload_node_config(
+                told, {"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:9"}
+            )
             self.assertEqual(later, ["listen"])
             self.assertEqual(told.discovery, ("127.0.0.1", 9))  # the file's has not changed
         self.assertEqual(told.listen, ("127.0.0.1", 0))
 
     async def test_settings_are_taken_up_whole_and_what_is_open_keeps_its_rules(self) -> None:
         self.build()
-        read = config.node({"EDGE_CONFIG": self.configured()})
-        table = read.keys["settings"]
-        self.node.told = msgspec.structs.replace(self.node.told, file=read.file, keys=read.keys)
+        read = config.load_node_config({"EDGE_CONFIG": self.configured()})
+        table = read.file_keys["settings"]
+        self.node.told = msgspec.structs.replace(self.node.told, file=read.file, file_keys=read.file_keys)
         one = table["classes"][0]
         two = {**one, "name": "two"}
         self.reread(self.configured(settings=table | {"classes": [one, two, {**one, "name": "chat"}]}))
@@ -566,7 +568,7 @@
         self.discovery = Listener()
         self.addCleanup(self.discovery.port.stopListening)
         path = self.configured(limits={"sockets": 300})
-        told = config.node({"EDGE_CONFIG": path})
+        told = config.load_node_config({"EDGE_CONFIG": path})
         whole = json.loads(Path(path).read_text())
         settings = whole["settings"]
         first = settings["classes"][0]
@@ -589,9 +591,9 @@
         for text in ("", "{", *(json.dumps(file) for file in holes)):
             Path(path).write_text(text)
             with self.assertRaises(config.ConfigError, msg=text):
-                config.again(told, {"EDGE_CONFIG": path})
+                config.reload_node_config(told, {"EDGE_CONFIG": path})
         Path(path).write_text(json.dumps(whole))
-        self.assertEqual(config.again(told, {"EDGE_CONFIG": path})[0].settings, told.settings)
+        self.assertEqual(config.reload_node_config(told, {"EDGE_CONFIG": path})[0].settings, told.settings)
 
     async def test_a_hangup_does_not_end_the_program(self) -> None:
         self.build()
--- a/tests/net/test_operator_calls.py
+++ b/tests/net/test_operator_calls.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from puffindeck.config import Node as Told
+from puffindeck.config import NodeConfig
 from puffindeck.core.clock import span
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import node, operator
@@ -28,7 +28,7 @@
         self.folder = Path(folder.name)
         super().build(hosts, **settings)
 
-    def changed(self, told: Told) -> Told:
+    def changed(self, told: NodeConfig) -> NodeConfig:
         return msgspec.structs.replace(told, operator=("127.0.0.1", 0), folder=self.folder)
 
     async def close(self) -> None:
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -21,7 +21,7 @@
 from cryptography.x509.oid import NameOID
 from twisted.internet.protocol import DatagramProtocol
 
-from puffindeck.config import Quic
+from puffindeck.config import QuicConfig
 from puffindeck.core.clock import ms, span
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import front, packets
@@ -188,7 +188,9 @@
             self.node.directory.addresses[self.node.directory.number(uid)] = at
         ids = {box.server_id: uid for uid, box in self.boxes.items()}
         self.node._start_quic(
-            Quic(("127.0.0.1", 0), 0, span(deadline), span(30000), span(400), 1, 4, 8, KEY, connections, ids)
+            QuicConfig(
+                ("127.0.0.1", 0), 0, span(deadline), span(30000), span(400), 1, 4, 8, KEY, connections, ids
+            )
         )
         assert self.node.quic is not None
         self.front = self.node.quic
--- a/tests/rpc/test_grpc.py
+++ b/tests/rpc/test_grpc.py
@@ -572,7 +572,7 @@
         private = key.private_bytes(
             serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
         )
-        from puffindeck.config.client import Tls
+        from puffindeck.config.client_config import TlsConfig
         from tests.support.rpc_world import Box
 
         box = await Box("one").start(grpc.ssl_server_credentials([(private, certificate)]))
@@ -580,7 +580,7 @@
         client = told(None, box.target())
         from msgspec.structs import replace
 
-        client = replace(client, rpc=replace(client.rpc, tls=Tls(certificate, b"", b"", "box.test")))
+        client = replace(client, rpc=replace(client.rpc, tls=TlsConfig(certificate, b"", b"", "box.test")))
         channel = self.world.channel(told=client)
         self.assertEqual(await Stub(channel).status(b"hi", timeout=5), b"one:hi")
         plain = self.world.channel(told=told(None, box.target()))
--- a/tests/rpc/test_outcomes.py
+++ b/tests/rpc/test_outcomes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from puffindeck.config import ConfigError
-from puffindeck.config.client import client
+from puffindeck.config.client_config import load_client_config
 from puffindeck.core.clock import ZERO
 from puffindeck.interface import NOT_PROCESSED, Outcome
 from puffindeck.rpc.outcomes import outcome
@@ -95,12 +95,12 @@
 def read(folder: Path, text: str) -> object:
     path = folder / "desk.toml"
     path.write_text(text)
-    return client(path)
+    return load_client_config(path)
 
 
 def test_a_file_is_read_and_checked(tmp_path: Path) -> None:
     (tmp_path / "desk.toml").write_text(FILE)
-    told = client(tmp_path / "desk.toml")
+    told = load_client_config(tmp_path / "desk.toml")
     assert told.discovery == ("127.0.0.1", 8500)
     assert told.seed == 42
     assert told.rpc.methods == {"/exchange.Feed/Watch": 1}
@@ -109,7 +109,7 @@
 
 def test_clients_without_a_seed_draw_their_own(tmp_path: Path) -> None:
     (tmp_path / "desk.toml").write_text(FILE.replace('seed = "2a"', ""))
-    assert client(tmp_path / "desk.toml").seed != client(tmp_path / "desk.toml").seed
+    assert load_client_config(tmp_path / "desk.toml").seed != load_client_config(tmp_path / "desk.toml").seed
 
 
 @pytest.mark.parametrize(
@@ -147,4 +147,4 @@
 
 def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=r"none\.toml: No such file"):
-        client(tmp_path / "none.toml")
+        load_client_config(tmp_path / "none.toml")
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -13,7 +13,7 @@
 
 from puffindeck import config
 from puffindeck.client_side.pooled import PooledMember
-from puffindeck.config.client import client
+from puffindeck.config.client_config import load_client_config
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
 from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
@@ -108,7 +108,7 @@
     text = (Path(__file__).parents[2] / "deploy/client-grpc.toml").read_text()
     pools = '\n[routing]\ndefault = "all"\n[routing.pools.all]\nmembers = ["box-*"]\n'
     (tmp_path / "c.toml").write_text(text + pools)
-    assert client(tmp_path / "c.toml").routing.table.default == "all"
+    assert load_client_config(tmp_path / "c.toml").routing.table.default == "all"
     (tmp_path / "c.toml").write_text(text + pools + '[routing.listeners]\nx = "127.0.0.1:1"\n')
     with pytest.raises(config.ConfigError, match=r"routing\.listeners"):
-        client(tmp_path / "c.toml")
+        load_client_config(tmp_path / "c.toml")
--- a/tests/rpc/test_service_discovery.py
+++ b/tests/rpc/test_service_discovery.py
@@ -10,7 +10,7 @@
 import grpc
 from grpc.aio import AioRpcError
 
-from puffindeck.config.members import Target
+from puffindeck.config.endpoint_list import Target
 from puffindeck.policy.records import Request
 from puffindeck.rpc.grpc import BalancedChannel, come_back
 from tests.support.rpc_world import Stub, World, keyed, told, until
--- a/tests/simulator/test_wire.py
+++ b/tests/simulator/test_wire.py
@@ -143,12 +143,12 @@
 @pytest.mark.parametrize("key", ["classes", "peersTotal", "limits", "rules"])
 def test_a_missing_setting_is_named(key: str) -> None:
     with pytest.raises(config.ConfigError, match=key):
-        config.settings(json.dumps({k: v for k, v in TABLE.items() if k != key}).encode())
+        config.decode_settings(json.dumps({k: v for k, v in TABLE.items() if k != key}).encode())
 
 
 def test_a_wrong_setting_is_named() -> None:
     with pytest.raises(config.ConfigError, match="peersTotal"):
-        config.settings(json.dumps({**TABLE, "peersTotal": "two"}).encode())
+        config.decode_settings(json.dumps({**TABLE, "peersTotal": "two"}).encode())
 
 
 def test_a_decision_that_fails_is_told() -> None:
@@ -178,4 +178,4 @@
 def test_settings_of_the_wrong_kind_name_the_key(key: str, odd: object) -> None:
     """A reload that reads such a file must leave the old settings in force, not fail otherwise."""
     with pytest.raises(config.ConfigError, match=key):
-        config.settings(json.dumps({**TABLE, key: odd}).encode())
+        config.decode_settings(json.dumps({**TABLE, key: odd}).encode())
--- a/tests/support/node_story.py
+++ b/tests/support/node_story.py
@@ -12,7 +12,7 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 from twisted.trial.unittest import TestCase
 
-from puffindeck.config import Members, Node, Target
+from puffindeck.config import EndpointList, NodeConfig, Target
 from puffindeck.core.clock import Clock
 from puffindeck.interface import ClassSettings, Event, Settings
 from puffindeck.net.node import Node as NetNode
@@ -132,9 +132,11 @@
         self.hosts = {f"h{i}": Listener() for i in range(hosts)}
         self.discovery = Listener()
         self.told: list[Event] = []
-        known = Members(1, True, [self.target(uid) for uid in self.hosts])
+        known = EndpointList(1, True, [self.target(uid) for uid in self.hosts])
         host, port = self.discovery.address.split(":")
-        told = Node("n0", ("127.0.0.1", 0), (host, int(port)), 7, 1024, known, replace(SETTINGS, **settings))
+        told = NodeConfig(
+            "n0", ("127.0.0.1", 0), (host, int(port)), 7, 1024, known, replace(SETTINGS, **settings)
+        )
         self.node = NetNode(reactor, self.changed(told), Clock())
         decide = self.node.engine.balancer.handle
 
@@ -147,7 +149,7 @@
         self.node.start()
         self.addCleanup(self.close)
 
-    def changed(self, told: Node) -> Node:
+    def changed(self, told: NodeConfig) -> NodeConfig:
         """What a story has its node told otherwise."""
         return told
 
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -14,8 +14,8 @@
 from msgspec import to_builtins
 
 from puffindeck.client_side.even import owner
-from puffindeck.config.client import Client, Rpc, RpcTable, rpc
-from puffindeck.config.members import Members, Target
+from puffindeck.config.client_config import ClientConfig, RpcConfig, RpcTable, parse_rpc
+from puffindeck.config.endpoint_list import EndpointList, Target
 from puffindeck.hashes import mixed
 from puffindeck.interface import ClassSettings, Effect, Settings
 from puffindeck.rpc.grpc import BalancedChannel
@@ -47,11 +47,11 @@
 METHODS = {f"/{SERVICE}/Watch": "watch", f"/{SERVICE}/Talk": "watch", f"/{SERVICE}/Claim": "claim"}
 
 
-def told(discovery: int | None, *targets: Target, seed: int = 7, **more: Any) -> Client:
+def told(discovery: int | None, *targets: Target, seed: int = 7, **more: Any) -> ClientConfig:
     """A checked configuration for a roster at a port of loopback, or for a list of its own."""
-    checked: Rpc = rpc(RpcTable(methods=METHODS, **more), SETTINGS, Path())
+    checked: RpcConfig = parse_rpc(RpcTable(methods=METHODS, **more), SETTINGS, Path())
     where = ("127.0.0.1", discovery) if discovery else None
-    return Client("client", where, seed, Members(1, True, list(targets)), SETTINGS, checked)
+    return ClientConfig("client", where, seed, EndpointList(1, True, list(targets)), SETTINGS, checked)
 
 
 class Box:
