--- a/puffindeck/cli/commands.py
+++ b/puffindeck/cli/commands.py
@@ -16,19 +16,21 @@
 
 from puffindeck import __version__, config
 from puffindeck.importer import haproxy
-from puffindeck.importer.account import Account
-from puffindeck.importer.command import replaced, texts
+from puffindeck.importer.files import read_file, read_files, replace_file
+from puffindeck.importer.import_report import Disposition, ImportReport
 
 if TYPE_CHECKING:
     from puffindeck.routing import Pool, Routing
 
 FILE = click.Path(dir_okay=False, path_type=Path)
+EXIT_FAILED = 2
+EXIT_TRAFFIC_AFFECTED = 3  # `import --strict`
 
 
 class CommandError(click.ClickException):
     """The command cannot go on: one line on standard error, exit code 2."""
 
-    exit_code = 2
+    exit_code = EXIT_FAILED
 
     def show(self, file: Any = None) -> None:
         """Print the line on standard error."""
@@ -98,47 +100,59 @@
 @import_.command("haproxy")
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("-o", "--output", type=FILE, help="Where to write; standard output if left out.")
-@click.option("--report", type=FILE, help="Where to write the account of every statement, as JSON.")
-@click.option("--state", type=FILE, help="A file of servers' states, as `show servers state` writes it.")
+@click.option(
+    "--report", "report_file", type=FILE, help="Where to write the account of every statement, as JSON."
+)
+@click.option(
+    "--state", "state_file", type=FILE, help="A file of servers' states, as `show servers state` writes it."
+)
 @click.option("--backend", default="", help="The only backend to import, with its frontends.")
 @click.option("--strict", is_flag=True, help="Write nothing and exit with 3 where traffic is affected.")
 @click.option(
-    "--table", "table_", is_flag=True, help="Print the verdict on every statement, not on some only."
+    "--table", "every_statement", is_flag=True, help="Print the verdict on every statement, not on some only."
 )
 def import_haproxy(
     files: tuple[Path, ...],
     output: Path | None,
-    report: Path | None,
-    state: Path | None,
+    report_file: Path | None,
+    state_file: Path | None,
     backend: str,
     strict: bool,
-    table_: bool,
+    every_statement: bool,
 ) -> None:
     """Read HAProxy configuration FILES in their order (of a folder all *.cfg, by name)."""
     try:
-        read = texts(files)
-        held = texts([state])[0] if state else None
-        made, account = haproxy.convert_files(read, backend, os.environ, held)
-        told(account, table_)
-        if report:
-            replaced(report, msgspec.json.format(msgspec.json.encode(account.report())) + b"\n")
-        if strict and account.affects_traffic():
-            sys.exit(3)
-        written = msgspec.toml.encode(made)
-        if output:
-            replaced(output, written)
-        else:
-            sys.stdout.buffer.write(written)
-    except haproxy.ImportError_ as error:
+        sources = read_files(files)
+        server_states = read_file(state_file) if state_file else None
+        table, report = haproxy.convert_files(sources, backend, os.environ, server_states)
+        _print_report(report, every_statement)
+        if report_file:
+            replace_file(report_file, _encode_report(report))
+        if strict and report.affects_traffic():
+            sys.exit(EXIT_TRAFFIC_AFFECTED)
+        _write_operator_file(msgspec.toml.encode(table), output)
+    except haproxy.HaproxyImportError as error:
         raise CommandError(str(error)) from None
     except OSError as error:
         raise CommandError(f"{error.filename or files[0]}: {error.strerror}") from None
 
 
-def told(account: Account, every: bool) -> None:
-    """The account for people, on standard error."""
-    for line in account.lines(every):
+def _encode_report(report: ImportReport) -> bytes:
+    return msgspec.json.format(msgspec.json.encode(report.to_json_object())) + b"\n"
+
+
+def _write_operator_file(content: bytes, output: Path | None) -> None:
+    if output:
+        replace_file(output, content)
+    else:
+        sys.stdout.buffer.write(content)
+
+
+def _print_report(report: ImportReport, every_statement: bool) -> None:
+    """Print the report for people on standard error."""
+    for line in report.text_lines(every_statement):
         click.echo(line, err=True)
-    counts = account.counts()
-    verdicts = ", ".join(f"{counts[v]} {v}" for v in ("carried", "changed", "refused", "harmless"))
-    click.echo(f"{len(account.entries)} statements: {verdicts}", err=True)
+    counts = report.counts()
+    shown = (Disposition.CARRIED, Disposition.CHANGED, Disposition.REFUSED, Disposition.HARMLESS)
+    totals = ", ".join(f"{counts[disposition.value]} {disposition.value}" for disposition in shown)
+    click.echo(f"{len(report.results)} statements: {totals}", err=True)
--- a/puffindeck/importer/acl.py
+++ b/puffindeck/importer/acl.py
@@ -1,195 +1,265 @@
 """ACLs and the conditions made of them, as groups of route conditions: all of a group, any of the groups.
 
-From the manual, 7.1 (how ACLs match) and 7.2 (how conditions are formed). What this program knows of a
-connection is less than HAProxy does: its source, the port it came to, and how many servers a pool has.
+From the manual, 7.1 (how ACLs match) and 7.2 (how conditions are formed). A connection's source, the port it
+came to and the number of usable servers in a pool are known here; HAProxy's other criteria are unsupported.
 """
 
 from __future__ import annotations
 
 import re
-from collections.abc import Iterable
+from collections.abc import Callable
 from itertools import product
-from typing import Any
+from typing import Any, NamedTuple
 
-from puffindeck.importer.statement import Line
+from puffindeck.importer.statement import Statement
 
-Groups = list[list[dict[str, Any]]]  # conditions as an operator's file has them
-ALWAYS: Groups = [[]]
-NEVER: Groups = []
-MOST_GROUPS = 64
-PREDEFINED: dict[str, Groups] = {
+ConditionGroups = list[list[dict[str, Any]]]  # conditions as an operator's file has them
+ALWAYS: ConditionGroups = [[]]
+NEVER: ConditionGroups = []
+MAX_GROUPS = 64
+PREDEFINED: dict[str, ConditionGroups] = {
     "TRUE": ALWAYS,
     "FALSE": NEVER,
     "LOCALHOST": [[{"on": "source", "is": ["127.0.0.1/8", "::1"]}]],
 }
-FIGURES = {"dst_port": "port", "src_port": "source_port"}
+PORT_CRITERIA = {"dst_port": "port", "src_port": "source_port"}
+TLS_CRITERIA = ("req.ssl_", "req_ssl_", "ssl_fc", "ssl_c", "ssl_f")  # how they begin
 OPERATORS = ("eq", "ge", "gt", "le", "lt")
+FLAGS_WITH_ARGUMENT = ("-m", "-f", "-M", "-u")
 
 
-class Unsupported(Exception):
-    """This program knows nothing that such a condition could be held against."""
+class UnsupportedConditionError(Exception):
+    """A condition asks for what is not known of a connection here. The text says what that is."""
 
 
-def negation(groups: Groups) -> Groups:
-    """What holds exactly where these do not."""
-    turned = [[{**one, "not": not one.get("not", False)} for one in group] for group in groups]
-    return _bounded([list(choice) for choice in product(*turned)])
+class _Criterion(NamedTuple):
+    """A criterion with its flags and values."""
 
+    name: str
+    flags: list[str]
+    values: list[str]
 
-def both(one: Groups, other: Groups) -> Groups:
-    """What holds where both do."""
-    return _bounded([[*a, *b] for a in one for b in other])
 
+def negate(groups: ConditionGroups) -> ConditionGroups:
+    """Groups that hold exactly where these do not. Raises UnsupportedConditionError for too many."""
+    negated = [
+        [{**condition, "not": not condition.get("not", False)} for condition in group] for group in groups
+    ]
+    return _bounded([list(choice) for choice in product(*negated)])
 
-def _bounded(groups: Groups) -> Groups:
-    if len(groups) > MOST_GROUPS:
-        raise Unsupported(f"over {MOST_GROUPS} alternatives")
+
+def conjunction(first: ConditionGroups, second: ConditionGroups) -> ConditionGroups:
+    """Groups that hold where both do. Raises UnsupportedConditionError for too many."""
+    return _bounded([[*one, *other] for one in first for other in second])
+
+
+def _bounded(groups: ConditionGroups) -> ConditionGroups:
+    if len(groups) > MAX_GROUPS:
+        raise UnsupportedConditionError(f"over {MAX_GROUPS} alternatives")
     return groups
 
 
-def _ranges(line: Line, words: list[str]) -> list[str] | None:
-    """Integers with operators as ranges; None where nothing can fit."""
-    found, operator = [], "eq"
+def _range_of(operator: str, number: int) -> str | None:
+    """The range LOW:HIGH that an operator and a number stand for; None for an empty one."""
+    if operator == "lt":
+        return f":{number - 1}" if number else None
+    return {"ge": f"{number}:", "gt": f"{number + 1}:", "le": f":{number}"}[operator]
+
+
+def _parse_ranges(statement: Statement, words: list[str]) -> list[str]:
+    """Numbers with operators as ranges; none where no number can fit."""
+    ranges: list[str] = []
+    operator = "eq"
     for word in words:
         if word in OPERATORS:
             operator = word
             continue
         if not re.fullmatch(r"\d*:?\d*", word) or word in ("", ":"):
-            raise line.bad(f"{word!r} is no number or range")
+            raise statement.error(f"{word!r} is no number or range")
         if operator == "eq":
-            found.append(word)
+            ranges.append(word)
             continue
         if not word.isdecimal():
-            raise line.bad(f"{operator} wants a number, not {word!r}")
-        figure = int(word)
-        if operator == "lt" and figure == 0:
-            continue
-        found.append(
-            {"ge": f"{figure}:", "gt": f"{figure + 1}:", "le": f":{figure}", "lt": f":{figure - 1}"}[operator]
-        )
-    if not found and not any(word in OPERATORS for word in words):
-        raise line.bad("no values to compare with")
-    return found or None
+            raise statement.error(f"{operator} wants a number, not {word!r}")
+        one_range = _range_of(operator, int(word))
+        if one_range is not None:
+            ranges.append(one_range)
+    if not ranges and not any(word in OPERATORS for word in words):
+        raise statement.error("no values to compare with")
+    return ranges
 
 
-def criterion(line: Line, words: list[str]) -> Groups:
-    """What an ACL's criterion, flags and values ask. Unsupported says why this program can't tell."""
+def _split_criterion(statement: Statement, words: list[str]) -> _Criterion:
     name, *rest = words
     flags: list[str] = []
     while rest and rest[0].startswith("-"):
         flag = rest.pop(0)
         if flag == "--":
             break
-        if flag in ("-m", "-f", "-M", "-u"):
+        if flag in FLAGS_WITH_ARGUMENT:
             if not rest:
-                raise line.bad(f"{flag} wants a word behind it")
-            flags.append(f"{flag} {rest.pop(0)}")
-        else:
-            flags.append(flag)
-    if any(flag.startswith(("-f", "-M")) for flag in flags):
-        raise Unsupported("patterns from a file")
+                raise statement.error(f"{flag} wants a word behind it")
+            flag = f"{flag} {rest.pop(0)}"
+        flags.append(flag)
+    return _Criterion(name, flags, rest)
+
+
+def _check_flags(criterion: _Criterion, *supported: str) -> None:
+    """Check that there are no flags but those supported and -u, which has no effect here."""
+    if any(flag not in supported and not flag.startswith("-u") for flag in criterion.flags):
+        raise UnsupportedConditionError(f"{criterion.name} compared by {', '.join(criterion.flags)}")
+
+
+def _parse_port(statement: Statement, criterion: _Criterion) -> ConditionGroups:
+    _check_flags(criterion, "-m int")
+    ranges = _parse_ranges(statement, criterion.values)
+    return [[{"on": PORT_CRITERIA[criterion.name], "is": ranges}]] if ranges else NEVER
+
+
+def _parse_usable_servers(statement: Statement, criterion: _Criterion, backend: str) -> ConditionGroups:
+    _check_flags(criterion, "-m int")
+    ranges = _parse_ranges(statement, criterion.values)
+    if not ranges:
+        return NEVER
+    if not backend:
+        raise UnsupportedConditionError("nbsrv of the backend at hand")
+    return [[{"on": "usable", "pool": backend, "is": ranges}]]
+
+
+def _parse_source(statement: Statement, criterion: _Criterion) -> ConditionGroups:
+    _check_flags(criterion, "-m ip", "-n")
+    if not criterion.values:
+        raise statement.error("src has no addresses")
+    return [[{"on": "source", "is": criterion.values}]]
+
+
+def parse_criterion(statement: Statement, words: list[str]) -> ConditionGroups:
+    """The groups of an ACL's criterion with its flags and values.
+
+    Raises UnsupportedConditionError, and HaproxyImportError for what HAProxy would not read either.
+    """
+    criterion = _split_criterion(statement, words)
+    name = criterion.name
+    if any(flag.startswith(("-f", "-M")) for flag in criterion.flags):
+        raise UnsupportedConditionError("patterns from a file")
     if name in ("always_true", "always_false"):
         return ALWAYS if name == "always_true" else NEVER
-    pool = re.fullmatch(r"nbsrv(?:\(([^()]*)\))?", name)
-    if name in FIGURES or pool:
-        if any(flag not in ("-m int", "-u 0") and not flag.startswith("-u") for flag in flags):
-            raise Unsupported(f"{name} compared by {', '.join(flags)}")
-        ranges = _ranges(line, rest)
-        if ranges is None:
-            return NEVER
-        if pool:
-            if not pool[1]:
-                raise Unsupported("nbsrv of the backend at hand")
-            return [[{"on": "usable", "pool": pool[1], "is": ranges}]]
-        return [[{"on": FIGURES[name], "is": ranges}]]
+    if name in PORT_CRITERIA:
+        return _parse_port(statement, criterion)
+    usable_servers = re.fullmatch(r"nbsrv(?:\(([^()]*)\))?", name)
+    if usable_servers:
+        return _parse_usable_servers(statement, criterion, usable_servers[1] or "")
     if name == "src":
-        if any(flag not in ("-m ip", "-n") and not flag.startswith("-u") for flag in flags):
-            raise Unsupported(f"src compared by {', '.join(flags)}")
-        if not rest:
-            raise line.bad("src has no addresses")
-        return [[{"on": "source", "is": rest}]]
-    if name.startswith(("req.ssl_", "req_ssl_", "ssl_fc", "ssl_c", "ssl_f")):
-        raise Unsupported(f"{name}: no TLS is read here")
-    raise Unsupported(f"{name}: nothing that is known of a connection here")
+        return _parse_source(statement, criterion)
+    if name.startswith(TLS_CRITERIA):
+        raise UnsupportedConditionError(f"{name}: no TLS is read here")
+    raise UnsupportedConditionError(f"{name}: nothing that is known of a connection here")
 
 
 class Acls:
-    """The ACLs of a proxy, by name. Lines of one name are alternatives."""
+    """The ACLs of a proxy by name. Statements of one name are alternatives."""
 
     def __init__(self) -> None:
-        self._groups: dict[str, Groups] = {}
-        self._why: dict[str, str] = {}
-
-    def add(self, line: Line, words: list[str]) -> str:
-        """An `acl` line's words behind `acl`. Says why it can't be had here, or nothing."""
-        name, *rest = words
-        if not rest:
-            raise line.bad(f"acl {name} has no criterion")
+        self._groups: dict[str, ConditionGroups] = {}
+        self._unsupported: dict[str, str] = {}  # why, by name
+
+    def add(self, statement: Statement, arguments: list[str]) -> None:
+        """Add an `acl` statement, of which `arguments` stand behind the keyword.
+
+        Raises UnsupportedConditionError, as do later conditions that use it, and HaproxyImportError.
+        """
+        name, *criterion = arguments
+        if not criterion:
+            raise statement.error(f"acl {name} has no criterion")
         try:
-            self._groups.setdefault(name, []).extend(criterion(line, rest))
-        except Unsupported as error:
-            self._why.setdefault(name, str(error))
-            return str(error)
-        return ""
-
-    def _named(self, line: Line, name: str) -> Groups:
-        if name in self._why:
-            raise Unsupported(f"acl {name}: {self._why[name]}")
+            self._groups.setdefault(name, []).extend(parse_criterion(statement, criterion))
+        except UnsupportedConditionError as error:
+            self._unsupported.setdefault(name, str(error))
+            raise
+
+    def find(self, statement: Statement, name: str) -> ConditionGroups:
+        """The groups of the ACL with a name. Raises UnsupportedConditionError and HaproxyImportError."""
+        if name in self._unsupported:
+            raise UnsupportedConditionError(f"acl {name}: {self._unsupported[name]}")
         if name in self._groups:
             return self._groups[name]
         if name in PREDEFINED:
             return PREDEFINED[name]
         if re.fullmatch(r"[A-Z_0-9]+", name):
-            raise Unsupported(f"{name}: nothing that is known of a connection here")
-        raise line.bad(f"there is no acl {name}")
+            raise UnsupportedConditionError(f"{name}: nothing that is known of a connection here")
+        raise statement.error(f"there is no acl {name}")
+
+    def parse_condition(self, statement: Statement, words: list[str]) -> ConditionGroups:
+        """The groups of `if ...` or `unless ...`; those that always hold if there are no words.
 
-    def condition(self, line: Line, words: list[str]) -> Groups:
-        """`if ...` or `unless ...`; without a word always. Unsupported says why it can't be told here."""
+        Raises UnsupportedConditionError and HaproxyImportError.
+        """
         if not words:
             return ALWAYS
         kind, *rest = words
         if kind not in ("if", "unless") or not rest:
-            raise line.bad(f"if or unless, and a condition, in place of {' '.join(words)!r}")
-        groups = [group for term in self._alternatives(line, rest) for group in term]
-        return negation(groups) if kind == "unless" else _bounded(groups)
-
-    def _alternatives(self, line: Line, words: list[str]) -> Iterable[Groups]:
-        terms: list[Groups] = []
-        negated, rest = False, list(words)
-        found: list[Groups] = []
-        while rest:
-            word = rest.pop(0)
-            if word in ("or", "||"):
-                if not terms or negated:
-                    raise line.bad(f"{word} has no condition before it")
-                found.append(self._all(terms))
-                terms = []
-                continue
-            while word.startswith("!"):
-                negated, word = not negated, word[1:]
-            if not word:
-                if not rest:
-                    raise line.bad("! has no condition behind it")
-                continue
-            if word == "{":
-                if "}" not in rest:
-                    raise line.bad("a { is never closed")
-                end = rest.index("}")
-                inner, rest = rest[:end], rest[end + 1 :]
-                if not inner:
-                    raise line.bad("{ } is empty")
-                groups = criterion(line, inner)
-            else:
-                groups = self._named(line, word)
-            terms.append(negation(groups) if negated else groups)
-            negated = False
-        if not terms or negated:
-            raise line.bad("the condition ends in the middle")
-        return [*found, self._all(terms)]
-
-    @staticmethod
-    def _all(terms: list[Groups]) -> Groups:
+            raise statement.error(f"if or unless, and a condition, in place of {' '.join(words)!r}")
+        groups = _ConditionReader(statement, rest, self.find).read()
+        return negate(groups) if kind == "unless" else _bounded(groups)
+
+
+class _ConditionReader:
+    """Reads one condition: alternatives joined by `or`, each of terms that must all hold."""
+
+    def __init__(
+        self,
+        statement: Statement,
+        words: list[str],
+        find_acl: Callable[[Statement, str], ConditionGroups],
+    ) -> None:
+        self._statement = statement
+        self._words = list(words)
+        self._find_acl = find_acl
+        self._alternatives: list[ConditionGroups] = []
+        self._terms: list[ConditionGroups] = []  # of the alternative at hand
+        self._is_negated = False  # the term that comes next
+
+    def read(self) -> ConditionGroups:
+        """The groups of all alternatives."""
+        while self._words:
+            self._read_word(self._words.pop(0))
+        if not self._terms or self._is_negated:
+            raise self._statement.error("the condition ends in the middle")
+        self._end_alternative()
+        return [group for alternative in self._alternatives for group in alternative]
+
+    def _read_word(self, word: str) -> None:
+        if word in ("or", "||"):
+            if not self._terms or self._is_negated:
+                raise self._statement.error(f"{word} has no condition before it")
+            self._end_alternative()
+            return
+        name = word.lstrip("!")
+        if (len(word) - len(name)) % 2:
+            self._is_negated = not self._is_negated
+        if name:
+            self._read_term(name)
+        elif not self._words:
+            raise self._statement.error("! has no condition behind it")
+
+    def _read_term(self, name: str) -> None:
+        groups = self._read_anonymous_acl() if name == "{" else self._find_acl(self._statement, name)
+        self._terms.append(negate(groups) if self._is_negated else groups)
+        self._is_negated = False
+
+    def _read_anonymous_acl(self) -> ConditionGroups:
+        if "}" not in self._words:
+            raise self._statement.error("a { is never closed")
+        end = self._words.index("}")
+        criterion = self._words[:end]
+        del self._words[: end + 1]
+        if not criterion:
+            raise self._statement.error("{ } is empty")
+        return parse_criterion(self._statement, criterion)
+
+    def _end_alternative(self) -> None:
         groups = ALWAYS
-        for term in terms:
-            groups = both(groups, term)
-        return groups
+        for term in self._terms:
+            groups = conjunction(groups, term)
+        self._alternatives.append(groups)
+        self._terms = []
--- a/puffindeck/importer/frontend.py
+++ b/puffindeck/importer/frontend.py
@@ -5,101 +5,140 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from puffindeck.importer.account import Account
-from puffindeck.importer.acl import ALWAYS, Acls, Groups, Unsupported
-from puffindeck.importer.keywords import fate
-from puffindeck.importer.sections import Section, endpoint
-from puffindeck.importer.statement import Line
+from puffindeck.importer.acl import ALWAYS, Acls, ConditionGroups, UnsupportedConditionError
+from puffindeck.importer.import_report import Disposition, ImportReport
+from puffindeck.importer.keywords import find_keyword
+from puffindeck.importer.sections import Section
+from puffindeck.importer.statement import Statement
+from puffindeck.importer.values import parse_endpoint
 
+KEYWORDS_WITH_ARGUMENTS = ("bind", "acl", "use_backend", "default_backend")
 
-@dataclass(slots=True)
-class Way:
-    """To a backend, where the groups hold."""
+
+@dataclass(frozen=True, slots=True)
+class SwitchingRule:
+    """Connections for which one of the groups holds go to the backend."""
 
     backend: str
-    groups: Groups
-    at: Line
+    groups: ConditionGroups
+    statement: Statement
+
+    def check_backends(self, known: set[str]) -> None:
+        """Check that all backends that it names exist. Raises HaproxyImportError."""
+        if self.backend not in known:
+            raise self.statement.error(f"there is no backend {self.backend}")
+        for group in self.groups:
+            for condition in group:
+                pool = condition.get("pool")
+                if pool and pool not in known:
+                    raise self.statement.error(f"there is no backend {pool}")
 
 
 @dataclass(slots=True)
 class Frontend:
-    """What a frontend or listen section says of where connections come from and go to."""
+    """A frontend or listen section: where connections come in, and to which backends they go."""
 
     section: Section
-    account: Account
-    binds: list[str] = field(default_factory=list)
-    ways: list[Way] = field(default_factory=list)
-    default: tuple[str, Line] | None = None
+    report: ImportReport
+    binds: list[str] = field(default_factory=list)  # HOST:PORT
+    rules: list[SwitchingRule] = field(default_factory=list)  # of `use_backend`
+    default_rule: SwitchingRule | None = None  # of `default_backend`
     acls: Acls = field(default_factory=Acls)
 
-    def take(self, line: Line) -> bool:
-        """Read a statement, if it is one that concerns the way in."""
-        word, *rest = line.words
-        if word in ("bind", "acl", "use_backend", "default_backend") and not rest:
-            raise line.bad(f"{word}: something is missing")
-        if word == "bind":
-            self._bind(line, rest)
-        elif word == "acl":
-            why = self.acls.add(line, rest)
-            self.account.judge(
-                line.at, *(("refused", f"{why}; what uses it is named") if why else ("carried",))
-            )
-        elif word == "use_backend":
-            self._use(line, rest)
-        elif word == "default_backend":
-            self.default = rest[0], line
-            self.account.judge(line.at, "carried")
+    def read(self, statement: Statement) -> bool:
+        """Read a statement if it concerns connections' way in; False for others.
+
+        Raises HaproxyImportError for one that cannot be read.
+        """
+        keyword, *arguments = statement.words
+        if keyword in KEYWORDS_WITH_ARGUMENTS and not arguments:
+            raise statement.error(f"{keyword}: something is missing")
+        if keyword == "bind":
+            self._read_bind(statement, arguments)
+        elif keyword == "acl":
+            self._read_acl(statement, arguments)
+        elif keyword == "use_backend":
+            self._read_use_backend(statement, arguments)
+        elif keyword == "default_backend":
+            self.default_rule = SwitchingRule(arguments[0], ALWAYS, statement)
+            self.report.record(statement.location, Disposition.CARRIED)
         else:
             return False
         return True
 
-    def _bind(self, line: Line, rest: list[str]) -> None:
-        for where in rest[0].split(","):
-            at = endpoint(line, where) if "-" not in where.rpartition(":")[2] else None
-            if at is None:
-                self.account.judge(line.at, "traffic", f"{where}: one address and port to listen on each")
-            else:
-                self.binds.append(at)
-                self.account.judge(line.at, "carried")
-        options = rest[1:]
+    def routes(self, listeners: list[str], is_only: bool, known: set[str]) -> list[dict[str, Any]]:
+        """The routes of connections to its listeners, in their order.
+
+        `is_only` says that there is no other frontend, so that routes need not name listeners; `known` has
+        the backends' names. Raises HaproxyImportError for a backend that does not exist.
+        """
+        own: ConditionGroups = ALWAYS if is_only else [[{"on": "listener", "is": listeners}]]
+        routes = []
+        for rule in self._all_rules(known):
+            rule.check_backends(known)
+            if not rule.groups:
+                continue
+            when = [[*listener, *group] for listener in own for group in rule.groups]
+            conditions = {"when": when} if when != [[]] else {}
+            routes.append({"pool": rule.backend, **conditions})
+        return routes
+
+    def _all_rules(self, known: set[str]) -> list[SwitchingRule]:
+        """The switching rules, and last the one for connections that none of them fits."""
+        if self.default_rule is not None:
+            return [*self.rules, self.default_rule]
+        if self.section.kind == "listen" and self.section.name in known:
+            statement = Statement(self.section.location, [])
+            return [*self.rules, SwitchingRule(self.section.name, ALWAYS, statement)]
+        return list(self.rules)
+
+    def _read_bind(self, statement: Statement, arguments: list[str]) -> None:
+        addresses, *options = arguments
+        for address in addresses.split(","):
+            self._read_bind_address(statement, address)
         while options:
-            word = options.pop(0)
-            found = fate("bind", word)
+            option = options.pop(0)
+            found = find_keyword("bind", option)
             if found is None:
-                self.account.judge(line.at, "traffic", f"{word}: not an option that is known here")
-            else:
-                self.account.judge(line.at, found.verdict, f"{word}: {found.says}")
-                del options[: found.words]
+                note = f"{option}: not an option that is known here"
+                self.report.record(statement.location, Disposition.TRAFFIC, note)
+                continue
+            self.report.record(statement.location, found.disposition, f"{option}: {found.note}")
+            del options[: found.argument_count]
 
-    def _use(self, line: Line, rest: list[str]) -> None:
-        backend, *condition = rest
+    def _read_bind_address(self, statement: Statement, address: str) -> None:
+        has_port_range = "-" in address.rpartition(":")[2]
+        endpoint = None if has_port_range else parse_endpoint(statement, address)
+        if endpoint is None:
+            note = f"{address}: one address and port to listen on each"
+            self.report.record(statement.location, Disposition.TRAFFIC, note)
+            return
+        self.binds.append(endpoint)
+        self.report.record(statement.location, Disposition.CARRIED)
+
+    def _read_acl(self, statement: Statement, arguments: list[str]) -> None:
+        try:
+            self.acls.add(statement, arguments)
+        except UnsupportedConditionError as error:
+            note = f"{error}; what uses it is named"
+            self.report.record(statement.location, Disposition.REFUSED, note)
+        else:
+            self.report.record(statement.location, Disposition.CARRIED)
+
+    def _read_use_backend(self, statement: Statement, arguments: list[str]) -> None:
+        backend, *condition = arguments
         if "%[" in backend:
-            self.account.judge(line.at, "traffic", "a backend whose name is made of the request's data")
+            note = "a backend whose name is made of the request's data"
+            self.report.record(statement.location, Disposition.TRAFFIC, note)
             return
         try:
-            groups = self.acls.condition(line, condition)
-        except Unsupported as error:
-            self.account.judge(line.at, "traffic", f"{error}: what would go there goes on to the next route")
+            groups = self.acls.parse_condition(statement, condition)
+        except UnsupportedConditionError as error:
+            note = f"{error}: what would go there goes on to the next route"
+            self.report.record(statement.location, Disposition.TRAFFIC, note)
             return
-        self.ways.append(Way(backend, groups, line))
-        self.account.judge(line.at, "carried" if groups else "harmless", "" if groups else "it never holds")
-
-    def routes(self, listeners: list[str], alone: bool, known: set[str]) -> list[dict[str, Any]]:
-        """Its routes in their order, for connections that come to its listeners."""
-        own: Groups = ALWAYS if alone else [[{"on": "listener", "is": listeners}]]
-        made = []
-        ways = [*self.ways, *([Way(self.default[0], ALWAYS, self.default[1])] if self.default else [])]
-        if not self.default and self.section.kind == "listen" and self.section.name in known:
-            ways.append(Way(self.section.name, ALWAYS, Line(self.section.at, [])))
-        for way in ways:
-            if way.backend not in known:
-                raise way.at.bad(f"there is no backend {way.backend}")
-            for group in way.groups:
-                for condition in group:
-                    pool = condition.get("pool")
-                    if pool and pool not in known:
-                        raise way.at.bad(f"there is no backend {pool}")
-            when = [[*a, *b] for a in own for b in way.groups]
-            if way.groups:
-                made.append({"pool": way.backend, **({"when": when} if when != [[]] else {})})
-        return made
+        self.rules.append(SwitchingRule(backend, groups, statement))
+        if groups:
+            self.report.record(statement.location, Disposition.CARRIED)
+        else:
+            self.report.record(statement.location, Disposition.HARMLESS, "it never holds")
--- a/puffindeck/importer/haproxy.py
+++ b/puffindeck/importer/haproxy.py
@@ -1,20 +1,23 @@
-"""HAProxy's configuration as an operator's file, and an account of what became of each statement."""
+"""HAProxy's configuration as an operator's file, and a report of what became of each statement."""
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Mapping
-from typing import Any
+from typing import Any, NamedTuple
 
-from puffindeck.importer.account import Account
-from puffindeck.importer.backend import Backend, Server
+from puffindeck.importer.backend import READ_TIMEOUTS, Backend
 from puffindeck.importer.frontend import Frontend
-from puffindeck.importer.sections import Section, judged, sections, whole
-from puffindeck.importer.statefile import states
-from puffindeck.importer.statement import ImportError_, Line
+from puffindeck.importer.import_report import Disposition, ImportReport
+from puffindeck.importer.keywords import record_keyword
+from puffindeck.importer.operator_file import build_operator_file
+from puffindeck.importer.sections import PROXY_KINDS, Section, SourceFile, read_sections
+from puffindeck.importer.server_state_file import ServerKey, ServerState, read_server_states
+from puffindeck.importer.statement import HaproxyImportError, Statement
+from puffindeck.importer.values import parse_integer
 
-__all__ = ["ImportError_", "convert", "convert_files"]
-SERVERS_ONLY = {
+__all__ = ["HaproxyImport", "HaproxyImportError", "SourceFile", "convert", "convert_files"]
+
+BACKEND_KEYWORDS = {
     "server",
     "server-template",
     "default-server",
@@ -26,241 +29,195 @@
     "fullconn",
     "timeout",
 }
-MAIN = "listen"  # the name of the listener that `listen` is, among several
+MAX_MAXCONN = 1 << 20
+DESCRIPTORS_PER_CONNECTION = 2
+RESERVED_DESCRIPTORS = 64
+
+
+class HaproxyImport(NamedTuple):
+    """The result of an import."""
+
+    table: dict[str, Any]  # the operator's file
+    report: ImportReport
+
+
+class _Selection(NamedTuple):
+    """The proxies' sections that are imported, and the others."""
+
+    selected: list[Section]
+    left_out: list[Section]
 
 
 class _Proxy:
-    """A section that is imported, as a way in, as servers, or as both."""
-
-    def __init__(self, section: Section, account: Account, states_: Any) -> None:
-        self.section, self.account = section, account
-        self.front = Frontend(section, account) if section.kind in ("frontend", "listen") else None
-        self.back = Backend(section, account, states_) if section.kind in ("backend", "listen") else None
-        account.judge(section.at, "carried")
-        for line in section.all():
-            self._take(line)
-
-    def _take(self, line: Line) -> None:
-        word, *rest = line.words
-        if self.back is not None and self.back.take(line):
+    """A section that is imported: as a frontend, as a backend, or as both."""
+
+    def __init__(self, section: Section, report: ImportReport, states: dict[ServerKey, ServerState]) -> None:
+        self.section = section
+        self.frontend = Frontend(section, report) if section.kind in ("frontend", "listen") else None
+        self.backend = Backend(section, report, states) if section.kind in ("backend", "listen") else None
+        self._report = report
+        report.record(section.location, Disposition.CARRIED)
+        for statement in section.all_statements():
+            self._read(statement)
+
+    def _read(self, statement: Statement) -> None:
+        if self.backend is not None and self.backend.read(statement):
             return
-        if self.front is not None and self.front.take(line):
+        if self.frontend is not None and self.frontend.read(statement):
             return
-        if word == "mode":
-            self._mode(line, rest)
-        elif word == "default_backend" and self.section.kind == "backend":
-            self.account.judge(line.at, "harmless", "for frontends")
-        elif (
-            self.back is None
-            and word in SERVERS_ONLY
-            and not (word == "timeout" and rest[:1] not in (["connect"], ["server"]))
-        ):
-            self.account.judge(line.at, "harmless", "for backends" if line in self.section.lines else "")
-        elif word == "bind" and self.front is None:
-            self.account.judge(line.at, "refused", "a backend does not listen")
-        else:
-            judged(self.account, "proxy", line)
-
-    def _mode(self, line: Line, rest: list[str]) -> None:
-        if rest[:1] == ["tcp"]:
-            self.account.judge(line.at, "carried")
-        elif rest[:1] == ["http"]:
-            self.account.judge(line.at, "traffic", "no HTTP here: connections are passed on as they are")
+        keyword, *arguments = statement.words
+        if keyword == "mode":
+            self._read_mode(statement, arguments)
+        elif keyword == "default_backend" and self.section.kind == "backend":
+            self._report.record(statement.location, Disposition.HARMLESS, "for frontends")
+        elif self._is_for_backends(keyword, arguments):
+            note = "for backends" if statement in self.section.statements else ""
+            self._report.record(statement.location, Disposition.HARMLESS, note)
+        elif keyword == "bind" and self.frontend is None:
+            self._report.record(statement.location, Disposition.REFUSED, "a backend does not listen")
         else:
-            self.account.judge(line.at, "traffic", f"no mode {' '.join(rest[:1])} here")
+            record_keyword(self._report, "proxy", statement)
+
+    def _is_for_backends(self, keyword: str, arguments: list[str]) -> bool:
+        """Whether a frontend has a statement that only backends use."""
+        if self.backend is not None or keyword not in BACKEND_KEYWORDS:
+            return False
+        return keyword != "timeout" or arguments[:1] in [[kind] for kind in READ_TIMEOUTS]
+
+    def _read_mode(self, statement: Statement, arguments: list[str]) -> None:
+        mode = arguments[0] if arguments else ""
+        if mode == "tcp":
+            self._report.record(statement.location, Disposition.CARRIED)
+            return
+        note = f"no mode {mode} here"
+        if mode == "http":
+            note = "no HTTP here: connections are passed on as they are"
+        self._report.record(statement.location, Disposition.TRAFFIC, note)
 
 
 def convert(
-    file: str,
-    text: str,
-    wanted: str = "",
-    environment: Mapping[str, str] | None = None,
-) -> tuple[dict[str, Any], Account]:
-    """As `convert_files`, for one file."""
-    return convert_files([(file, text)], wanted, environment)
+    file: str, text: str, backend: str = "", environment: Mapping[str, str] | None = None
+) -> HaproxyImport:
+    """Import one file. As `convert_files`."""
+    return convert_files([SourceFile(file, text)], backend, environment)
 
 
 def convert_files(
-    files: list[tuple[str, str]],
-    wanted: str = "",
+    files: list[SourceFile],
+    backend: str = "",
     environment: Mapping[str, str] | None = None,
-    state: tuple[str, str] | None = None,
-) -> tuple[dict[str, Any], Account]:
-    """An operator's file as a table, and the account of every statement.
+    server_states: SourceFile | None = None,
+) -> HaproxyImport:
+    """Import files, which are read in their order as one.
 
-    `files` are names and texts in their order, read as one; `wanted` is the only backend to import, where not
-    all are; `environment` has the variables that files name in weak quotes; `state` is a file of servers'
-    states. ImportError_ names file and line of what can't be read.
+    `backend` names the only backend to import, with its frontends; all are imported where it is empty.
+    `environment` has the variables that files name in weak quotes, `server_states` is a file of servers'
+    states. Raises HaproxyImportError, which names file and line of what cannot be read.
     """
-    account = Account()
-    found = sections(files, account, environment or {})
-    known_states = states(*state) if state else {}
-    chosen, left_out = _chosen(found, wanted, files[0][0])
-    for section in left_out:
-        account.judge(section.at, "traffic", "not among what is imported")
-        for line in section.lines:
-            account.judge(line.at, "refused", f"{section.kind} {section.name} is not imported")
-    proxies = [_Proxy(section, account, known_states) for section in chosen]
-    sockets = 0
-    for section in found:
+    report = ImportReport()
+    sections = read_sections(files, report, environment or {})
+    states = read_server_states(server_states.name, server_states.text) if server_states else {}
+    selection = _select_proxies(sections, backend, files[0].name)
+    _record_left_out(selection.left_out, report)
+    proxies = [_Proxy(section, report, states) for section in selection.selected]
+    descriptor_limit = _read_global_sections(sections, report)
+    _check_no_unused_state(states)
+    _record_empty_backends(proxies, report)
+    backends = [proxy.backend for proxy in proxies if proxy.backend is not None and proxy.backend.servers]
+    if not backends:
+        raise _no_backend_error(sections, files[0].name)
+    _record_unhashed_backends(backends, report)
+    table = build_operator_file(_used_frontends(proxies), backends, descriptor_limit, report)
+    return HaproxyImport(table, report)
+
+
+def _select_proxies(sections: list[Section], backend_name: str, file: str) -> _Selection:
+    proxies = [section for section in sections if section.kind in PROXY_KINDS]
+    if not backend_name:
+        return _Selection(proxies, [])
+    backend = next((s for s in proxies if s.name == backend_name and s.kind != "frontend"), None)
+    if backend is None:
+        raise HaproxyImportError(file, f"there is no backend {backend_name}")
+    selected = [s for s in proxies if s is backend or _is_frontend_of(s, backend_name)]
+    return _Selection(selected, [section for section in proxies if section not in selected])
+
+
+def _is_frontend_of(section: Section, backend_name: str) -> bool:
+    if section.kind != "frontend":
+        return False
+    wanted = ["default_backend", backend_name]
+    return any(statement.words == wanted for statement in section.all_statements())
+
+
+def _record_left_out(sections: list[Section], report: ImportReport) -> None:
+    for section in sections:
+        report.record(section.location, Disposition.TRAFFIC, "not among what is imported")
+        note = f"{section.kind} {section.name} is not imported"
+        for statement in section.statements:
+            report.record(statement.location, Disposition.REFUSED, note)
+
+
+def _read_global_sections(sections: list[Section], report: ImportReport) -> int:
+    """Record `global` and `defaults` sections. The result is the descriptor limit, 0 where none is set."""
+    descriptor_limit = 0
+    for section in sections:
         if section.kind == "global":
-            account.judge(section.at, "carried")
-            sockets = _global(section, account) or sockets
+            report.record(section.location, Disposition.CARRIED)
+            descriptor_limit = _read_global(section, report) or descriptor_limit
         elif section.kind == "defaults":
-            account.judge(section.at, "carried")
-            for line in section.lines:
-                if not account.entries[line.at].verdict:
-                    account.judge(line.at, "harmless", "no section that is imported has these defaults")
-    for at, one in known_states.items():
-        raise ImportError_(f"{one.at}: there is no server {at[0]}/{at[1]} in the configuration")
-    fronts = [p.front for p in proxies if p.front is not None and (p.front.binds or p.front.default)]
-    backs = [p.back for p in proxies if p.back is not None and p.back.servers]
+            report.record(section.location, Disposition.CARRIED)
+            _record_unused_defaults(section, report)
+    return descriptor_limit
+
+
+def _read_global(section: Section, report: ImportReport) -> int:
+    descriptor_limit = 0
+    for statement in section.statements:
+        keyword, *arguments = statement.words
+        if keyword != "maxconn" or not arguments:
+            record_keyword(report, "global", statement)
+            continue
+        maxconn = parse_integer(statement, arguments[0], 1, MAX_MAXCONN)
+        descriptor_limit = DESCRIPTORS_PER_CONNECTION * maxconn + RESERVED_DESCRIPTORS
+        note = f"limits.sockets = {descriptor_limit}: two descriptors a connection, and 64"
+        report.record(statement.location, Disposition.CHANGED, note)
+    return descriptor_limit
+
+
+def _record_unused_defaults(section: Section, report: ImportReport) -> None:
+    note = "no section that is imported has these defaults"
+    for statement in section.statements:
+        if report.results[statement.location].disposition is None:
+            report.record(statement.location, Disposition.HARMLESS, note)
+
+
+def _check_no_unused_state(states: dict[ServerKey, ServerState]) -> None:
+    """Check that the states of all servers were used. Raises HaproxyImportError."""
+    for key, state in states.items():
+        problem = f"there is no server {key.backend}/{key.server} in the configuration"
+        raise HaproxyImportError(state.location, problem)
+
+
+def _record_empty_backends(proxies: list[_Proxy], report: ImportReport) -> None:
     for proxy in proxies:
-        if proxy.section.kind == "backend" and proxy.back is not None and not proxy.back.servers:
-            account.judge(proxy.section.at, "traffic", "no server of it can be carried over")
-    if not backs:
-        last = next((s for s in reversed(found) if s.kind in ("backend", "listen")), None)
-        raise ImportError_(
-            f"{last.at if last else files[0][0]}: no backend has a server that can be carried over"
-        )
-    for back in backs:
-        if not (back.hashed and back.consistent):
-            account.judge(
-                back.section.at, "changed", "it is not placed by a consistent hash; here it will be"
-            )
-    return _table(fronts, backs, sockets, account), account
-
-
-def _chosen(found: list[Section], wanted: str, file: str) -> tuple[list[Section], list[Section]]:
-    """The sections that are imported, and those that are not."""
-    proxies = [s for s in found if s.kind in ("frontend", "backend", "listen")]
-    if not wanted:
-        return proxies, []
-    backend = next((s for s in proxies if s.name == wanted and s.kind != "frontend"), None)
-    if backend is None:
-        raise ImportError_(f"{file}: there is no backend {wanted}")
-    chosen = [
-        s
-        for s in proxies
-        if s is backend
-        or (s.kind == "frontend" and any(line.words == ["default_backend", wanted] for line in s.all()))
-    ]
-    return chosen, [s for s in proxies if s not in chosen]
-
-
-def _global(section: Section, account: Account) -> int:
-    sockets = 0
-    for line in section.lines:
-        if line.words[0] == "maxconn" and len(line.words) > 1:
-            sockets = 2 * whole(line, line.words[1], 1, 1 << 20) + 64
-            account.judge(
-                line.at, "changed", f"limits.sockets = {sockets}: two descriptors a connection, and 64"
-            )
-        else:
-            judged(account, "global", line)
-    return sockets
-
-
-def _table(fronts: list[Frontend], backs: list[Backend], sockets: int, account: Account) -> dict[str, Any]:
-    main = backs[0]
-    if fronts and fronts[0].default and any(b.name == fronts[0].default[0] for b in backs):
-        main = next(b for b in backs if b.name == fronts[0].default[0])
-    binds = [at for front in fronts for at in front.binds]
-    repeated = Counter(server.name for back in backs for server in back.servers)
-
-    def uid(back: Backend, server: Server) -> str:
-        return server.name if repeated[server.name] == 1 else f"{back.name}/{server.name}"
-
-    connects = [back.times["connect"] for back in backs if "connect" in back.times]
-    deadlines = [back.times["server"] for back in backs if "server" in back.times]
-    deadline = max(deadlines, default=3000.0)
-    for back in backs:
-        for kind, most in (("connect", max(connects, default=0.0)), ("server", deadline)):
-            if kind in back.times and back.times[kind] != most:
-                account.judge(
-                    back.section.at,
-                    "changed",
-                    f"timeout {kind} is the same for all: the longest, {most:g} ms",
-                )
-    settings: dict[str, Any] = {
-        "peersTotal": 1,
-        "locality": 0,
-        "zones": ["site"],
-        "kinds": ["server"],
-        "membershipMode": "automatic",
-        "weights": "nominal",
-        "classes": [
-            {"name": main.name, "aimMs": min(500.0, deadline), "hardLimitMs": deadline, "repeat": "pure"}
-        ],
-        "limits": {
-            "maxAttempts": max(b.attempts for b in backs),
-            "connectTimeoutMs": max(connects, default=250.0),
-            "cancelling": True,
-            "retryAfter": True,
-            "maxRetryAfterMs": 1500,
-        },
-        "rules": {
-            "drainGraceMs": 500,
-            "answerSlackMs": 20,
-            "coldFrom": 0.31,
-            "warmAfterMs": max(0.0, main.warm_ms) or 9000,
-            "overloadFactor": 3,
-            "fallMs": 1000,
-        },
-    }
-    table: dict[str, Any] = {
-        "name": main.name,
-        "listen": binds[0] if binds else "127.0.0.1:5000",
-        **({"limits": {"sockets": sockets}} if sockets else {}),
-        "settings": settings,
-        "known": {
-            "rev": 1,
-            "all": True,
-            "targets": [server.target(uid(back, server)) for back in backs for server in back.servers],
-        },
-    }
-    routes, listeners = _routes(fronts, {back.name for back in backs})
-    if len(backs) == 1 and backs[0].plain() and len(binds) <= 1 and not any(front.ways for front in fronts):
-        if main.bound:
-            settings["bound"] = main.bound
-        return table
-    pools: dict[str, Any] = {}
-    for back in backs:
-        first, *rest = back.tiers(lambda server, back=back: uid(back, server))  # type: ignore[misc]
-        limits = {uid(back, server): server.limit for server in back.servers if server.limit}
-        pools[back.name] = {
-            "members": first,
-            **({"backups": rest} if rest else {}),
-            **({"server_limits": limits} if limits else {}),
-            "attempts": back.attempts,
-            **({"bound": back.bound} if back.bound else {}),
-            **({"warm_ms": back.warm_ms} if back.warm_ms >= 0 else {}),
-        }
-    table["routing"] = {
-        **({"default": main.name} if not fronts else {}),
-        "pools": pools,
-        **({"listeners": listeners} if listeners else {}),
-        **({"routes": routes} if routes else {}),
-    }
-    return table
-
-
-def _routes(fronts: list[Frontend], known: set[str]) -> tuple[list[dict[str, Any]], dict[str, str]]:
-    """All routes, and the listeners beside the first."""
-    names: dict[int, list[str]] = {}
-    listeners: dict[str, str] = {}
-    first = True
-    for i, front in enumerate(fronts):
-        for j, at in enumerate(front.binds):
-            name = MAIN if first else front.section.name if j == 0 else f"{front.section.name}-{j + 1}"
-            if not first:
-                listeners[name] = at
-            first = False
-            names.setdefault(i, []).append(name)
-    alone = len(fronts) == 1
-    return [
-        route
-        for i, front in enumerate(fronts)
-        if alone or i in names
-        for route in front.routes(names.get(i, []), alone, known)
-    ], listeners
+        if proxy.section.kind == "backend" and proxy.backend is not None and not proxy.backend.servers:
+            note = "no server of it can be carried over"
+            report.record(proxy.section.location, Disposition.TRAFFIC, note)
+
+
+def _no_backend_error(sections: list[Section], file: str) -> HaproxyImportError:
+    locations = [section.location for section in sections if section.kind in ("backend", "listen")]
+    location = locations[-1] if locations else file
+    return HaproxyImportError(location, "no backend has a server that can be carried over")
+
+
+def _record_unhashed_backends(backends: list[Backend], report: ImportReport) -> None:
+    for backend in backends:
+        if not (backend.is_hashed and backend.is_consistent):
+            note = "it is not placed by a consistent hash; here it will be"
+            report.record(backend.section.location, Disposition.CHANGED, note)
+
+
+def _used_frontends(proxies: list[_Proxy]) -> list[Frontend]:
+    frontends = [proxy.frontend for proxy in proxies if proxy.frontend is not None]
+    return [frontend for frontend in frontends if frontend.binds or frontend.default_rule is not None]
--- a/puffindeck/importer/lexer.py
+++ b/puffindeck/importer/lexer.py
@@ -13,32 +13,36 @@
 
 BLANKS = " \t"
 ESCAPES = {"n": "\n", "r": "\r", "t": "\t"}
-NAME = "[A-Za-z_.][A-Za-z0-9_.]*"
-VARIABLE = re.compile(rf"\$(?:({NAME})|\{{({NAME})(\[\*\])?(?:-([^}}]*))?\}})")
-MOST = 2048  # characters of a line, HAProxy's own limit by default (LINESIZE)
-MOST_WORDS = 64  # of a line, HAProxy's own limit (MAX_LINE_ARGS)
+PLAIN_IN_WEAK_QUOTES = ('"', "\\", "$")  # behind a \\
+VARIABLE_NAME = "[A-Za-z_.][A-Za-z0-9_.]*"
+VARIABLE = re.compile(
+    rf"\$(?:({VARIABLE_NAME})|\{{(?P<name>{VARIABLE_NAME})(?P<list>\[\*\])?(?:-(?P<default>[^}}]*))?\}})"
+)
+MAX_LINE_CHARACTERS = 2048  # HAProxy's own limit by default (LINESIZE)
+MAX_LINE_WORDS = 64  # HAProxy's own limit (MAX_LINE_ARGS)
 
 
-class SyntaxFault(ValueError):
-    """A line that HAProxy would not read either. `at` is FILE:LINE, and the text begins with it."""
+class HaproxySyntaxError(ValueError):
+    """A line that HAProxy would not read either. `location` is FILE:LINE, and the text begins with it."""
 
-    def __init__(self, at: str, why: str) -> None:
-        super().__init__(f"{at}: {why}")
-        self.at, self.why = at, why
+    def __init__(self, location: str, problem: str) -> None:
+        super().__init__(f"{location}: {problem}")
+        self.location = location
+        self.problem = problem
 
 
 @dataclass(slots=True)
 class Word:
-    """A word as it is meant, and as it was written."""
+    """A word: its text without quotes, escapes and variables, and as it was written."""
 
     text: str
     raw: str
-    unset: tuple[str, ...] = ()  # variables that it names and nobody has set
+    unset: tuple[str, ...] = ()  # variables in it that are not set
 
 
 @dataclass(slots=True)
 class Line:
-    """A line of a file: its words, and between them and around them what makes it whole again."""
+    """A line of a file: its words, and all that stands between and around them."""
 
     file: str
     number: int
@@ -48,145 +52,167 @@
     end: str = "\n"
 
     @property
-    def at(self) -> str:
+    def location(self) -> str:
         """Where it stands, as FILE:LINE."""
         return f"{self.file}:{self.number}"
 
     @property
     def texts(self) -> list[str]:
-        """Its words as they are meant."""
+        """The texts of its words."""
         return [word.text for word in self.words]
 
-    def written(self) -> str:
+    def render(self) -> str:
         """The line as it was read."""
         parts = [gap + word.raw for gap, word in zip(self.gaps, self.words, strict=False)]
         return "".join(parts) + self.gaps[-1] + self.comment + self.end
 
 
-class _Reader:
-    """One line on its way into words."""
-
-    def __init__(self, at: str, text: str, environment: Mapping[str, str]) -> None:
-        self.at, self.text, self.environment = at, text, environment
-        self.place = 0
-        self.unset: list[str] = []
-        self.split: list[str] | None = None  # the rest of a list of words that a variable holds
-
-    def gap(self) -> str:
-        begun = self.place
-        while self.place < len(self.text) and self.text[self.place] in BLANKS:
-            self.place += 1
-        return self.text[begun : self.place]
-
-    def words(self) -> Iterator[Word]:
-        """The word at this place; several, where a variable holds a list of them."""
-        begun, self.unset = self.place, []
-        meant, more = "", list[str]()
-        while self.place < len(self.text):
-            character = self.text[self.place]
-            if character in BLANKS or character == "#":
-                break
-            self.place += 1
-            if character == "\\":
-                meant += self._escaped()
-            elif character == "'":
-                meant += self._strong()
-            elif character == '"':
-                parts = self._weak()
-                meant += parts[0]
-                if len(parts) > 1:
-                    more += [meant, *parts[1:-1]]
-                    meant = parts[-1]
-            else:
-                meant += character
-        raw = self.text[begun : self.place]
-        for i, text in enumerate([*more, meant]):
-            yield Word(text, "" if i else raw, tuple(self.unset) if not i else ())
-
-    def _escaped(self) -> str:
-        if self.place >= len(self.text):
-            raise SyntaxFault(self.at, "a \\ with nothing behind it")
-        character = self.text[self.place]
-        self.place += 1
+class _LineReader:
+    """Splits one line into words."""
+
+    def __init__(self, location: str, text: str, environment: Mapping[str, str]) -> None:
+        self.position = 0
+        self._location = location
+        self._text = text
+        self._environment = environment
+        self._unset: list[str] = []  # variables of the word at hand
+
+    def at_end(self) -> bool:
+        """Whether only a comment or nothing is left."""
+        return self.position >= len(self._text) or self._text[self.position] == "#"
+
+    def read_blanks(self) -> str:
+        """The blanks at this position."""
+        begin = self.position
+        while self.position < len(self._text) and self._text[self.position] in BLANKS:
+            self.position += 1
+        return self._text[begin : self.position]
+
+    def read_words(self) -> Iterator[Word]:
+        """The word at this position; several where a variable has a list of words.
+
+        The first of several has all of what was written.
+        """
+        begin = self.position
+        self._unset = []
+        texts = [""]
+        while self.position < len(self._text) and self._text[self.position] not in (*BLANKS, "#"):
+            first, *others = self._read_piece()
+            texts[-1] += first
+            texts += others
+        raw = self._text[begin : self.position]
+        yield Word(texts[0], raw, tuple(self._unset))
+        for text in texts[1:]:
+            yield Word(text, "")
+
+    def _read_piece(self) -> list[str]:
+        """A plain character, an escaped one or a quoted part; several texts for a list of words."""
+        character = self._text[self.position]
+        self.position += 1
+        if character == "\\":
+            return [self._read_escape()]
+        if character == "'":
+            return [self._read_strong_quotes()]
+        if character == '"':
+            return self._read_weak_quotes()
+        return [character]
+
+    def _error(self, problem: str) -> HaproxySyntaxError:
+        return HaproxySyntaxError(self._location, problem)
+
+    def _read_escape(self) -> str:
+        if self.position >= len(self._text):
+            raise self._error("a \\ with nothing behind it")
+        character = self._text[self.position]
+        self.position += 1
         if character != "x":
             return ESCAPES.get(character, character)
-        digits = self.text[self.place : self.place + 2]
+        digits = self._text[self.position : self.position + 2]
         if not re.fullmatch("[0-9A-Fa-f]{2}", digits):
-            raise SyntaxFault(self.at, f"\\x wants two hexadecimal digits, not {digits!r}")
-        self.place += 2
+            raise self._error(f"\\x wants two hexadecimal digits, not {digits!r}")
+        self.position += 2
         return chr(int(digits, 16))
 
-    def _strong(self) -> str:
-        end = self.text.find("'", self.place)
+    def _read_strong_quotes(self) -> str:
+        end = self._text.find("'", self.position)
         if end < 0:
-            raise SyntaxFault(self.at, "a ' is never closed")
-        meant, self.place = self.text[self.place : end], end + 1
-        return meant
+            raise self._error("a ' is never closed")
+        quoted = self._text[self.position : end]
+        self.position = end + 1
+        return quoted
 
-    def _weak(self) -> list[str]:
-        """What stands in weak quotes: one part, or as many as a list of words has."""
+    def _read_weak_quotes(self) -> list[str]:
+        """The text in weak quotes: one part, or as many as a list of words has."""
         parts = [""]
-        while self.place < len(self.text):
-            character = self.text[self.place]
-            if character == '"':
-                self.place += 1
+        while self.position < len(self._text):
+            if self._text[self.position] == '"':
+                self.position += 1
                 return parts
-            if character == "\\" and self.text[self.place + 1 : self.place + 2] in ('"', "\\", "$"):
-                parts[-1] += self.text[self.place + 1]
-                self.place += 2
-            elif character == "\\" and self.text[self.place + 1 : self.place + 2] in (*ESCAPES, "x"):
-                self.place += 1
-                parts[-1] += self._escaped()
-            elif character == "$" and (found := VARIABLE.match(self.text, self.place)):
-                self.place = found.end()
-                value = self._value(found)
-                several = value.split() if found[3] else [value]
-                parts[-1] += several[0] if several else ""
-                parts += several[1:]
-            else:
-                parts[-1] += character
-                self.place += 1
-        raise SyntaxFault(self.at, 'a " is never closed')
-
-    def _value(self, found: re.Match[str]) -> str:
-        name = found[1] or found[2]
-        if name in self.environment:
-            return self.environment[name]
-        if found[4] is not None:
-            return found[4]
-        self.unset.append(name)
+            first, *others = self._read_weakly_quoted_piece()
+            parts[-1] += first
+            parts += others
+        raise self._error('a " is never closed')
+
+    def _read_weakly_quoted_piece(self) -> list[str]:
+        character = self._text[self.position]
+        following = self._text[self.position + 1 : self.position + 2]
+        variable = VARIABLE.match(self._text, self.position) if character == "$" else None
+        if variable:
+            self.position = variable.end()
+            value = self._value_of(variable)
+            return (value.split() or [""]) if variable["list"] else [value]
+        self.position += 1
+        if character == "\\" and following in PLAIN_IN_WEAK_QUOTES:
+            self.position += 1
+            return [following]
+        if character == "\\" and following in (*ESCAPES, "x"):
+            return [self._read_escape()]
+        return [character]
+
+    def _value_of(self, variable: re.Match[str]) -> str:
+        name = variable[1] or variable["name"]
+        if name in self._environment:
+            return self._environment[name]
+        if variable["default"] is not None:
+            return variable["default"]
+        self._unset.append(name)
         return ""
 
 
-def lines(file: str, text: str, environment: Mapping[str, str] | None = None) -> list[Line]:
-    """All lines of a file's text. SyntaxFault names the first that can't be read.
-
-    `environment` has the variables that weak quotes name; words say which of theirs nobody has set.
+def _read_line(line: Line, body: str, environment: Mapping[str, str]) -> None:
+    """Fill a line with the words, gaps and the comment of its text."""
+    if "\0" in body:
+        raise HaproxySyntaxError(line.location, "a NUL byte")
+    if len(body) > MAX_LINE_CHARACTERS:
+        raise HaproxySyntaxError(line.location, f"over {MAX_LINE_CHARACTERS} characters")
+    reader = _LineReader(line.location, body, environment)
+    line.gaps = [reader.read_blanks()]
+    while not reader.at_end():
+        for word in reader.read_words():
+            line.words.append(word)
+            line.gaps.append("")
+        line.gaps[-1] = reader.read_blanks()
+    if len(line.words) > MAX_LINE_WORDS:
+        raise HaproxySyntaxError(line.location, f"over {MAX_LINE_WORDS} words")
+    line.comment = body[reader.position :]
+
+
+def read_lines(file: str, text: str, environment: Mapping[str, str] | None = None) -> list[Line]:
+    """All lines of a file's text. Raises HaproxySyntaxError for the first that cannot be read.
+
+    `environment` has the variables that weak quotes name.
     """
-    found = []
-    for number, whole in enumerate(re.split(r"(?<=\n)", text), 1):
-        if not whole:
+    lines = []
+    for number, written in enumerate(re.split(r"(?<=\n)", text), 1):
+        if not written:
             continue
-        body = whole.removesuffix("\n").removesuffix("\r")
-        line = Line(file, number, end=whole[len(body) :])
-        if "\0" in body:
-            raise SyntaxFault(line.at, "a NUL byte")
-        if len(body) > MOST:
-            raise SyntaxFault(line.at, f"over {MOST} characters")
-        reader = _Reader(line.at, body, environment or {})
-        line.gaps = [reader.gap()]
-        while reader.place < len(body) and body[reader.place] != "#":
-            for word in reader.words():
-                line.words.append(word)
-                line.gaps.append("")
-            line.gaps[-1] = reader.gap()
-        if len(line.words) > MOST_WORDS:
-            raise SyntaxFault(line.at, f"over {MOST_WORDS} words")
-        line.comment = body[reader.place :]
-        found.append(line)
-    return found
-
-
-def written(all_lines: list[Line]) -> str:
+        body = written.removesuffix("\n").removesuffix("\r")
+        line = Line(file, number, end=written[len(body) :])
+        _read_line(line, body, environment or {})
+        lines.append(line)
+    return lines
+
+
+def render(lines: list[Line]) -> str:
     """A file's text as it was read."""
-    return "".join(line.written() for line in all_lines)
+    return "".join(line.render() for line in lines)
--- a/puffindeck/importer/sections.py
+++ b/puffindeck/importer/sections.py
@@ -1,20 +1,19 @@
-"""Sections of HAProxy's configuration and their statements, with what the manual says of figures in them."""
+"""Sections of HAProxy's configuration and their statements."""
 
 from __future__ import annotations
 
-import re
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from ipaddress import ip_address
+from typing import NamedTuple
 
 from puffindeck.importer import lexer
-from puffindeck.importer.account import Account
-from puffindeck.importer.branches import Branches
-from puffindeck.importer.keywords import fate
-from puffindeck.importer.statement import ImportError_, Line
+from puffindeck.importer.conditional_blocks import ConditionalBlocks
+from puffindeck.importer.import_report import Disposition, ImportReport
+from puffindeck.importer.statement import HaproxyImportError, Statement
 
-SECTIONS = ("global", "defaults", "frontend", "backend", "listen")
-OTHERS = {
+PROXY_KINDS = ("frontend", "backend", "listen")
+SECTION_KINDS = ("global", "defaults", *PROXY_KINDS)
+REFUSED_SECTIONS = {  # and why
     "userlist": "no HTTP here",
     "peers": "nodes share nothing here",
     "resolvers": "no look-up of names here",
@@ -26,128 +25,133 @@
     "fcgi-app": "no FastCGI here",
     "log-forward": "its logs",
 }
-UNITS = {"us": 0.001, "ms": 1.0, "s": 1000.0, "m": 60000.0, "h": 3_600_000.0, "d": 86_400_000.0, "": 1.0}
+
+
+class SourceFile(NamedTuple):
+    """A file and its text."""
+
+    name: str
+    text: str
 
 
 @dataclass(slots=True)
 class Section:
-    """A section with what it takes from its defaults."""
+    """A section and the defaults section whose statements it inherits."""
 
     kind: str
     name: str
-    at: str
-    lines: list[Line] = field(default_factory=list)
-    base: Section | None = None
+    location: str  # FILE:LINE
+    statements: list[Statement] = field(default_factory=list)
+    defaults: Section | None = None
 
-    def all(self) -> list[Line]:
-        """Its lines after those of its defaults, so that the last word on a thing is its own."""
-        return (self.base.all() if self.base else []) + self.lines
+    def all_statements(self) -> list[Statement]:
+        """Its statements behind those of its defaults, so that its own come last."""
+        inherited = self.defaults.all_statements() if self.defaults else []
+        return inherited + self.statements
 
 
-def statements(file: str, text: str, environment: Mapping[str, str]) -> list[Line]:
-    """The lines that say something, as words."""
+def _unset_variable(line: lexer.Line) -> str:
+    """The first word of a line with a variable that is not set, and the variable's name; else empty."""
+    for word in line.words:
+        if word.unset:
+            return f"{word.raw}: {word.unset[0]}"
+    return ""
+
+
+def read_statements(file: SourceFile, environment: Mapping[str, str]) -> list[Statement]:
+    """The lines of a file that have words. Raises HaproxyImportError for a line that cannot be read."""
     try:
-        read = lexer.lines(file, text, environment)
-    except lexer.SyntaxFault as error:
-        raise ImportError_(str(error)) from None
-    return [
-        Line(
-            line.at,
-            line.texts,
-            next((f"{word.raw}: {word.unset[0]}" for word in line.words if word.unset), ""),
-        )
-        for line in read
-        if line.words
-    ]
-
-
-def sections(files: list[tuple[str, str]], account: Account, environment: Mapping[str, str]) -> list[Section]:
-    """The sections of files, read one after another, each with the defaults that hold for it."""
-    found: list[Section] = []
-    defaults: dict[str, Section] = {}
-    last: Section | None = None
-    current: Section | None = None
-    other, branches = "", Branches(environment)
-    for line in (line for file, text in files for line in statements(file, text, environment)):
-        word, *rest = line.words
-        account.open(line.at, line.words)
-        if word.startswith("."):
-            account.judge(line.at, "carried", branches.take(line))
-            continue
-        if not branches.taken:
-            account.judge(line.at, "harmless", "in a part whose condition is not met")
-            continue
-        if line.unset:
-            raise line.bad(f"{line.unset} is not set in the environment")
-        if word in SECTIONS:
-            name = rest[0] if rest else ""
-            if not name and word in ("frontend", "backend", "listen"):
-                raise line.bad(f"{word} has no name")
-            if any(s.kind == word and s.name == name for s in found) and word != "defaults" and name:
-                raise line.bad(f"{word} {name} stands twice")
-            base = last if word in ("frontend", "backend", "listen") else None
-            if "from" in rest[1:]:
-                wanted = rest[rest.index("from") + 1 : rest.index("from") + 2]
-                if not wanted or wanted[0] not in defaults:
-                    raise line.bad("from names no defaults that stand before it")
-                base = defaults[wanted[0]]
-            current, other = Section(word, name, line.at, base=base), ""
-            found.append(current)
-            if word == "defaults":
-                last = current
-                if name:
-                    defaults[name] = current
-        elif word in OTHERS:
-            account.judge(line.at, "refused", OTHERS[word])
-            current, other = None, OTHERS[word]
-        elif current is not None:
-            current.lines.append(line)
-        elif other:
-            account.judge(line.at, "refused", other)
+        lines = lexer.read_lines(file.name, file.text, environment)
+    except lexer.HaproxySyntaxError as error:
+        raise HaproxyImportError(error.location, error.problem) from None
+    return [Statement(line.location, line.texts, _unset_variable(line)) for line in lines if line.words]
+
+
+class _SectionReader:
+    """Collects sections from statements in their order."""
+
+    def __init__(self, report: ImportReport, environment: Mapping[str, str]) -> None:
+        self.sections: list[Section] = []
+        self.blocks = ConditionalBlocks(environment)
+        self._report = report
+        self._named_defaults: dict[str, Section] = {}
+        self._latest_defaults: Section | None = None
+        self._current: Section | None = None
+        self._refusal = ""  # why the section at hand is refused; empty if it is not
+
+    def read(self, statement: Statement) -> None:
+        """Take a statement into its section and into the report."""
+        location = statement.location
+        self._report.add(location, statement.words)
+        if statement.words[0].startswith("."):
+            self._report.record(location, Disposition.CARRIED, self.blocks.read(statement))
+            return
+        if not self.blocks.is_active:
+            note = "in a part whose condition is not met"
+            self._report.record(location, Disposition.HARMLESS, note)
+            return
+        if statement.unset_variable:
+            raise statement.error(f"{statement.unset_variable} is not set in the environment")
+        self._read_active(statement)
+
+    def _read_active(self, statement: Statement) -> None:
+        keyword = statement.words[0]
+        if keyword in SECTION_KINDS:
+            self._begin_section(statement)
+        elif keyword in REFUSED_SECTIONS:
+            self._current = None
+            self._refusal = REFUSED_SECTIONS[keyword]
+            self._report.record(statement.location, Disposition.REFUSED, self._refusal)
+        elif self._current is not None:
+            self._current.statements.append(statement)
+        elif self._refusal:
+            self._report.record(statement.location, Disposition.REFUSED, self._refusal)
         else:
-            raise line.bad(f"{word!r} stands in no section that is known")
-    branches.end(files[-1][0])
-    return found
-
-
-def judged(account: Account, place: str, line: Line) -> None:
-    """The verdict on a statement that the table of keywords knows. With `no` before it, it is off there."""
-    words = line.words
-    off = words[0] == "no" and len(words) > 1
-    if off or (words[0] == "default" and len(words) > 1):
-        words = words[1:]
-    found = fate(place, *words)
-    if found is None:
-        account.judge(line.at, "traffic", f"{words[0]}: not a keyword that is known here")
-    elif off and found.verdict in ("refused", "traffic"):
-        account.judge(line.at, "harmless", "off there, and not here at all")
-    else:
-        account.judge(line.at, found.verdict, found.says)
-
-
-def milliseconds(line: Line, text: str) -> float:
-    """A time as HAProxy writes it: a whole number, and a unit or none for milliseconds."""
-    match = re.fullmatch(r"(\d+)(us|ms|s|m|h|d|)", text)
-    if not match:
-        raise line.bad(f"{text!r} is no time")
-    return int(match[1]) * UNITS[match[2]]
-
-
-def whole(line: Line, text: str, low: int, high: int) -> int:
-    if not text.isdecimal() or not low <= int(text) <= high:
-        raise line.bad(f"{text!r} is no whole number from {low} to {high}")
-    return int(text)
-
-
-def endpoint(line: Line, text: str) -> str | None:
-    """ADDRESS:PORT as an operator's file has it, or None for one that it can't have."""
-    host, _, port = re.sub(r"^(ipv4|ipv6|inet)@", "", text).rpartition(":")
-    host = host.removeprefix("[").removesuffix("]") or "0.0.0.0"
-    host = "0.0.0.0" if host == "*" else host
-    try:
-        wide = ip_address(host).version == 6
-    except ValueError:
-        return None
-    if not port.isdecimal() or not 0 < int(port) <= 65535:
-        raise line.bad(f"{text!r} has no port from 1 to 65535")
-    return f"[{host}]:{port}" if wide else f"{host}:{port}"
+            raise statement.error(f"{keyword!r} stands in no section that is known")
+
+    def _begin_section(self, statement: Statement) -> None:
+        kind, *arguments = statement.words
+        name = arguments[0] if arguments else ""
+        self._check_name(statement, kind, name)
+        defaults = self._defaults_of(statement, kind, arguments)
+        section = Section(kind, name, statement.location, defaults=defaults)
+        self._current = section
+        self._refusal = ""
+        self.sections.append(section)
+        if kind == "defaults":
+            self._latest_defaults = section
+            if name:
+                self._named_defaults[name] = section
+
+    def _check_name(self, statement: Statement, kind: str, name: str) -> None:
+        if not name and kind in PROXY_KINDS:
+            raise statement.error(f"{kind} has no name")
+        if not name or kind == "defaults":
+            return
+        if any(section.kind == kind and section.name == name for section in self.sections):
+            raise statement.error(f"{kind} {name} stands twice")
+
+    def _defaults_of(self, statement: Statement, kind: str, arguments: list[str]) -> Section | None:
+        if "from" not in arguments[1:]:
+            return self._latest_defaults if kind in PROXY_KINDS else None
+        position = arguments.index("from") + 1
+        if position >= len(arguments) or arguments[position] not in self._named_defaults:
+            raise statement.error("from names no defaults that stand before it")
+        return self._named_defaults[arguments[position]]
+
+
+def read_sections(
+    files: Iterable[SourceFile], report: ImportReport, environment: Mapping[str, str]
+) -> list[Section]:
+    """The sections of files, read one after another, each with the defaults that hold for it.
+
+    All statements are added to the report. Raises HaproxyImportError for what cannot be read.
+    """
+    reader = _SectionReader(report, environment)
+    last_file = ""
+    for file in files:
+        last_file = file.name
+        for statement in read_statements(file, environment):
+            reader.read(statement)
+    reader.blocks.end(last_file)
+    return reader.sections
--- a/tests/importer/test_haproxy.py
+++ b/tests/importer/test_haproxy.py
@@ -14,7 +14,7 @@
 
 from puffindeck import config
 from puffindeck.importer import haproxy, lexer
-from puffindeck.importer.keywords import table
+from puffindeck.importer.keywords import keyword_table
 
 ROOT = Path(__file__).parents[2]
 COMMAND = ("-m", "puffindeck.cli", "import", "haproxy")
@@ -104,7 +104,7 @@
     ],
 )
 def test_bad_input_is_named_by_file_and_line(text: str, line: int) -> None:
-    with pytest.raises(haproxy.ImportError_, match=rf"^h\.cfg:{line}: "):
+    with pytest.raises(haproxy.HaproxyImportError, match=rf"^h\.cfg:{line}: "):
         haproxy.convert("h.cfg", text)
 
 
@@ -119,15 +119,15 @@
 
     def test_several_backends_arrive_as_pools_unless_one_is_chosen(self) -> None:
         text = "backend a\n server x 127.0.0.1:1\nbackend b\n server y 127.0.0.1:2\n"
-        table, account = haproxy.convert("h.cfg", text)
+        table, report = haproxy.convert("h.cfg", text)
         self.assertEqual(
             {name: pool["members"] for name, pool in table["routing"]["pools"].items()},
             {"a": ["x"], "b": ["y"]},
         )
-        table, account = haproxy.convert("h.cfg", text, "b")
+        table, report = haproxy.convert("h.cfg", text, "b")
         self.assertEqual([t["uid"] for t in table["known"]["targets"]], ["y"])
         self.assertEqual(
-            [e.verdict for e in account.entries.values()], ["traffic", "refused", "changed", "carried"]
+            [e.disposition for e in report.results.values()], ["traffic", "refused", "changed", "carried"]
         )
 
     def test_a_refusal_that_traffic_feels_is_an_end_of_its_own_and_writes_nothing(self) -> None:
@@ -160,25 +160,25 @@
         if place == "proxy":
             return BASE + "".join(f" {name} {'1s' if 'timeout' in name else 'x'}\n" for name in names)
         if place == "server":
-            follow = {name: " 1" * table()[place][name].words for name in names}
+            follow = {name: " 1" * keyword_table()[place][name].argument_count for name in names}
             return BASE + "".join(
                 f" server s{i} 127.0.0.1:{i + 2} {name}{follow[name]}\n" for i, name in enumerate(names)
             )
-        follow = {name: " 1" * table()[place][name].words for name in names}
+        follow = {name: " 1" * keyword_table()[place][name].argument_count for name in names}
         return BASE + "".join(
             f"frontend f{i}\n bind :{i + 1} {name}{follow[name]}\n default_backend b\n"
             for i, name in enumerate(names)
         )
 
-    names = [name.replace("*", "x") for name in table()[place] if name != "*"]
+    names = [name.replace("*", "x") for name in keyword_table()[place] if name != "*"]
     if place == "server":
-        names = [name for name in table()[place] if not name.endswith("*")]
+        names = [name for name in keyword_table()[place] if not name.endswith("*")]
     for some in (*([name] for name in names), names):
-        _, account = haproxy.convert("h.cfg", text(*some))
-        assert not account.silent()
-        assert len(account.entries) == sum(bool(line.strip()) for line in text(*some).splitlines())
-        assert sum(account.counts().values()) == len(account.entries)
-        assert not [e for e in account.entries.values() if "not a keyword" in "; ".join(e.says)]
+        _, report = haproxy.convert("h.cfg", text(*some))
+        assert not report.without_disposition()
+        assert len(report.results) == sum(bool(line.strip()) for line in text(*some).splitlines())
+        assert sum(report.counts().values()) == len(report.results)
+        assert not [e for e in report.results.values() if "not a keyword" in "; ".join(e.notes)]
 
 
 @pytest.mark.parametrize(
@@ -197,9 +197,9 @@
     ],
 )
 def test_what_looks_alike_is_told_apart(line: str, verdict: str, says: str) -> None:
-    made, account = haproxy.convert("h.cfg", f"{BASE} {line}\n")
-    entry = account.entries["h.cfg:3"]
-    assert (entry.verdict, says in "; ".join(entry.says)) == (verdict, True), entry
+    made, report = haproxy.convert("h.cfg", f"{BASE} {line}\n")
+    entry = report.results["h.cfg:3"]
+    assert (entry.disposition, says in "; ".join(entry.notes)) == (verdict, True), entry
     if "backup" in line:  # it must not take traffic, as it would not there
         pool = made["routing"]["pools"]["b"]
         assert (pool["members"], pool["backups"]) == (["a"], [["x"]])
@@ -208,5 +208,5 @@
 def test_twenty_thousand_lines_are_read_in_time() -> None:
     text = BASE + "".join(f" server s{i} 10.0.0.1:{i + 1} check weight {i % 256}\n" for i in range(20000))
     began = time.perf_counter()
-    lexer.lines("h.cfg", text)
+    lexer.read_lines("h.cfg", text)
     assert time.perf_counter() - began < 20  # about 0.5 s; a machine that is busy takes longer
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -65,8 +65,8 @@
 
     def bring(self, name: str, text: str) -> None:
         """Import a text into the operator's file."""
-        table, self.account = haproxy.convert(name, text, environment=self.environment)
-        self.assertEqual(self.account.silent(), [])
+        table, self.report = haproxy.convert(name, text, environment=self.environment)
+        self.assertEqual(self.report.without_disposition(), [])
         self.path.write_bytes(msgspec.toml.encode(table))
 
     async def close_all(self) -> None:
@@ -236,7 +236,7 @@
 
     async def test_a_member_operators_whole_file(self) -> None:
         reference = await self.begin("12-member-operator.cfg")
-        refused = {e.words[0] for e in self.account.entries.values() if e.verdict == "traffic"}
+        refused = {e.words[0] for e in self.report.results.values() if e.disposition == "traffic"}
         self.assertEqual(refused, {"use_backend", "stick-table", "tcp-request", "server"})
         ways = [("127.0.0.1", "FRONT"), ("127.0.0.9", "FRONT"), ("127.0.0.1", "SECOND")]
         await self.compare(reference, ways, times=16)
--- a/tests/importer/test_lexer.py
+++ b/tests/importer/test_lexer.py
@@ -7,13 +7,13 @@
 from hypothesis import strategies as st
 
 from puffindeck.importer import haproxy
-from puffindeck.importer.lexer import SyntaxFault, lines, written
+from puffindeck.importer.lexer import HaproxySyntaxError, read_lines, render
 
 ENVIRONMENT = {"HOST": "10.0.0.1", "LIST": "a b  c", "EMPTY": ""}
 
 
 def words(text: str) -> list[str]:
-    (line,) = lines("h.cfg", text, ENVIRONMENT)
+    (line,) = read_lines("h.cfg", text, ENVIRONMENT)
     return line.texts
 
 
@@ -34,7 +34,7 @@
 )
 def test_a_line_is_read_as_the_manual_says(text: str, wanted: list[str]) -> None:
     assert words(text) == wanted
-    assert written(lines("h.cfg", text, ENVIRONMENT)) == text
+    assert render(read_lines("h.cfg", text, ENVIRONMENT)) == text
 
 
 @pytest.mark.parametrize(
@@ -50,14 +50,14 @@
     ],
 )
 def test_what_cant_be_read_names_its_line(text: str, why: str) -> None:
-    with pytest.raises(SyntaxFault, match=why):
-        lines("h.cfg", text)
+    with pytest.raises(HaproxySyntaxError, match=why):
+        read_lines("h.cfg", text)
 
 
 def test_a_variable_that_nobody_has_set_is_named() -> None:
-    (line,) = lines("h.cfg", 'bind "${NOBODY}:80"')
+    (line,) = read_lines("h.cfg", 'bind "${NOBODY}:80"')
     assert line.words[1].unset == ("NOBODY",)
-    with pytest.raises(haproxy.ImportError_, match=r'^h.cfg:2: "\$\{NOBODY\}:1": NOBODY is not set'):
+    with pytest.raises(haproxy.HaproxyImportError, match=r'^h.cfg:2: "\$\{NOBODY\}:1": NOBODY is not set'):
         haproxy.convert("h.cfg", 'backend b\n server a "${NOBODY}:1"\n')
     table, _ = haproxy.convert("h.cfg", 'backend b\n server a "${HOST}:1"\n', environment=ENVIRONMENT)
     assert table["known"]["targets"][0]["endpoint"] == "10.0.0.1:1"
@@ -67,9 +67,9 @@
 @given(st.text(alphabet=" \t\n\r\\'\"#${}[*]-aAx0:é", max_size=60))
 def test_whatever_is_read_is_written_back(text: str) -> None:
     try:
-        found = lines("h.cfg", text, ENVIRONMENT)
-    except SyntaxFault as error:
+        found = read_lines("h.cfg", text, ENVIRONMENT)
+    except HaproxySyntaxError as error:
         assert str(error).startswith("h.cfg:")  # noqa: PT017
         return
-    assert written(found) == text
+    assert render(found) == text
     assert [line.number for line in found] == list(range(1, len(found) + 1))
--- a/tests/importer/test_sections.py
+++ b/tests/importer/test_sections.py
@@ -15,18 +15,19 @@
 
 from puffindeck import config
 from puffindeck.importer import acl, haproxy
-from puffindeck.importer.statement import Line
+from puffindeck.importer.sections import SourceFile
+from puffindeck.importer.statement import Statement
 
 ROOT = Path(__file__).parents[2]
-LINE = Line("h.cfg:1", ["use_backend"])
+STATEMENT = Statement("h.cfg:1", ["use_backend"])
 BACKENDS = "backend a\n server x 127.0.0.1:1\nbackend b\n server y 127.0.0.1:2\n"
 
 
 def groups(text: str, *acls: str) -> Any:
     known = acl.Acls()
     for one in acls:
-        known.add(LINE, one.split())
-    return known.condition(LINE, text.split())
+        known.add(STATEMENT, one.split())
+    return known.parse_condition(STATEMENT, text.split())
 
 
 NEAR = {"on": "source", "is": ["10.0.0.0/8"]}
@@ -82,7 +83,7 @@
     ],
 )
 def test_a_condition_that_haproxy_would_not_read_is_an_error(text: str) -> None:
-    with pytest.raises(haproxy.ImportError_, match=r"^h\.cfg:1: "):
+    with pytest.raises(haproxy.HaproxyImportError, match=r"^h\.cfg:1: "):
         groups(text, "near src 10.0.0.0/8")
 
 
@@ -98,17 +99,17 @@
     ],
 )
 def test_what_is_not_known_of_a_connection_is_said_to_be(text: str) -> None:
-    with pytest.raises(acl.Unsupported):
+    with pytest.raises(acl.UnsupportedConditionError):
         groups(text, "odd hdr(host) -i a.example")
 
 
 def test_every_option_of_a_bind_has_its_word() -> None:
-    _, account = haproxy.convert(
+    _, report = haproxy.convert(
         "h.cfg", "frontend f\n bind :7 name x crt /etc/y ssl teleport\n default_backend a\n" + BACKENDS
     )
-    entry = account.entries["h.cfg:2"]
-    assert entry.verdict == "traffic"
-    assert [says.split(":")[0] for says in entry.says] == ["name", "crt", "ssl", "teleport"]
+    entry = report.results["h.cfg:2"]
+    assert entry.disposition == "traffic"
+    assert [says.split(":")[0] for says in entry.notes] == ["name", "crt", "ssl", "teleport"]
 
 
 def test_a_route_that_cannot_be_told_affects_traffic_and_the_others_stay() -> None:
@@ -116,8 +117,8 @@
         "frontend f\n bind :7\n use_backend a if { req.ssl_sni x }\n use_backend b if { src 10.0.0.1 }\n"
         " default_backend a\n" + BACKENDS
     )
-    table, account = haproxy.convert("h.cfg", text)
-    assert account.entries["h.cfg:3"].verdict == "traffic"
+    table, report = haproxy.convert("h.cfg", text)
+    assert report.results["h.cfg:3"].disposition == "traffic"
     assert [route["pool"] for route in table["routing"]["routes"]] == ["b", "a"]
 
 
@@ -140,7 +141,7 @@
     ],
 )
 def test_errors_name_the_line(text: str, line: int) -> None:
-    with pytest.raises(haproxy.ImportError_, match=rf"^h\.cfg:{line}: "):
+    with pytest.raises(haproxy.HaproxyImportError, match=rf"^h\.cfg:{line}: "):
         haproxy.convert("h.cfg", text)
 
 
@@ -164,9 +165,9 @@
 def test_parts_count_by_their_conditions(condition: str, met: bool) -> None:
     one, other = BACKENDS.split("backend b")[0], "backend b" + BACKENDS.split("backend b")[1]
     text = f".if {condition}\n{one}.else\n{other}.endif\n"
-    table, account = haproxy.convert("h.cfg", text, environment={"SITE": "atlanta"})
+    table, report = haproxy.convert("h.cfg", text, environment={"SITE": "atlanta"})
     assert table["name"] == ("a" if met else "b")
-    assert not account.silent()
+    assert not report.without_disposition()
 
 
 def test_a_part_that_does_not_count_may_name_what_is_not_set() -> None:
@@ -211,10 +212,12 @@
 )
 def test_what_an_administrator_set_arrives(admin: int, weight: int, state: str, hint: float) -> None:
     text = STATE.format(admin=admin, weight=weight)
-    table, account = haproxy.convert_files([("h.cfg", BACKENDS)], state=("s", text))
+    table, report = haproxy.convert_files(
+        [SourceFile("h.cfg", BACKENDS)], server_states=SourceFile("s", text)
+    )
     found = {t["uid"]: (t["state"], t["capacity_hint"]) for t in table["known"]["targets"]}
     assert found == {"x": (state, hint), "y": ("SERVING", 7)}, "what checks found is not taken over"
-    assert account.entries["h.cfg:2"].verdict == ("changed" if admin & 9 else "carried")
+    assert report.results["h.cfg:2"].disposition == ("changed" if admin & 9 else "carried")
 
 
 @pytest.mark.parametrize(
@@ -232,8 +235,8 @@
     ],
 )
 def test_a_state_file_that_cannot_be_used_is_refused_whole(text: str, at: str) -> None:
-    with pytest.raises(haproxy.ImportError_, match=f"^{at}: "):
-        haproxy.convert_files([("h.cfg", BACKENDS)], state=("s", text))
+    with pytest.raises(haproxy.HaproxyImportError, match=f"^{at}: "):
+        haproxy.convert_files([SourceFile("h.cfg", BACKENDS)], server_states=SourceFile("s", text))
 
 
 def test_servers_of_one_name_and_templates_and_backups_alone() -> None:
@@ -357,11 +360,11 @@
 def test_whatever_the_words_the_importer_ends_with_a_file_or_an_error(lines: list[str]) -> None:
     text = "\n".join(["backend a", " server s 127.0.0.1:9", *lines]) + "\n"
     try:
-        _, account = haproxy.convert("h.cfg", text, environment={"X": "a b"})
-    except haproxy.ImportError_ as error:
+        _, report = haproxy.convert("h.cfg", text, environment={"X": "a b"})
+    except haproxy.HaproxyImportError as error:
         named = str(error)
     else:
         named = "h.cfg:"
-        assert not account.silent()
-        assert len(account.entries) == sum(bool(line.split("#")[0].strip()) for line in text.splitlines())
+        assert not report.without_disposition()
+        assert len(report.results) == sum(bool(line.split("#")[0].strip()) for line in text.splitlines())
     assert named.startswith("h.cfg:")
