--- a/packages/fleet/tests/test_parts.py
+++ b/packages/fleet/tests/test_parts.py
@@ -105,7 +105,7 @@
     sliced, standing = found.quota.limits
     assert (sliced.amount, sliced.window_ms, sliced.strict) == (100, 10000, True)
     assert (standing.unit, standing.tenant) == ("standing", "*")
-    assert (found.residency.ruleset.version, found.residency.rejects_when_stale) == (7, True)
+    assert (found.residency.ruleset.version, found.residency.refuse_when_stale) == (7, True)
     assert parse_fleet_member(None, None, None, "e1") is None
 
 
--- a/puffindeck/config/residency.py
+++ b/puffindeck/config/residency.py
@@ -46,7 +46,7 @@
     """The rules, checked."""
 
     ruleset: Book
-    rejects_when_stale: bool  # whether a member that has lost its quorum rejects requests
+    refuse_when_stale: bool  # whether a member that has lost its quorum rejects requests
     stale_after_ms: float
     moved_within_ms: float
 
@@ -118,6 +118,6 @@
     )
 
 
-def decode_ruleset(text: bytes) -> Book:
+def parse_ruleset(text: bytes) -> Book:
     """The rules that another member has sent as JSON. Raises ValueError if they cannot be used here."""
     return parse_residency(msgspec.json.decode(text)).ruleset
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -50,16 +50,16 @@
             )
         books = None
         if rules is not None:
-            from puffindeck.config.residency import decode_ruleset
+            from puffindeck.config.residency import parse_ruleset
             from puffindeck_residency import Books, RegionalBalancer
 
             books = Books(
                 self.told.name,
                 rules.ruleset,
-                decode_ruleset,
+                parse_ruleset,
                 installed.voters,
                 rules.stale_after_ms,
-                rules.rejects_when_stale,
+                rules.refuse_when_stale,
             )
             balancer = RegionalBalancer(settings, self.told.seed)
             balancer.region_of = self._region_of(books)
