--- a/puffindeck/config/client_config.py
+++ b/puffindeck/config/client_config.py
@@ -5,7 +5,7 @@
 import secrets
 from datetime import timedelta
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 
@@ -16,6 +16,9 @@
 from puffindeck.config.routing import RoutingTable, parse_routing
 from puffindeck.interface import Settings
 
+if TYPE_CHECKING:
+    from puffindeck.routing import Routing
+
 
 class TlsTable(msgspec.Struct, forbid_unknown_fields=True):
     """Files in PEM; relative paths start at the configuration's folder."""
@@ -82,7 +85,7 @@
     known: EndpointList
     settings: Settings
     rpc: RpcConfig
-    routing: Any = None  # puffindeck.routing.Routing, which a client without one does not load
+    routing: Routing | None = None  # its package is not loaded by a client without routing
 
 
 def _read_pem(folder: Path, name: str, key: str) -> bytes:
--- a/puffindeck/config/node_config.py
+++ b/puffindeck/config/node_config.py
@@ -21,6 +21,7 @@
 
 if TYPE_CHECKING:
     from puffindeck.config.fleet import FleetMemberConfig
+    from puffindeck.routing import Routing
 
 MIN_DESCRIPTORS = 64  # fewer would not do for discovery, the listener and one client
 
@@ -61,7 +62,7 @@
     known: EndpointList
     settings: Settings
     quic: QuicConfig | None = None
-    routing: Any = None  # puffindeck.routing.Routing, which a node without one does not load
+    routing: Routing | None = None  # its package is not loaded by a node without routing
     fleet_member: FleetMemberConfig | None = None  # None: a node that is no member of a fleet
     operator: tuple[str, int] | None = None  # None: no second address
     json_logs: bool = False  # log lines as JSON
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -10,7 +10,8 @@
 
 
 def test_the_operators_files_that_are_shipped_are_read() -> None:
-    told = config.load_node_config({}, str(ROOT / "deploy/operator-pools.toml"))
-    assert {pool.name for pool in told.routing.pools} == {"claims", "partners"}
-    assert told.json_logs
+    node_config = config.load_node_config({}, str(ROOT / "deploy/operator-pools.toml"))
+    assert node_config.routing is not None
+    assert {pool.name for pool in node_config.routing.pools} == {"claims", "partners"}
+    assert node_config.json_logs
     assert config.load_node_config({}, str(ROOT / "deploy/operator-quic.toml")).quic is not None
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -108,7 +108,9 @@
     text = (Path(__file__).parents[2] / "deploy/client-grpc.toml").read_text()
     pools = '\n[routing]\ndefault = "all"\n[routing.pools.all]\nmembers = ["box-*"]\n'
     (tmp_path / "c.toml").write_text(text + pools)
-    assert load_client_config(tmp_path / "c.toml").routing.table.default == "all"
+    routing = load_client_config(tmp_path / "c.toml").routing
+    assert routing is not None
+    assert routing.table.default == "all"
     (tmp_path / "c.toml").write_text(text + pools + '[routing.listeners]\nx = "127.0.0.1:1"\n')
     with pytest.raises(config.ConfigError, match=r"routing\.listeners"):
         load_client_config(tmp_path / "c.toml")
