--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -49,13 +49,13 @@
         self._config_file = config_file
         self._start_failed = False
 
-    def read_config(self) -> config.Node:
+    def read_config(self) -> config.NodeConfig:
         """Read the configuration; from now on SIGHUP reloads it. Raises ConfigError if it can't be used."""
         # The handler comes first, so that no change of the file is missed from the moment that it is read.
         _on_signal(signal.SIGHUP, self._reload)
-        return config.node(os.environ, self._config_file)
+        return config.load_node_config(os.environ, self._config_file)
 
-    def run(self, node_config: config.Node) -> int:
+    def run(self, node_config: config.NodeConfig) -> int:
         """Run the node until it is stopped; returns the exit status."""
         self._node = Node(reactor, node_config, Clock())
         # Clients may connect, and count their time, from the moment that the port is open. So it opens in a
@@ -68,7 +68,7 @@
         return EXIT_FAILURE if self._start_failed or self._node.failed else 0
 
     def _reload(self) -> None:
-        self._node.reload(lambda now: config.again(now, os.environ, self._config_file))
+        self._node.reload(lambda now: config.reload_node_config(now, os.environ, self._config_file))
 
     def _start(self) -> None:
         if self._node.leaving is not None:  # a signal has stopped it before its start
--- a/puffindeck/cli/commands.py
+++ b/puffindeck/cli/commands.py
@@ -9,25 +9,31 @@
 import os
 import sys
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import click
 import msgspec
 
 from puffindeck import __version__, config
 from puffindeck.importer import haproxy
-from puffindeck.importer.account import Account
-from puffindeck.importer.command import replaced, texts
+from puffindeck.importer.files import read_file, read_files, replace_file
+from puffindeck.importer.import_report import Disposition, ImportReport
+
+if TYPE_CHECKING:
+    from puffindeck.routing import Pool, Routing
 
 FILE = click.Path(dir_okay=False, path_type=Path)
+EXIT_FAILED = 2
+EXIT_TRAFFIC_AFFECTED = 3  # `import --strict`
 
 
-class Stop(click.ClickException):
-    """An end with one line that says why."""
+class CommandError(click.ClickException):
+    """The command cannot go on: one line on standard error, exit code 2."""
 
-    exit_code = 2
+    exit_code = EXIT_FAILED
 
     def show(self, file: Any = None) -> None:
+        """Print the line on standard error."""
         click.echo(f"puffindeck: {self.message}", err=True)
 
 
@@ -43,9 +49,9 @@
 )
 def run(file: Path | None) -> None:
     """Run one node until SIGTERM."""
-    from puffindeck.__main__ import main as node  # installs the reactor
+    from puffindeck.__main__ import main as run_node  # installs the reactor
 
-    sys.exit(node(["--config", str(file)] if file else []))
+    sys.exit(run_node(["--config", str(file)] if file else []))
 
 
 @main.command()
@@ -53,30 +59,37 @@
 def check(file: Path) -> None:
     """Read an operator's file as a node would, and say what it has. No socket is opened."""
     try:
-        told = config.node({}, str(file))
+        node = config.load_node_config({}, str(file))
     except config.ConfigError as error:
-        raise Stop(str(error)) from None
-    host, port = told.listen
+        raise CommandError(str(error)) from None
+    host, port = node.listen
+    class_names = ", ".join(request_class.name for request_class in node.settings.classes)
     click.echo(
-        f"{file}: node {told.name} on {host}:{port}, {len(told.known.targets)} servers, classes "
-        f"{', '.join(c.name for c in told.settings.classes)}"
+        f"{file}: node {node.name} on {host}:{port}, {len(node.known.targets)} servers, classes {class_names}"
     )
-    if told.routing is None:
-        return
-    for name, (where, number) in told.routing.listeners.items():
-        click.echo(f"  listener {name} on {where}:{number}")
-    listed = [target.uid for target in told.known.targets]
-    for pool in told.routing.pools:
+    if node.routing is not None:
+        _describe_routing(file, node, node.routing)
+
+
+def _describe_routing(file: Path, node: config.NodeConfig, routing: Routing) -> None:
+    for name, (host, port) in routing.listeners.items():
+        click.echo(f"  listener {name} on {host}:{port}")
+    for pool in routing.pools:
         tiers = "; then ".join(", ".join(tier) for tier in pool.tiers)
         click.echo(f"  pool {pool.name}: {tiers}")
-        if told.discovery is None:
-            lost = [
-                s for tier in pool.tiers for s in tier if "*" not in s and "?" not in s and s not in listed
-            ]
-            if lost:
-                raise Stop(f"{file}: routing.pools.{pool.name}: {lost[0]} is not in known")
-    for i, route in enumerate(told.routing.table.routes):
-        click.echo(f"  route {i + 1}: {route.pool}{' under conditions' if route.when else ''}")
+        if node.discovery is None:
+            _check_servers_are_known(file, node, pool)
+    for number, route in enumerate(routing.table.routes, 1):
+        click.echo(f"  route {number}: {route.pool}{' under conditions' if route.when else ''}")
+
+
+def _check_servers_are_known(file: Path, node: config.NodeConfig, pool: Pool) -> None:
+    """Check a pool of a file without discovery. Raises CommandError for a server that is not in `known`."""
+    known = {target.uid for target in node.known.targets}
+    for server in (server for tier in pool.tiers for server in tier):
+        is_pattern = "*" in server or "?" in server
+        if not is_pattern and server not in known:
+            raise CommandError(f"{file}: routing.pools.{pool.name}: {server} is not in known")
 
 
 @main.group("import")
@@ -87,47 +100,59 @@
 @import_.command("haproxy")
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
 @click.option("-o", "--output", type=FILE, help="Where to write; standard output if left out.")
-@click.option("--report", type=FILE, help="Where to write the account of every statement, as JSON.")
-@click.option("--state", type=FILE, help="A file of servers' states, as `show servers state` writes it.")
+@click.option(
+    "--report", "report_file", type=FILE, help="Where to write the account of every statement, as JSON."
+)
+@click.option(
+    "--state", "state_file", type=FILE, help="A file of servers' states, as `show servers state` writes it."
+)
 @click.option("--backend", default="", help="The only backend to import, with its frontends.")
 @click.option("--strict", is_flag=True, help="Write nothing and exit with 3 where traffic is affected.")
 @click.option(
-    "--table", "table_", is_flag=True, help="Print the verdict on every statement, not on some only."
+    "--table", "every_statement", is_flag=True, help="Print the verdict on every statement, not on some only."
 )
 def import_haproxy(
     files: tuple[Path, ...],
     output: Path | None,
-    report: Path | None,
-    state: Path | None,
+    report_file: Path | None,
+    state_file: Path | None,
     backend: str,
     strict: bool,
-    table_: bool,
+    every_statement: bool,
 ) -> None:
     """Read HAProxy configuration FILES in their order (of a folder all *.cfg, by name)."""
     try:
-        read = texts(files)
-        held = texts([state])[0] if state else None
-        made, account = haproxy.convert_files(read, backend, os.environ, held)
-        told(account, table_)
-        if report:
-            replaced(report, msgspec.json.format(msgspec.json.encode(account.report())) + b"\n")
-        if strict and account.affects_traffic():
-            sys.exit(3)
-        written = msgspec.toml.encode(made)
-        if output:
-            replaced(output, written)
-        else:
-            sys.stdout.buffer.write(written)
-    except haproxy.ImportError_ as error:
-        raise Stop(str(error)) from None
+        sources = read_files(files)
+        server_states = read_file(state_file) if state_file else None
+        table, report = haproxy.convert_files(sources, backend, os.environ, server_states)
+        _print_report(report, every_statement)
+        if report_file:
+            replace_file(report_file, _encode_report(report))
+        if strict and report.affects_traffic():
+            sys.exit(EXIT_TRAFFIC_AFFECTED)
+        _write_operator_file(msgspec.toml.encode(table), output)
+    except haproxy.HaproxyImportError as error:
+        raise CommandError(str(error)) from None
     except OSError as error:
-        raise Stop(f"{error.filename or files[0]}: {error.strerror}") from None
+        raise CommandError(f"{error.filename or files[0]}: {error.strerror}") from None
+
+
+def _encode_report(report: ImportReport) -> bytes:
+    return msgspec.json.format(msgspec.json.encode(report.to_json_object())) + b"\n"
+
+
+def _write_operator_file(content: bytes, output: Path | None) -> None:
+    if output:
+        replace_file(output, content)
+    else:
+        sys.stdout.buffer.write(content)
 
 
-def told(account: Account, every: bool) -> None:
-    """The account for people, on standard error."""
-    for line in account.lines(every):
+def _print_report(report: ImportReport, every_statement: bool) -> None:
+    """Print the report for people on standard error."""
+    for line in report.text_lines(every_statement):
         click.echo(line, err=True)
-    counts = account.counts()
-    verdicts = ", ".join(f"{counts[v]} {v}" for v in ("carried", "changed", "refused", "harmless"))
-    click.echo(f"{len(account.entries)} statements: {verdicts}", err=True)
+    counts = report.counts()
+    shown = (Disposition.CARRIED, Disposition.CHANGED, Disposition.REFUSED, Disposition.HARMLESS)
+    totals = ", ".join(f"{counts[disposition.value]} {disposition.value}" for disposition in shown)
+    click.echo(f"{len(report.results)} statements: {totals}", err=True)
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -21,7 +21,7 @@
 
     def _governed(self, balancer: Any) -> Decisions:
         """The decision module, behind the quotas where there are any."""
-        installed, settings = self.told.installation, self.told.settings
+        installed, settings = self.told.fleet_member, self.told.settings
         if installed is None:
             decisions: Decisions = balancer
             return decisions
@@ -49,7 +49,7 @@
             )
         ruleset_store = None
         if rules is not None:
-            from puffindeck.config.fleet import parse_ruleset
+            from puffindeck.config.residency import parse_ruleset
             from puffindeck_residency import RegionalBalancer, RulesetStore
 
             ruleset_store = RulesetStore(
@@ -98,9 +98,12 @@
 
     def _tenant(self, view: Any) -> str:
         """The first tenant whose conditions hold; else `default`."""
-        for name, groups in self.told.installation.quota.tenants:
+        installed = self.told.fleet_member
+        assert installed is not None
+        assert installed.quota is not None
+        for name, groups in installed.quota.tenants:
             if any(all(one.holds(view) for one in group) for group in groups):
-                return str(name)
+                return name
         return "default"
 
     def _usurped(self, error: Exception) -> None:
@@ -115,7 +118,7 @@
 
     def _rejoin(self) -> None:
         """Limits and peers of a file that was read anew."""
-        installed = self.told.installation
+        installed = self.told.fleet_member
         if self.fleet is not None and installed is not None:
             rules = installed.residency
             self.fleet.reload(
--- a/puffindeck/simulator/session.py
+++ b/puffindeck/simulator/session.py
@@ -73,7 +73,7 @@
         text = data[SETTINGS_HEADER.size :]
         if len(text) < size:
             raise FrameError("truncated frame: the settings are cut short")
-        self._instances[self._selected] = Balancer(config.settings(text[:size]), seed)
+        self._instances[self._selected] = Balancer(config.decode_settings(text[:size]), seed)
         self._events[self._selected] = []
 
     def _decide(self, instance: int, events: list[Event], now_ms: float) -> list[bytes]:
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -15,7 +15,7 @@
 import puffindeck_quota.messages as quota_messages
 import puffindeck_residency.messages as residency_messages
 from puffindeck import simulator
-from puffindeck.config.fleet import installation
+from puffindeck.config.fleet import parse_fleet_member
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Settings
 from puffindeck.net.records import Records
@@ -173,7 +173,7 @@
     peers: Iterable[tuple[Any, ...]],
 ) -> dict[str, bytes]:
     """The JSON of each operators' call of a gateway that has just started and knows those peers."""
-    installed = installation(fleet, quota, residency, name)
+    installed = parse_fleet_member(fleet, quota, residency, name)
     assert installed is not None
     assert installed.quota is not None
     deadlines = TimerQueue(FixedClock(), SimpleNamespace())  # type: ignore[arg-type]
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -56,7 +56,7 @@
         self.path = Path(folder.name, "operator.toml")
         self.bring(name, text)
         with patch.dict(os.environ, {"TMPDIR": folder.name}):
-            told = config.node(os.environ, str(self.path))
+            told = config.load_node_config(os.environ, str(self.path))
         self.cls = told.settings.classes[0].name
         self.node = NetNode(reactor, told, Clock())
         self.node.start()
@@ -65,8 +65,8 @@
 
     def bring(self, name: str, text: str) -> None:
         """Import a text into the operator's file."""
-        table, self.account = haproxy.convert(name, text, environment=self.environment)
-        self.assertEqual(self.account.silent(), [])
+        table, self.report = haproxy.convert(name, text, environment=self.environment)
+        self.assertEqual(self.report.without_disposition(), [])
         self.path.write_bytes(msgspec.toml.encode(table))
 
     async def close_all(self) -> None:
@@ -154,11 +154,11 @@
             changed = text.replace(*change)
             self.assertNotEqual(changed, text)
             self.bring(name, changed)
-            self.node.reload(lambda told: config.again(told, os.environ, str(self.path)))
+            self.node.reload(lambda told: config.reload_node_config(told, os.environ, str(self.path)))
             await self.compare(Reference(changed, self.environment), [("127.0.0.1", "FRONT")], times=16)
             self.assertFalse([client for client in standing if client.end is not None])
         self.bring(name, text)
-        self.node.reload(lambda told: config.again(told, os.environ, str(self.path)))
+        self.node.reload(lambda told: config.reload_node_config(told, os.environ, str(self.path)))
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=30)
 
     async def test_backups_in_order(self) -> None:
@@ -236,7 +236,7 @@
 
     async def test_a_member_operators_whole_file(self) -> None:
         reference = await self.begin("12-member-operator.cfg")
-        refused = {e.words[0] for e in self.account.entries.values() if e.verdict == "traffic"}
+        refused = {e.words[0] for e in self.report.results.values() if e.disposition == "traffic"}
         self.assertEqual(refused, {"use_backend", "stick-table", "tcp-request", "server"})
         ways = [("127.0.0.1", "FRONT"), ("127.0.0.9", "FRONT"), ("127.0.0.1", "SECOND")]
         await self.compare(reference, ways, times=16)
