--- a/packages/faults/src/puffindeck_faults/discovery.py
+++ b/packages/faults/src/puffindeck_faults/discovery.py
@@ -8,6 +8,7 @@
 from dataclasses import asdict, dataclass
 
 from puffindeck_faults.records import HostChange, Records, now
+from puffindeck_testing.ports import free_port
 
 EMPTY_LINE_S = 2.0  # how often a watch says that it is alive
 
@@ -46,8 +47,8 @@
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._serve(node, reader, writer)
 
-        server = await asyncio.start_server(serve, self._address, self.ports.get(node, 0))
-        self.ports[node], self._servers[node] = server.sockets[0].getsockname()[1], server
+        port = self.ports.setdefault(node, free_port())
+        self._servers[node] = await asyncio.start_server(serve, self._address, port)
 
     def stop(self) -> None:
         """Down: calls are refused, watches end."""
--- a/packages/faults/src/puffindeck_faults/hosts.py
+++ b/packages/faults/src/puffindeck_faults/hosts.py
@@ -9,6 +9,7 @@
 from enum import Enum, auto
 
 from puffindeck_faults.records import Attempt, Records, now
+from puffindeck_testing.ports import free_port
 
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER, socket(7): on, for 0 s
 
@@ -32,15 +33,14 @@
         self.name, self._records, self._address = name, records, address
         self.behaviour = Behaviour.SERVE
         self.delay_s = 0.0  # before UP
-        self.port = 0
+        self.port = free_port()
         self._server: asyncio.Server | None = None
         self._open: dict[asyncio.StreamWriter, Attempt] = {}
         self._count = 0
 
     async def start(self) -> None:
-        """Listen, at the same port as before once it has had one."""
+        """Listen; at the same port after a death."""
         self._server = await asyncio.start_server(self._serve, self._address, self.port, backlog=512)
-        self.port = self._server.sockets[0].getsockname()[1]
 
     async def die(self) -> None:
         """As a process that is killed: all connections are reset, new ones refused."""
--- a/packages/faults/src/puffindeck_faults/node_process.py
+++ b/packages/faults/src/puffindeck_faults/node_process.py
@@ -6,7 +6,6 @@
 import json
 import os
 import signal
-import socket
 import subprocess
 import sys
 from collections.abc import Sequence
@@ -17,19 +16,13 @@
 from puffindeck_faults.clients import Class
 from puffindeck_faults.machine import Machine
 from puffindeck_faults.records import NodeLife, Records, now
+from puffindeck_testing.node_exit import NodeExitedError, raise_if_exited
+from puffindeck_testing.ports import free_port, own_address
 
-LOOPBACK = "127.0.0.1"
 READY_WITHIN_S = 20.0
 LONGEST_S, AFTER_S = 3.0, 0.7  # the kill comes the longest deadline (3 s at most) and this after SIGTERM
 
 
-def free_port(address: str = LOOPBACK) -> int:
-    """A TCP port of an address of loopback that nobody has now."""
-    with socket.socket() as held:
-        held.bind((address, 0))
-        return int(held.getsockname()[1])
-
-
 def settings(classes: Sequence[Class], gateways: int, **changes: Any) -> dict[str, Any]:
     """Settings by the keys of the protocol page; `changes` go over its tables."""
     told: dict[str, Any] = {
@@ -78,15 +71,14 @@
 class NodeProcess:
     """One node: its file, its port, its machine, and one process after another."""
 
-    def __init__(
-        self, name: str, folder: Path, records: Records, seed: int, sockets: int = 256, address: str = LOOPBACK
-    ) -> None:
+    def __init__(self, name: str, folder: Path, records: Records, seed: int, sockets: int = 256) -> None:
         self.name, self._records, self._seed, self.sockets = name, records, seed, sockets
-        self._address = address
+        self._address = own_address()
         self.folder = folder / name
         self.folder.mkdir(parents=True)
         (self.folder / "tmp").mkdir()
-        self.port, self.operator = free_port(address), free_port(address)
+        self.port = free_port()
+        self.operator = free_port()
         self.machine = Machine(self.folder, seed, self.folder / "tmp")
         self.config: dict[str, Any] = {}
         self.process: subprocess.Popen[bytes] | None = None
@@ -113,7 +105,7 @@
         draft.replace(self.folder / "config.json")
 
     async def start(self) -> None:
-        """Start a process and wait until it says PONG. Raises TimeoutError."""
+        """Start a process and wait until it says PONG. Raises NodeExitedError, TimeoutError."""
         self._lives += 1
         environment = {
             **os.environ,
@@ -122,7 +114,7 @@
             "EDGE_OPERATOR": f"{self._address}:{self.operator}",
             "TMPDIR": str(self.folder / "tmp"),
         }
-        with (self.folder / f"log.{self._lives}").open("wb") as log:
+        with self._log_path().open("wb") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "puffindeck"],
                 env=environment,
@@ -133,11 +125,20 @@
             )
         self.life = NodeLife(self.name, now())
         self._records.lives.append(self.life)
-        await asyncio.wait_for(self._until_ready(), READY_WITHIN_S)
+        await asyncio.wait_for(self._until_ready(self.process), READY_WITHIN_S)
         self.life.ready = now()
 
-    async def _until_ready(self) -> None:
+    def _log_path(self) -> Path:
+        """The file that the current process writes its log to."""
+        return self.folder / f"log.{self._lives}"
+
+    async def _until_ready(self, process: subprocess.Popen[bytes]) -> None:
         while not await self.ping():
+            try:
+                raise_if_exited(self.name, process, self._log_path())
+            except NodeExitedError:
+                self._ended()
+                raise
             await asyncio.sleep(0.05)
 
     async def ping(self) -> bool:
--- a/packages/faults/src/puffindeck_faults/player.py
+++ b/packages/faults/src/puffindeck_faults/player.py
@@ -27,11 +27,6 @@
 JUNK = (b"OPEN 1 2 c=chat,d=12", b"\x00\xff\r\n", b"GET / HTTP/1.1\r\n\r\n", b"", b"PING\r\n", b"x" * 5000)
 
 
-def address_of(seed: int) -> str:
-    """An address of loopback of its own for each seed: runs side by side do not meet at a port."""
-    return f"127.77.{seed // 250 % 250}.{seed % 250 + 1}"
-
-
 class Player:
     """One run."""
 
@@ -46,7 +41,6 @@
             classes,
             schedule.seed,
             schedule.sockets,
-            address=address_of(schedule.seed),
             limits={"maxAttempts": schedule.max_attempts},
         )
         self._random = Random(f"player/{schedule.seed}")
--- a/packages/faults/src/puffindeck_faults/world.py
+++ b/packages/faults/src/puffindeck_faults/world.py
@@ -11,8 +11,9 @@
 from puffindeck_faults.clients import Class, Clients
 from puffindeck_faults.discovery import Discovery, Target
 from puffindeck_faults.hosts import Host
-from puffindeck_faults.node_process import LOOPBACK, NodeProcess, settings
+from puffindeck_faults.node_process import NodeProcess, settings
 from puffindeck_faults.records import Records, now
+from puffindeck_testing.ports import own_address
 
 CLASSES = (Class("chat", 1200), Class("sync", 2500, aim_ms=500))
 
@@ -28,18 +29,18 @@
         classes: Sequence[Class] = CLASSES,
         seed: int = 1,
         sockets: int = 256,
-        address: str = LOOPBACK,
         **changes: Any,
     ) -> None:
         folder.mkdir(parents=True, exist_ok=True)
-        self.folder, self.classes, self.seed, self._address = folder, classes, seed, address
+        self.folder, self.classes, self.seed = folder, classes, seed
+        self._address = address = own_address()
         self.records = Records()
         self.discovery = Discovery(self.records, address)
         self.clients = Clients(self.records, seed, address)
         self.settings = settings(classes, nodes, **changes)
         self.hosts = {f"h{i}": Host(f"h{i}", self.records, address) for i in range(hosts)}
         self.nodes = {
-            f"n{i}": NodeProcess(f"n{i}", folder, self.records, seed * 100 + i, sockets, address) for i in range(nodes)
+            f"n{i}": NodeProcess(f"n{i}", folder, self.records, seed * 100 + i, sockets) for i in range(nodes)
         }
 
     @property
--- a/packages/fleet/tests/test_processes.py
+++ b/packages/fleet/tests/test_processes.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from puffindeck_testing.world import World, free_port
+from puffindeck_testing.world import World, new_ports
 
 NAMES = ("e1", "e2", "e3", "e4", "e5")
 REGIONS = {"e1": "north", "e2": "north", "e3": "south", "e4": "south", "e5": "south"}
@@ -20,8 +20,7 @@
 def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[World]:
     made = World(tmp_path_factory.mktemp("fleet"), REGIONS, {"a": 2})
     try:
-        for name in NAMES:
-            made.start(name, wait=False)
+        made.start_all()
         made.until(made.all_alive, "all to know each other", 30)
         yield made
     finally:
@@ -92,7 +91,7 @@
 
 
 def test_garbage_at_full_speed_is_counted_and_stops_nobody(world: World) -> None:
-    at = ("127.0.0.1", world.ports["e1"]["fleet"])
+    at = (world.address, world.ports["e1"]["fleet"])
     before = world.view("e1")["dropped"].get("garbage", 0)
     sent, begun = 0, time.monotonic()
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as source:
@@ -108,8 +107,7 @@
 
 
 def test_a_second_process_of_a_name_ends_and_says_why(world: World, tmp_path: Path) -> None:
-    ports = {"listen": free_port(), "operator": free_port(), "fleet": free_port(socket.SOCK_DGRAM)}
-    mine, world.ports["e5"] = world.ports["e5"], ports
+    mine, world.ports["e5"] = world.ports["e5"], new_ports()
     first = world.processes["e5"]
     try:
         path = world.file("e5")
--- a/packages/fleet/tests/test_rules_processes.py
+++ b/packages/fleet/tests/test_rules_processes.py
@@ -47,8 +47,7 @@
 def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[World]:
     made = World(tmp_path_factory.mktemp("rules"), REGIONS, ZONES, quota=QUOTA, residency=rules(7, "north"))
     try:
-        for name in REGIONS:
-            made.start(name, wait=False)
+        made.start_all()
         made.until(made.all_alive, "all to know each other", 30)
         made.until(lambda: made.view("e1", "/_residency").get("serves"), "a majority's word")
         yield made
--- a/packages/testing/src/puffindeck_testing/relay.py
+++ b/packages/testing/src/puffindeck_testing/relay.py
@@ -7,10 +7,13 @@
 from __future__ import annotations
 
 import asyncio
+import socket
 from dataclasses import dataclass
 from random import Random
 from typing import Any
 
+from puffindeck_testing.ports import free_port, own_address
+
 PROBE_S = 0.1  # how often a refused relay tries whether somebody listens again
 
 
@@ -49,7 +52,7 @@
         self.passed = 0
         self._in: Any = None
         self._out: Any = None
-        self._address = ("127.0.0.1", 0)
+        self._address = (own_address(), free_port(socket.SOCK_DGRAM))
         self._reopening: asyncio.Task[None] | None = None
         self._asked = 0.0
 
@@ -58,12 +61,11 @@
         loop = asyncio.get_running_loop()
         self._out, _ = await loop.create_datagram_endpoint(lambda: _Out(self), remote_addr=self.to)
         await self._listen()
-        return f"127.0.0.1:{self._address[1]}"
+        return "{}:{}".format(*self._address)
 
     async def _listen(self) -> None:
         loop = asyncio.get_running_loop()
         self._in, _ = await loop.create_datagram_endpoint(lambda: _In(self), local_addr=self._address)
-        self._address = self._in.get_extra_info("sockname")
 
     def came(self, data: bytes) -> None:
         faults = self.faults
--- a/packages/testing/src/puffindeck_testing/world.py
+++ b/packages/testing/src/puffindeck_testing/world.py
@@ -23,17 +23,13 @@
 
 import tomli_w
 
+from puffindeck_testing.node_exit import raise_if_exited
+from puffindeck_testing.ports import free_port, own_address
 from puffindeck_testing.relay import Faults, Relay
 
 T = TypeVar("T")
 
 
-def free_port(kind: int = socket.SOCK_STREAM) -> int:
-    with socket.socket(socket.AF_INET, kind) as held:
-        held.bind(("127.0.0.1", 0))
-        return int(held.getsockname()[1])
-
-
 @dataclass
 class Up:
     """A connection as its host saw it."""
@@ -61,12 +57,11 @@
 
     def __init__(self, world: World, name: str, zone: str) -> None:
         self.world, self.name, self.zone = world, name, zone
-        self.port = 0
+        self.port = free_port()
         self._server: Any = None
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port or 0)
-        self.port = self._server.sockets[0].getsockname()[1]
+        self._server = await asyncio.start_server(self._serve, self.world.address, self.port)
 
     async def stop(self) -> None:
         self._server.close()
@@ -89,6 +84,11 @@
             writer.close()
 
 
+def new_ports() -> dict[str, int]:
+    """Free ports for one gateway: clients, operators and other gateways."""
+    return {"listen": free_port(), "operator": free_port(), "fleet": free_port(socket.SOCK_DGRAM)}
+
+
 class World:
     """Gateways e1, e2, ... in regions, and hosts in zones."""
 
@@ -96,6 +96,7 @@
         self, folder: Path, regions: dict[str, str], zones: dict[str, int], seed: int = 1, **tables: Any
     ) -> None:
         self.folder, self.regions, self.seed, self.tables = folder, regions, seed, tables
+        self.address = own_address()
         self.ups: list[Up] = []
         self.last: dict[str, dict[str, str]] = {}  # as all_alive saw them last
         self.told: list[Told] = []
@@ -111,11 +112,11 @@
         for host in self.hosts:
             self.do(host.start())
         for name in regions:
-            self.ports[name] = {"listen": free_port(), "operator": free_port(), "fleet": free_port(socket.SOCK_DGRAM)}
+            self.ports[name] = new_ports()
         for one in regions:
             for other in regions:
                 if one != other:
-                    relay = Relay(("127.0.0.1", self.ports[other]["fleet"]), f"{seed}/{one}/{other}")
+                    relay = Relay((self.address, self.ports[other]["fleet"]), f"{seed}/{one}/{other}")
                     self.relays[one, other] = relay
                     self._peers[one, other] = self.do(relay.open())
 
@@ -152,7 +153,13 @@
     def file(self, name: str, **changes: Any) -> Path:
         """A gateway's file."""
         targets = [
-            {"uid": host.name, "endpoint": f"127.0.0.1:{host.port}", "state": "SERVING", "az": host.zone, "model": "m"}
+            {
+                "uid": host.name,
+                "endpoint": f"{self.address}:{host.port}",
+                "state": "SERVING",
+                "az": host.zone,
+                "model": "m",
+            }
             for host in self.hosts
         ]
         zones = sorted({host.zone for host in self.hosts})
@@ -178,14 +185,14 @@
         ports = self.ports[name]
         tables: dict[str, Any] = {
             "name": name,
-            "listen": f"127.0.0.1:{ports['listen']}",
-            "operator": f"127.0.0.1:{ports['operator']}",
+            "listen": f"{self.address}:{ports['listen']}",
+            "operator": f"{self.address}:{ports['operator']}",
             "seed": f"{self.seed:x}",
             "settings": settings,
             "known": {"rev": 1, "all": True, "targets": targets},
             "fleet": {
                 "name": "test",
-                "bind": f"127.0.0.1:{ports['fleet']}",
+                "bind": f"{self.address}:{ports['fleet']}",
                 "region": self.regions[name],
                 "peers": peers,
             },
@@ -198,7 +205,7 @@
     def start(
         self, name: str, wait: bool = True, program: tuple[str, ...] = ("-m", "puffindeck"), **changes: Any
     ) -> None:
-        """Start a gateway, and wait until it serves."""
+        """Start a gateway, and wait until it serves. Raises NodeExitedError."""
         path = self.file(name, **changes)
         with (self.folder / f"{name}.log").open("ab") as log:
             self.processes[name] = subprocess.Popen(
@@ -208,7 +215,23 @@
                 env={**os.environ, "TMPDIR": str(self.folder)},
             )
         if wait:
-            self.until(lambda: self.call(name, "/_ready") == "yes", f"{name} to be ready")
+            self.wait_until_ready(name)
+
+    def start_all(self) -> None:
+        """Start all gateways at once, and wait until each serves. Raises NodeExitedError."""
+        for name in self.regions:
+            self.start(name, wait=False)
+        for name in self.regions:
+            self.wait_until_ready(name)
+
+    def wait_until_ready(self, name: str) -> None:
+        """Wait until a gateway serves. Raises NodeExitedError if it ends before."""
+
+        def ready() -> bool:
+            raise_if_exited(name, self.processes[name], self.folder / f"{name}.log")
+            return self.call(name, "/_ready") == "yes"
+
+        self.until(ready, f"{name} to be ready")
 
     def log(self, name: str) -> str:
         return (self.folder / f"{name}.log").read_text()
@@ -218,7 +241,7 @@
 
     def call(self, name: str, path: str, method: str = "GET") -> str:
         """A call of staff; empty if there is no answer."""
-        url = f"http://127.0.0.1:{self.ports[name]['operator']}{path}"
+        url = f"http://{self.address}:{self.ports[name]['operator']}{path}"
         try:
             with urllib.request.urlopen(urllib.request.Request(url, method=method), timeout=1) as answer:
                 return str(answer.read().decode().strip())
@@ -255,7 +278,7 @@
 
     async def _client(self, name: str, line: str, hold: float, told: Told) -> None:
         try:
-            reader, writer = await asyncio.open_connection("127.0.0.1", self.ports[name]["listen"])
+            reader, writer = await asyncio.open_connection(self.address, self.ports[name]["listen"])
         except OSError:
             told.answers.append("no connection")
             return
--- a/tests/deploy/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 import ctypes
+import fcntl
 import json
 import os
 import signal
@@ -19,17 +20,14 @@
 from contextlib import suppress
 from pathlib import Path
 
+from puffindeck_testing.node_exit import raise_if_exited
+from puffindeck_testing.ports import free_port, own_address
+
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
 SUBREAPER = 36  # PR_SET_CHILD_SUBREAPER: who is orphaned below us becomes our child, and is found
 
 
-def free_port() -> int:
-    with socket.socket() as probe:
-        probe.bind(("127.0.0.1", 0))
-        return int(probe.getsockname()[1])
-
-
 def children(pid: int) -> set[int]:
     found: set[int] = set()
     for thread in Path(f"/proc/{pid}/task").iterdir():
@@ -63,17 +61,17 @@
         self.port, self.folder = free_port(), folder
         self.strays: set[int] = set()  # processes of its group that have become ours to wait for
         config = json.loads((ROOT / "examples/node.json").read_text())
-        config["discovery"] = f"127.0.0.1:{free_port()}"  # nobody there: ready without a list
+        config["discovery"] = f"{own_address()}:{free_port()}"  # nobody there: ready without a list
         (folder / "config.json").write_text(json.dumps(config))
         self.kept = folder / "tmp"
         self.kept.mkdir()
         environment = {
             **os.environ,
             "EDGE_NAME": "n0",
-            "EDGE_LISTEN": f"127.0.0.1:{self.port}",
+            "EDGE_LISTEN": f"{own_address()}:{self.port}",
             "EDGE_DISCOVERY": config["discovery"],
             "EDGE_CONFIG": str(folder / "config.json"),
-            "EDGE_OPERATOR": f"127.0.0.1:{free_port()}",
+            "EDGE_OPERATOR": f"{own_address()}:{free_port()}",
             "TMPDIR": str(self.kept),
         }
         self.log = (folder / "log").open("w+")
@@ -88,13 +86,14 @@
         )
 
     def wait(self) -> None:
-        """Until it is ready."""
+        """Until it is ready. Raises NodeExitedError if it ends before."""
         until = time.monotonic() + 20
         while time.monotonic() < until:
+            raise_if_exited("n0", self.process, self.folder / "log")
             with socket.socket() as client:
                 client.settimeout(2)
                 try:
-                    client.connect(("127.0.0.1", self.port))
+                    client.connect((own_address(), self.port))
                     client.sendall(b"PING\r\n")
                     if client.recv(100) == b"PONG\r\n":
                         return
@@ -142,7 +141,9 @@
     @classmethod
     def setUpClass(cls) -> None:
         build = ["/bin/sh", "-c", DEPLOY["build"]]
-        subprocess.run(build, cwd=ROOT, check=True, capture_output=True, timeout=600)
+        with (ROOT / "deploy/build.sh").open() as script:
+            fcntl.flock(script, fcntl.LOCK_EX)  # another check of this checkout may build at the same time
+            subprocess.run(build, cwd=ROOT, check=True, capture_output=True, timeout=600)
         ctypes.CDLL(None).prctl(SUBREAPER, 1, 0, 0, 0)
 
     @classmethod
@@ -214,7 +215,7 @@
             "EDGE_CONFIG": str(folder / "config.json"),
             "TMPDIR": str(folder),
             "EDGE_DISCOVERY": "127.0.0.1:9",
-            "EDGE_OPERATOR": f"127.0.0.1:{free_port()}",
+            "EDGE_OPERATOR": f"{own_address()}:{free_port()}",
             **environment,
         }
         return subprocess.run(
@@ -244,7 +245,7 @@
             "program.main()\n"
         )
         with tempfile.TemporaryDirectory() as folder:
-            done = self.begin(Path(folder), program, EDGE_LISTEN=f"127.0.0.1:{free_port()}")
+            done = self.begin(Path(folder), program, EDGE_LISTEN=f"{own_address()}:{free_port()}")
         first = next(line for line in done.stdout.splitlines() if line.startswith("turns"))
         self.assertGreaterEqual(int(first.split()[-1]), 1, done.stderr)
 
--- a/tests/deploy/test_descriptor_limits.py
+++ b/tests/deploy/test_descriptor_limits.py
@@ -21,6 +21,9 @@
 from tempfile import TemporaryDirectory
 from typing import Any
 
+from puffindeck_testing.node_exit import NodeExitedError
+from puffindeck_testing.ports import free_port, own_address
+
 ROOT = Path(__file__).parents[2]
 DESCRIPTORS, STRANGERS = 160, 400
 ASK = b"OPEN 9b1f03aa5c7e2d41 7f3a c=item-watch,d=2000\r\n"
@@ -42,8 +45,7 @@
             return answer.readline()
 
     def __init__(self, folder: Path, discovery: socket.socket, descriptors: int = 1024) -> None:
-        with bound() as free:
-            self.address: tuple[str, int] = free.getsockname()
+        self.address = (own_address(), free_port())
         config = json.loads((ROOT / "examples/node.json").read_text())
         config["discovery"] = "{}:{}".format(*discovery.getsockname())
         config["listen"] = "{}:{}".format(*self.address)
@@ -65,12 +67,14 @@
         )
 
     def says(self, text: str) -> str:
-        """The next line of its log with this in it."""
+        """The next line of its log with this in it. Raises NodeExitedError if it ends before."""
         assert self.process.stdout is not None
+        read = []
         for line in self.process.stdout:
+            read.append(line)
             if text in line:
                 return line
-        raise AssertionError(f"it ended without saying {text!r}")
+        raise NodeExitedError("n0", self.process.wait(), "".join(read))
 
     def client(self, line: bytes) -> socket.socket:
         made = socket.create_connection(self.address, timeout=10)
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import os
-import socket
 import tempfile
 from collections.abc import Iterable
 from pathlib import Path
@@ -17,6 +16,7 @@
 from puffindeck.core.clock import Clock
 from puffindeck.importer import haproxy
 from puffindeck.net.node import Node as NetNode
+from puffindeck_testing.ports import held_port
 from tests.importer.haproxy_reference import Reference, Where
 from tests.support.node_story import Dial, Listener, Peer, Story, reactor
 
@@ -25,18 +25,6 @@
 FRONTS = ("FRONT", "SECOND", "THIRD")
 
 
-def free(count: int) -> list[int]:
-    """Ports that nobody has, below those that the system hands out to whoever connects."""
-    found: list[int] = []
-    for port in range(20000 + os.getpid() % 8000, 32000):
-        with socket.socket() as probe:
-            if probe.connect_ex(("127.0.0.1", port)):
-                found.append(port)
-        if len(found) == count:
-            break
-    return found
-
-
 class RouteStories(Story):
     """One sample each, in the states of its servers that matter."""
 
@@ -44,7 +32,7 @@
         """A node on the imported sample, with a stand-in server at each of its ports."""
         self.hosts = {box: Listener() for box in BOXES}
         self.asked = 0
-        ports = free(len(FRONTS))
+        ports = [self.hold_port() for _ in FRONTS]
         self.environment = {
             **{box: host.address.rpartition(":")[2] for box, host in self.hosts.items()},
             **{front: str(port) for front, port in zip(FRONTS, ports, strict=True)},
@@ -63,6 +51,12 @@
         self.addCleanup(self.close_all)
         return Reference(text, self.environment)
 
+    def hold_port(self) -> int:
+        """A port for a frontend of a sample, on 127.0.0.1, which is held until the test ends."""
+        held = held_port("127.0.0.1")
+        self.addCleanup(held.close)
+        return int(held.getsockname()[1])
+
     def bring(self, name: str, text: str) -> None:
         """Import a text into the operator's file."""
         table, self.account = haproxy.convert(name, text, environment=self.environment)
