--- a/packages/faults/src/puffindeck_faults/__init__.py
+++ b/packages/faults/src/puffindeck_faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults under a real process: its machine's clock, system calls and network, each switched while it runs."""
+"""Faults under a real process: its clock, system calls, disk and network, each switched while it runs."""
--- a/packages/faults/src/puffindeck_faults/clients.py
+++ b/packages/faults/src/puffindeck_faults/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients of the platform's protocol: usual ones, and some that misbehave."""
+"""Stand-in clients of the platform's protocol: well-behaved ones, and idle or malformed ones."""
 
 from __future__ import annotations
 
@@ -11,55 +11,60 @@
 
 from puffindeck_faults.records import ClientRecord, Records, now
 
-LATE_S = 1.5  # how long after its deadline an answer is still waited for, so that it can be called late
-LINE_EVERY_S = 0.7  # how often a client of an open connection sends a line
+LATE_ANSWER_S = 1.5  # clients wait so long after their deadline, so that a late answer is recorded as late
+LINE_INTERVAL_S = 0.7  # between the lines that a client sends on an open connection
 
 
 @dataclass(frozen=True)
-class Class:
-    """A class of requests, by the settings' keys."""
+class RequestClass:
+    """A class of requests, as the settings have it."""
 
     name: str
     deadline_ms: int
-    aim_ms: int = 300
-    repeat: str = "pure"
+    latency_objective_ms: int = 300
+    effect: str = "pure"
 
 
 class Clients:
-    """Makes clients, and keeps what they saw."""
+    """Starts clients, and records what they observe."""
 
     def __init__(self, records: Records, seed: int, address: str) -> None:
-        self._records, self._random, self._address = records, Random(f"{seed}/clients"), address
+        self._records = records
+        self._random = Random(f"{seed}/clients")
+        self._address = address
         self._count = 0
         self.running: set[asyncio.Task[None]] = set()
 
     def begin(
-        self, node: str, port: int, cls: Class, hold_s: float, leave_after_s: float | None = None
+        self, node: str, port: int, request_class: RequestClass, hold_s: float, leave_after_s: float | None = None
     ) -> ClientRecord:
-        """A client that holds an open connection so long; one that leaves does not wait for its answer."""
+        """Start a client that holds its open connection for `hold_s`.
+
+        With `leave_after_s` it closes after that time if it has no answer.
+        """
         self._count += 1
-        record = ClientRecord(f"{self._count:016x}", node, cls.name, cls.deadline_ms / 1000)
+        record = ClientRecord(f"{self._count:016x}", node, request_class.name, request_class.deadline_ms / 1000)
         self._records.clients.append(record)
-        self._run(self._usual(record, port, hold_s, leave_after_s))
+        self._run(self._run_client(record, port, hold_s, leave_after_s))
         return record
 
     def begin_idle(self, port: int, text: bytes, hold_s: float) -> None:
-        """A connection with no whole request, which stays as long as it may."""
-        self._run(self._idle(port, text, hold_s))
+        """Start a connection that sends `text`, no complete request, and stays open for up to `hold_s`."""
+        self._run(self._run_idle_client(port, text, hold_s))
 
     def _run(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.ensure_future(work)
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
-    async def finish(self, patience_s: float) -> None:
-        """Wait for all that run; who takes longer is cut off."""
+    async def finish(self, timeout_s: float) -> None:
+        """Wait for all running clients, and cancel those that take longer."""
         if self.running:
-            await asyncio.wait(self.running, timeout=patience_s)
+            await asyncio.wait(self.running, timeout=timeout_s)
         for task in self.running:
             task.cancel()
 
-    async def _idle(self, port: int, text: bytes, hold_s: float) -> None:
+    async def _run_idle_client(self, port: int, text: bytes, hold_s: float) -> None:
         with suppress(OSError, TimeoutError):
             reader, writer = await asyncio.open_connection(self._address, port)
             try:
@@ -68,22 +73,21 @@
             finally:
                 writer.close()
 
-    async def _usual(self, record: ClientRecord, port: int, hold_s: float, leave_after_s: float | None) -> None:
+    async def _run_client(self, record: ClientRecord, port: int, hold_s: float, leave_after_s: float | None) -> None:
         try:
             reader, writer = await asyncio.open_connection(self._address, port)
         except OSError:
             return
         record.connected = now()
         try:
-            key, group = self._random.randrange(1 << 64), self._random.randrange(8)
-            wait_ms = round(record.deadline_s * 1000)
-            writer.write(f"OPEN {record.request} {key:016x} c={record.cls},d={wait_ms},g={group:x}\r\n".encode())
+            writer.write(self._first_line(record))
             record.sent = now()
-            await self._answered(record, reader, leave_after_s)
+            await self._read_answer(record, reader, leave_after_s)
             if record.answer is not None and record.answer.startswith("UP"):
-                await self._served(record, reader, writer, hold_s)
+                await self._exchange_lines(record, reader, writer, hold_s)
         except ConnectionResetError:
-            record.reset, record.ended = True, now()
+            record.reset = True
+            record.ended = now()
         except OSError:
             record.ended = now()
         finally:
@@ -91,40 +95,51 @@
                 record.left = now()
             writer.close()
 
-    async def _answered(self, record: ClientRecord, reader: asyncio.StreamReader, leave_after_s: float | None) -> None:
-        patience = record.deadline_s + LATE_S if leave_after_s is None else leave_after_s
+    def _first_line(self, record: ClientRecord) -> bytes:
+        key = self._random.randrange(1 << 64)
+        group = self._random.randrange(8)
+        wait_ms = round(record.deadline_s * 1000)
+        attributes = f"c={record.request_class},d={wait_ms},g={group:x}"
+        return f"OPEN {record.request} {key:016x} {attributes}\r\n".encode()
+
+    async def _read_answer(
+        self, record: ClientRecord, reader: asyncio.StreamReader, leave_after_s: float | None
+    ) -> None:
+        timeout_s = record.deadline_s + LATE_ANSWER_S if leave_after_s is None else leave_after_s
         with suppress(TimeoutError):
-            line = await asyncio.wait_for(reader.readline(), patience)
+            line = await asyncio.wait_for(reader.readline(), timeout_s)
             if line:
-                record.answer, record.answered = line.decode().strip(), now()
+                record.answer = line.decode().strip()
+                record.answered = now()
             else:
                 record.ended = now()
 
-    async def _served(
+    async def _exchange_lines(
         self, record: ClientRecord, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, hold_s: float
     ) -> None:
-        ends, speaks = now() + hold_s, now() + LINE_EVERY_S
+        ends = now() + hold_s
+        next_line = now() + LINE_INTERVAL_S
         while (moment := now()) < ends:
-            if moment >= speaks:
+            if moment >= next_line:
                 writer.write(b"ping\r\n")
-                speaks = moment + LINE_EVERY_S
-                record.unanswered = record.unanswered or moment
+                next_line = moment + LINE_INTERVAL_S
+                record.unanswered_since = record.unanswered_since or moment
             try:
-                line = await asyncio.wait_for(reader.readline(), max(0.01, min(speaks, ends) - now()))
+                line = await asyncio.wait_for(reader.readline(), max(0.01, min(next_line, ends) - now()))
             except TimeoutError:
-                self._silent(record)
+                self._record_silence(record)
                 continue
-            self._silent(record)
+            self._record_silence(record)
             if not line:
                 record.ended = now()
                 return
             if line.strip() in (b"MOVE", b"BYE"):
-                record.moved = line.strip() == b"MOVE"
+                record.migrated = line.strip() == b"MOVE"
                 record.ended = now()
                 return
-            record.unanswered = None
+            record.unanswered_since = None
 
     @staticmethod
-    def _silent(record: ClientRecord) -> None:
-        if record.unanswered is not None:
-            record.longest_silence_s = max(record.longest_silence_s, now() - record.unanswered)
+    def _record_silence(record: ClientRecord) -> None:
+        if record.unanswered_since is not None:
+            record.longest_silence_s = max(record.longest_silence_s, now() - record.unanswered_since)
--- a/packages/faults/src/puffindeck_faults/discovery.py
+++ b/packages/faults/src/puffindeck_faults/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's discovery: the whole list, and watches on its changes, over HTTP/1.1."""
+"""A stand-in for the platform's discovery: the complete list, and watches on its changes, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from contextlib import suppress
 from dataclasses import asdict, dataclass
 
-from puffindeck_faults.records import HostChange, Records, now
+from puffindeck_faults.records import HostChange, Outage, Records, now
 from puffindeck_testing.ports import free_port
 
-EMPTY_LINE_S = 2.0  # how often a watch says that it is alive
+KEEPALIVE_INTERVAL_S = 2.0  # of the empty lines on a watch
 
 
 @dataclass
-class Target:
-    """A host in the list, by the keys of the protocol page."""
+class ListedEndpoint:
+    """A host in the list, with the keys of the protocol page."""
 
     uid: str
     endpoint: str
@@ -28,13 +28,14 @@
 
 
 class Discovery:
-    """One service with an address for each node, so that it is known who was told what, and when."""
+    """One service with a port for each node, so that the records show which node was sent what, and when."""
 
     def __init__(self, records: Records, address: str) -> None:
-        self._records, self._address = records, address
-        self.targets: dict[str, Target] = {}
+        self._records = records
+        self._address = address
+        self.endpoints: dict[str, ListedEndpoint] = {}
         self.version = 1
-        self.silent = False  # connections stand, and nothing is said on them
+        self.silent = False  # connections stay open, and nothing is sent on them
         self.ports: dict[str, int] = {}
         self._servers: dict[str, asyncio.Server] = {}
         self._watches: dict[asyncio.StreamWriter, str] = {}
@@ -42,7 +43,7 @@
         self._down_since: float | None = None
 
     async def start(self, node: str) -> None:
-        """Listen for a node, at the same port as before once it has had one."""
+        """Listen for a node, on its former port if it had one."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await self._serve(node, reader, writer)
@@ -51,7 +52,7 @@
         self._servers[node] = await asyncio.start_server(serve, self._address, port)
 
     def stop(self) -> None:
-        """Down: calls are refused, watches end."""
+        """Go down: connections are refused, watches end."""
         self._down_since = now()
         for server in self._servers.values():
             server.close()
@@ -61,16 +62,16 @@
         self._watches.clear()
 
     async def resume(self) -> None:
-        """Back again at all addresses."""
+        """Come back on all ports."""
         if self._down_since is not None:
-            self._records.unreachable.append((self._down_since, now()))
+            self._records.outages.append(Outage(self._down_since, now()))
             self._down_since = None
         for node in self.ports:
             if node not in self._servers:
                 await self.start(node)
 
     async def move(self, node: str) -> None:
-        """Another address for this node; the old one takes nobody new, and ends what is open."""
+        """Use another port for this node; the old one accepts nothing more, and open watches are aborted."""
         old = self._servers.pop(node, None)
         self.ports.pop(node, None)
         await self.start(node)
@@ -81,35 +82,35 @@
                 writer.transport.abort()
                 del self._watches[writer]
 
-    def change(self, *targets: Target) -> None:
-        """Add or change hosts; state DELETED takes one out."""
+    def change(self, *endpoints: ListedEndpoint) -> None:
+        """Add or change hosts; the state DELETED removes one."""
         self.version += 1
-        for target in targets:
-            change = HostChange(target.uid, target.state, now())
+        for endpoint in endpoints:
+            change = HostChange(endpoint.uid, endpoint.state, now())
             self._records.changes.append(change)
-            if target.state == "DELETED":
-                self.targets.pop(target.uid, None)
+            if endpoint.state == "DELETED":
+                self.endpoints.pop(endpoint.uid, None)
             else:
-                self.targets[target.uid] = target
+                self.endpoints[endpoint.uid] = endpoint
             if not self.silent:
                 for writer, node in self._watches.items():
                     if not writer.is_closing():
-                        change.written.setdefault(node, now())
-        body = self._list(False, targets)
+                        change.sent_to_nodes.setdefault(node, now())
+        body = self._list(False, endpoints)
         if not self.silent:
             for writer in list(self._watches):
-                self._chunk(writer, body)
+                self._write_chunk(writer, body)
 
-    def _list(self, whole: bool, targets: tuple[Target, ...] | list[Target]) -> bytes:
-        rows = [asdict(target) for target in targets]
-        return json.dumps({"rev": self.version, "all": whole, "targets": rows}).encode() + b"\n"
+    def _list(self, complete: bool, endpoints: tuple[ListedEndpoint, ...] | list[ListedEndpoint]) -> bytes:
+        rows = [asdict(endpoint) for endpoint in endpoints]
+        return json.dumps({"rev": self.version, "all": complete, "targets": rows}).encode() + b"\n"
 
-    def _told_all(self, node: str) -> None:
+    def _mark_all_sent(self, node: str) -> None:
         for change in self._records.changes:
-            change.written.setdefault(node, now())
+            change.sent_to_nodes.setdefault(node, now())
 
     @staticmethod
-    def _chunk(writer: asyncio.StreamWriter, body: bytes) -> None:
+    def _write_chunk(writer: asyncio.StreamWriter, body: bytes) -> None:
         writer.write(b"%x\r\n%s\r\n" % (len(body), body))
 
     async def _serve(self, node: str, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -118,11 +119,11 @@
             head = (await reader.readuntil(b"\r\n\r\n")).decode("ascii")
             while self.silent:
                 await asyncio.sleep(0.05)
-            if writer.is_closing():  # it went down meanwhile: nobody is told
+            if writer.is_closing():  # it went down meanwhile
                 return
             await self._answer(node, head.split()[1], writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # cancelled only when the run is over
+            pass  # cancelled only at the end of the run
         finally:
             self._watches.pop(writer, None)
             self._open.discard(writer)
@@ -130,18 +131,18 @@
                 writer.close()
 
     async def _answer(self, node: str, path: str, writer: asyncio.StreamWriter) -> None:
-        body = self._list(True, list(self.targets.values()))
+        body = self._list(True, list(self.endpoints.values()))
         if "watch=1" not in path:
-            self._told_all(node)
+            self._mark_all_sent(node)
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nConnection: close\r\n\r\n" % len(body) + body)
             await writer.drain()
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self._told_all(node)
-        self._chunk(writer, body)
+        self._mark_all_sent(node)
+        self._write_chunk(writer, body)
         self._watches[writer] = node
         while not writer.is_closing():
-            await asyncio.sleep(EMPTY_LINE_S)
+            await asyncio.sleep(KEEPALIVE_INTERVAL_S)
             if not self.silent:
-                self._chunk(writer, b"\n")
+                self._write_chunk(writer, b"\n")
                 await writer.drain()
--- a/packages/faults/src/puffindeck_faults/machine.c
+++ b/packages/faults/src/puffindeck_faults/fault_injector.c
@@ -1,7 +1,7 @@
 /* Faults of the machine under one process, loaded into it with LD_PRELOAD.
  *
  * The process maps the file that PUFFINDECK_FAULTS names; whoever wrote it switches faults on and off there while the
- * process runs. Its layout is that of machine.py: 64-bit integers in the machine's byte order.
+ * process runs. Its layout is that of fault_injector.py: 64-bit integers in the machine's byte order.
  */
 #define _GNU_SOURCE
 #include <dirent.h>
--- a/packages/faults/src/puffindeck_faults/hosts.py
+++ b/packages/faults/src/puffindeck_faults/hosts.py
@@ -18,19 +18,21 @@
     """What a host does with first lines and with lines on open connections."""
 
     SERVE = auto()
-    HANG = auto()  # reads all, says nothing, to nobody
+    HANG = auto()  # reads everything, answers nothing
     ERROR = auto()  # ERR to first lines
     FULL = auto()  # BUSY to first lines
-    RESET = auto()  # breaks the connection once it has the first line
-    CLOSE = auto()  # ends it instead
-    BYE = auto()  # ends open connections in good order at their next line
+    RESET = auto()  # resets the connection after the first line
+    CLOSE = auto()  # closes it instead
+    BYE = auto()  # sends BYE and closes open connections at their next line
 
 
 class Host:
-    """One host, at an address of loopback."""
+    """One host, on a loopback address."""
 
     def __init__(self, name: str, records: Records, address: str) -> None:
-        self.name, self._records, self._address = name, records, address
+        self.name = name
+        self._records = records
+        self._address = address
         self.behaviour = Behaviour.SERVE
         self.delay_s = 0.0  # before UP
         self.port = free_port()
@@ -39,11 +41,11 @@
         self._count = 0
 
     async def start(self) -> None:
-        """Listen; at the same port after a death."""
+        """Listen, always on the same port."""
         self._server = await asyncio.start_server(self._serve, self._address, self.port, backlog=512)
 
-    async def die(self) -> None:
-        """As a process that is killed: all connections are reset, new ones refused."""
+    async def kill(self) -> None:
+        """As a killed process: all connections are reset, new ones refused."""
         self._records.host_ends.setdefault(self.name, []).append(now())
         if self._server is not None:
             self._server.close()
@@ -64,16 +66,16 @@
         self._records.attempts.append(attempt)
         self._open[writer] = attempt
         try:
-            if await self._first_line(reader, attempt):
+            if await self._read_first_line(reader, attempt):
                 await self._answer(reader, writer, attempt)
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
-            pass  # cancelled only when the run is over
+            pass  # cancelled only at the end of the run
         finally:
             attempt.closed = attempt.closed or now()
             self._open.pop(writer, None)
             writer.close()
 
-    async def _first_line(self, reader: asyncio.StreamReader, attempt: Attempt) -> bool:
+    async def _read_first_line(self, reader: asyncio.StreamReader, attempt: Attempt) -> bool:
         line = await reader.read(1)
         if not line:
             return False
@@ -101,9 +103,9 @@
         elif behaviour is Behaviour.CLOSE:
             attempt.ended_by_host = True
         elif not reader.at_eof():
-            await self._open_connection(reader, writer, attempt)
+            await self._serve_connection(reader, writer, attempt)
 
-    async def _open_connection(
+    async def _serve_connection(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, attempt: Attempt
     ) -> None:
         self._count += 1
--- a/packages/faults/src/puffindeck_faults/node_process.py
+++ b/packages/faults/src/puffindeck_faults/node_process.py
@@ -1,4 +1,4 @@
-"""A node as shipped, in a process of its own on a machine whose faults are switched from here."""
+"""A node as shipped, in a process of its own, with faults that are injected while it runs."""
 
 from __future__ import annotations
 
@@ -8,110 +8,71 @@
 import signal
 import subprocess
 import sys
-from collections.abc import Sequence
 from contextlib import suppress
 from pathlib import Path
 from typing import Any
 
-from puffindeck_faults.clients import Class
-from puffindeck_faults.machine import Machine
-from puffindeck_faults.records import NodeLife, Records, now
+from puffindeck_faults.fault_injector import FaultInjector
+from puffindeck_faults.records import ProcessRecord, Records, now
 from puffindeck_testing.node_exit import NodeExitedError, raise_if_exited
 from puffindeck_testing.ports import free_port, own_address
 
 READY_WITHIN_S = 20.0
-LONGEST_S, AFTER_S = 3.0, 0.7  # the kill comes the longest deadline (3 s at most) and this after SIGTERM
-
-
-def settings(classes: Sequence[Class], gateways: int, **changes: Any) -> dict[str, Any]:
-    """Settings by the keys of the protocol page; `changes` go over its tables."""
-    told: dict[str, Any] = {
-        "peersTotal": gateways,
-        "locality": 0,
-        "zones": ["a"],
-        "kinds": ["m"],
-        "membershipMode": "subscribe",
-        "weights": "nominal",
-        "workload": "conn",
-        "classes": [
-            {
-                "name": c.name,
-                "aimMs": c.aim_ms,
-                "hardLimitMs": c.deadline_ms,
-                "repeat": c.repeat,
-                "group": "all",
-                "keyTtlMs": 10000.0,
-            }
-            for c in classes
-        ],
-        "familyInfo": {"groups": True, "messageAimMs": [100.0] * len(classes), "mode": "proxy"},
-        "limits": {
-            "maxAttempts": 3,
-            "connectTimeoutMs": 250,
-            "retryAfter": True,
-            "maxRetryAfterMs": 1500,
-            "cancelling": True,
-            "parallelTries": False,
-        },
-        "rules": {
-            "drainGraceMs": 500,
-            "answerSlackMs": 20,
-            "askWithinMs": 10000,
-            "coldFrom": 0.31,
-            "warmAfterMs": 9000,
-            "overloadFactor": 3,
-            "fallMs": 1000,
-        },
-    }
-    for key, value in changes.items():
-        told[key] = {**told[key], **value} if isinstance(value, dict) else value
-    return told
 
+# The platform's earliest SIGKILL comes the longest deadline, of which it counts 3 s at most, and 0.7 s after SIGTERM.
+LONGEST_DEADLINE_S = 3.0
+KILL_DELAY_S = 0.7
+FRONT_GRACE_S = 0.3  # the front still sends clients so long after SIGTERM
 
-class NodeProcess:
-    """One node: its file, its port, its machine, and one process after another."""
 
-    def __init__(self, name: str, folder: Path, records: Records, seed: int, sockets: int = 256) -> None:
-        self.name, self._records, self._seed, self.sockets = name, records, seed, sockets
+class NodeProcess:
+    """One node: its file, its ports, its fault injector, and one process after another."""
+
+    def __init__(self, name: str, folder: Path, records: Records, seed: int, descriptor_limit: int = 256) -> None:
+        """`seed` is the node's and its fault injector's; `folder` gets a folder of the node's name."""
+        self.name = name
+        self._records = records
+        self._seed = seed
+        self.descriptor_limit = descriptor_limit
         self._address = own_address()
         self.folder = folder / name
         self.folder.mkdir(parents=True)
         (self.folder / "tmp").mkdir()
         self.port = free_port()
-        self.operator = free_port()
-        self.machine = Machine(self.folder, seed, self.folder / "tmp")
+        self.operator_port = free_port()
+        self.fault_injector = FaultInjector(self.folder, seed, self.folder / "tmp")
         self.config: dict[str, Any] = {}
         self.process: subprocess.Popen[bytes] | None = None
-        self.life: NodeLife | None = None
-        self._lives = 0
+        self.process_record: ProcessRecord | None = None
+        self._starts = 0
 
-    def write_config(self, discovery: int, told: dict[str, Any]) -> None:
-        """The file that it reads at its start and at SIGHUP."""
+    def write_config(self, discovery_port: int, settings: dict[str, Any]) -> None:
+        """Write the file that it reads at its start and at SIGHUP."""
         self.config = {
             "name": self.name,
             "listen": f"{self._address}:{self.port}",
-            "discovery": f"{self._address}:{discovery}",
+            "discovery": f"{self._address}:{discovery_port}",
             "seed": f"{self._seed:x}",
-            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": self.sockets},
+            "limits": {"cores": 1.0, "memory_mb": 128, "sockets": self.descriptor_limit},
             "known": {"rev": 0, "all": True, "targets": []},
-            "settings": told,
+            "settings": settings,
         }
         self.write_text(json.dumps(self.config))
 
     def write_text(self, text: str) -> None:
-        """The file's text, be it no use."""
+        """Replace the file's text, valid or not."""
         draft = self.folder / "config.draft"
         draft.write_text(text)
         draft.replace(self.folder / "config.json")
 
     async def start(self) -> None:
-        """Start a process and wait until it says PONG. Raises NodeExitedError, TimeoutError."""
-        self._lives += 1
+        """Start a process and wait until it answers PONG. Raises NodeExitedError, TimeoutError."""
+        self._starts += 1
         environment = {
             **os.environ,
-            **self.machine.environment(),
+            **self.fault_injector.environment(),
             "EDGE_CONFIG": str(self.folder / "config.json"),
-            "EDGE_OPERATOR": f"{self._address}:{self.operator}",
+            "EDGE_OPERATOR": f"{self._address}:{self.operator_port}",
             "TMPDIR": str(self.folder / "tmp"),
         }
         with self._log_path().open("wb") as log:
@@ -123,26 +84,26 @@
                 stderr=log,
                 start_new_session=True,
             )
-        self.life = NodeLife(self.name, now())
-        self._records.lives.append(self.life)
+        self.process_record = ProcessRecord(self.name, now())
+        self._records.processes.append(self.process_record)
         await asyncio.wait_for(self._until_ready(self.process), READY_WITHIN_S)
-        self.life.ready = now()
+        self.process_record.ready = now()
 
     def _log_path(self) -> Path:
         """The file that the current process writes its log to."""
-        return self.folder / f"log.{self._lives}"
+        return self.folder / f"log.{self._starts}"
 
     async def _until_ready(self, process: subprocess.Popen[bytes]) -> None:
         while not await self.ping():
             try:
                 raise_if_exited(self.name, process, self._log_path())
             except NodeExitedError:
-                self._ended()
+                self._record_exit()
                 raise
             await asyncio.sleep(0.05)
 
     async def ping(self) -> bool:
-        """Does it say PONG?"""
+        """Does it answer PONG?"""
         try:
             reader, writer = await asyncio.open_connection(self._address, self.port)
         except OSError:
@@ -156,9 +117,9 @@
             writer.close()
 
     async def call(self, method: str, path: str) -> int:
-        """A call of staff's at the second address: its status, or 0 where there is no answer."""
+        """Make an operator's call: its HTTP status, or 0 if there is no answer."""
         try:
-            reader, writer = await asyncio.open_connection(self._address, self.operator)
+            reader, writer = await asyncio.open_connection(self._address, self.operator_port)
         except OSError:
             return 0
         try:
@@ -170,62 +131,70 @@
         finally:
             writer.close()
 
+    def accepts_clients(self) -> bool:
+        """Whether the platform's front sends clients to this node now."""
+        record = self.process_record
+        if record is None or record.ready is None or record.exited is not None:
+            return False
+        return record.terminated is None or now() < record.terminated + FRONT_GRACE_S
+
     def log(self) -> str:
-        """What all its processes have written."""
+        """The logs of all its processes."""
         return "".join(path.read_text() for path in sorted(self.folder.glob("log.*")))
 
     def send_signal(self, number: int) -> None:
-        """Send a signal, if it runs."""
+        """Send a signal, if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
-    def look(self) -> None:
-        """Note how many descriptors it holds, and whether it has ended by itself."""
-        if self.process is None or self.life is None or self.life.exited is not None:
+    def observe(self) -> None:
+        """Record how many descriptors it has, and whether it has ended by itself."""
+        if self.process is None or self.process_record is None or self.process_record.exited is not None:
             return
         if self.process.poll() is not None:
-            self._ended()
+            self._record_exit()
             return
         with suppress(OSError):
-            held = len(os.listdir(f"/proc/{self.process.pid}/fd"))
-            self.life.most_descriptors = max(self.life.most_descriptors, held)
+            count = len(os.listdir(f"/proc/{self.process.pid}/fd"))
+            self.process_record.peak_descriptors = max(self.process_record.peak_descriptors, count)
 
-    def _ended(self) -> None:
+    def _record_exit(self) -> None:
         assert self.process is not None
-        assert self.life is not None
-        if self.life.exited is None:
-            self.life.exited, self.life.code = now(), self.process.returncode
+        assert self.process_record is not None
+        if self.process_record.exited is None:
+            self.process_record.exited = now()
+            self.process_record.exit_code = self.process.returncode
 
-    async def _wait(self, patience_s: float) -> bool:
+    async def _wait_for_exit(self, timeout_s: float) -> bool:
         assert self.process is not None
-        ends = now() + patience_s
-        while self.process.poll() is None and now() < ends:
+        deadline = now() + timeout_s
+        while self.process.poll() is None and now() < deadline:
             await asyncio.sleep(0.01)
         return self.process.poll() is not None
 
-    async def stop(self, longest_deadline_s: float, then: int = signal.SIGTERM) -> None:
-        """SIGTERM, and SIGKILL at the earliest moment that the page allows."""
-        if self.process is None or self.life is None or self.process.poll() is not None:
+    async def stop(self, longest_deadline_s: float, first: int = signal.SIGTERM) -> None:
+        """Send `first` (SIGTERM), and SIGKILL at the earliest moment that the protocol page allows."""
+        if self.process is None or self.process_record is None or self.process.poll() is not None:
             return
-        self.send_signal(then)
-        self.life.told_to_stop = now()
-        if not await self._wait(min(longest_deadline_s, LONGEST_S) + AFTER_S):
-            self.life.killed = now()
+        self.send_signal(first)
+        self.process_record.terminated = now()
+        if not await self._wait_for_exit(min(longest_deadline_s, LONGEST_DEADLINE_S) + KILL_DELAY_S):
+            self.process_record.killed = now()
             self.process.kill()
-            await self._wait(5)
-        self._ended()
+            await self._wait_for_exit(5)
+        self._record_exit()
 
     async def kill(self) -> None:
-        """SIGKILL, with no word before."""
-        if self.process is not None and self.life is not None and self.process.poll() is None:
-            self.life.killed = now()
+        """Send SIGKILL, without SIGTERM before."""
+        if self.process is not None and self.process_record is not None and self.process.poll() is None:
+            self.process_record.killed = now()
             self.process.kill()
-            await self._wait(5)
-            self._ended()
+            await self._wait_for_exit(5)
+            self._record_exit()
 
     def close(self) -> None:
-        """End what still runs, and let go of the machine."""
+        """Kill the process if it is running, and close the fault injector."""
         if self.process is not None and self.process.poll() is None:
             self.process.kill()
             self.process.wait(5)
-        self.machine.close()
+        self.fault_injector.close()
--- a/packages/faults/src/puffindeck_faults/records.py
+++ b/packages/faults/src/puffindeck_faults/records.py
@@ -1,4 +1,4 @@
-"""What clients, hosts and discovery saw of a run. All times are seconds on this process's monotonic clock."""
+"""What clients, hosts and discovery observed in a run. All times are seconds on this process's monotonic clock."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def now() -> float:
-    """This moment, in seconds on the monotonic clock."""
+    """The current time, in seconds on the monotonic clock."""
     return time.monotonic()
 
 
@@ -19,9 +19,9 @@
     connected: float
     request: str = ""
     first_byte: float | None = None
-    read: float | None = None  # when the whole first line had come
+    read: float | None = None  # when the complete first line had been read
     up: float | None = None
-    receipt: str = ""
+    receipt: str = ""  # the text after UP, different for each connection
     closed: float | None = None
     ended_by_host: bool = False
 
@@ -32,64 +32,72 @@
 
     request: str
     node: str
-    cls: str
+    request_class: str
     deadline_s: float
-    connected: float | None = None  # None: the node took no connection
-    sent: float | None = None  # when the whole first line had been written
+    connected: float | None = None  # None: the node accepted no connection
+    sent: float | None = None  # when the complete first line had been written
     answer: str | None = None
     answered: float | None = None
-    unanswered: float | None = None  # the oldest line of an open connection that had no line for an answer
+    unanswered_since: float | None = None  # when the oldest line that has no answer was sent
     longest_silence_s: float = 0.0
-    moved: bool = False
-    left: float | None = None  # when the client closed it
-    ended: float | None = None  # when the node ended it
-    reset: bool = False  # the node's end was a reset
+    migrated: bool = False  # the node sent MOVE
+    left: float | None = None  # when the client closed the connection
+    ended: float | None = None  # when the node closed the connection
+    reset: bool = False  # the node closed it by a reset
 
 
 @dataclass
-class NodeLife:
+class ProcessRecord:
     """One process of a node."""
 
     name: str
     started: float
     ready: float | None = None
-    told_to_stop: float | None = None
-    killed: float | None = None
+    terminated: float | None = None  # when SIGTERM was sent
+    killed: float | None = None  # when SIGKILL was sent
     exited: float | None = None
-    code: int | None = None
-    most_descriptors: int = 0
+    exit_code: int | None = None
+    peak_descriptors: int = 0
 
 
 @dataclass
 class HostChange:
-    """A change of a host that discovery told a node."""
+    """A change of a host in discovery's list."""
 
     host: str
     state: str
     made: float
-    written: dict[str, float] = field(default_factory=dict)  # by node
+    sent_to_nodes: dict[str, float] = field(default_factory=dict)  # when, by the node's name
 
 
 @dataclass
 class Detachment:
-    """A host that staff took out at a node, from its call to the call back."""
+    """A host that an operator detached at a node, from that call to the call that attached it again."""
 
     node: str
     host: str
-    asked: float
-    said_yes: float | None = None
-    over: float | None = None
+    requested: float
+    confirmed: float | None = None  # when the node answered 200
+    ended: float | None = None
+
+
+@dataclass(frozen=True)
+class Outage:
+    """A span in which discovery could not be reached."""
+
+    began: float
+    ended: float
 
 
 @dataclass
 class Records:
-    """All of a run."""
+    """All records of a run."""
 
     attempts: list[Attempt] = field(default_factory=list)
     clients: list[ClientRecord] = field(default_factory=list)
-    lives: list[NodeLife] = field(default_factory=list)
+    processes: list[ProcessRecord] = field(default_factory=list)
     changes: list[HostChange] = field(default_factory=list)
     detachments: list[Detachment] = field(default_factory=list)
-    unreachable: list[tuple[float, float]] = field(default_factory=list)  # spans in which discovery was down
-    host_ends: dict[str, list[float]] = field(default_factory=dict)  # when hosts' processes died
-    host_starts: dict[str, list[float]] = field(default_factory=dict)  # when they started cold
+    outages: list[Outage] = field(default_factory=list)  # of discovery
+    host_ends: dict[str, list[float]] = field(default_factory=dict)  # when a host's process was killed
+    host_starts: dict[str, list[float]] = field(default_factory=dict)  # when a host started in slow start
--- a/packages/faults/src/puffindeck_faults/schedule.py
+++ b/packages/faults/src/puffindeck_faults/schedule.py
@@ -1,60 +1,65 @@
-"""What goes wrong in a run, and when: drawn from a seed, kept as JSON, played again as it was."""
+"""The faults of a run and their times: drawn from a seed, stored as JSON, replayed unchanged."""
 
 from __future__ import annotations
 
+from collections.abc import Callable
+from dataclasses import dataclass
 from enum import StrEnum
 from random import Random
 
 import msgspec
 
 HOUR_S = 3600.0
+MEAN_INTERVAL_S = 0.8  # between faults
+FULL_QUIET_CHANCE = 0.2  # a run in so many has no fault in its first half
+USUAL_QUIET_S = 2.0
 
 
-class Kind(StrEnum):
-    """A kind of fault."""
+class FaultKind(StrEnum):
+    """A kind of fault. The values are stored in schedules."""
 
-    CLOCK = "clock"  # the wall clock is stepped
+    CLOCK_STEP = "clock"  # the wall clock is stepped
     CALL = "call"  # a system call fails
-    SHORT = "short"  # reads and writes are short
-    HOLD_UP = "hold_up"  # the process stands still before writes
+    SHORT_IO = "short"  # reads and writes are short
+    WRITE_PAUSE = "hold_up"  # the process is paused before writes
     FREEZE = "freeze"  # SIGSTOP and SIGCONT
-    HOST = "host"  # a host behaves otherwise
-    HOST_DIES = "host_dies"  # and comes back cold
+    HOST = "host"  # a host changes its behaviour
+    HOST_KILLED = "host_dies"  # a host is killed and comes back in slow start
     DRAIN = "drain"  # a host drains
     DISCOVERY_DOWN = "discovery_down"
     DISCOVERY_SILENT = "discovery_silent"
     RELOAD = "reload"  # SIGHUP in series, the last file invalid or discovery moved
-    RESTART = "restart"  # SIGTERM, the kill at the earliest moment, and a start
+    RESTART = "restart"  # SIGTERM, SIGKILL at the earliest moment, and a start
     KILL = "kill"  # SIGKILL, and a start
-    CROWD = "crowd"  # idle clients that fill the descriptors
-    RUDE = "rude"  # clients that send what can't be read, or half a line
-    DISK = "disk"  # the node's folder fails
-    DETACH = "detach"  # staff take a host out at a node, and put it back
+    IDLE_CLIENTS = "crowd"  # idle clients that fill the descriptors
+    MALFORMED_REQUESTS = "rude"  # clients that send a malformed or partial line
+    DISK = "disk"  # file operations in the node's folder fail
+    DETACH = "detach"  # an operator detaches a host at a node, and attaches it again
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault. `target` is a node's or a host's name; what the numbers mean is up to the kind."""
+    """One fault. `target` is a node's or a host's name; the meaning of the other fields depends on the kind."""
 
     at_s: float
-    kind: Kind
+    kind: FaultKind
     target: str = ""
-    word: str = ""
+    argument: str = msgspec.field(default="", name="word")
     amount: float = 0.0
-    lasts_s: float = 0.0
+    duration_s: float = msgspec.field(default=0.0, name="lasts_s")
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A run, whole."""
+    """All that defines a run."""
 
     seed: int
     seconds: float
     nodes: int = 3
     hosts: int = 6
-    sockets: int = 256
+    descriptor_limit: int = msgspec.field(default=256, name="sockets")
     rate: float = 8.0  # requests a second at each node
-    quiet_s: float = 2.0  # before the first fault
+    quiet_s: float = USUAL_QUIET_S  # before the first fault
     max_attempts: int = 3
-    deadlines_ms: tuple[int, int] = (1200, 2500)
+    deadlines_ms: tuple[int, int] = (1200, 2500)  # of the classes `chat` and `sync`
     faults: tuple[Fault, ...] = ()
 
 
@@ -67,27 +72,29 @@
     "EPOLL_WAIT": ("EINTR",),
 }
 DISK_ERRORS = ("OPEN ENOSPC", "OPEN EIO", "WRITE ENOSPC", "UNLINK EIO", "LIST EIO", "RENAME EIO")
-STEPS_S = (-HOUR_S, HOUR_S, -380.0, -20.0, -3.0, 3.0, 20.0, 380.0)
+CLOCK_STEPS_S = (-HOUR_S, HOUR_S, -380.0, -20.0, -3.0, 3.0, 20.0, 380.0)
 BEHAVIOURS = ("HANG", "HANG", "ERROR", "FULL", "RESET", "CLOSE", "BYE")
+RELOADS = ("same", "invalid", "moved")
 
 
-def draw(seed: int, seconds: float, only: tuple[Kind, ...] = ()) -> Schedule:
+def draw_schedule(seed: int, seconds: float, only: tuple[FaultKind, ...] = ()) -> Schedule:
     """A run of so many seconds. With `only`, no other kinds of fault."""
     random = Random(f"soak/{seed}")
-    nodes, hosts = random.choice((3, 3, 4)), random.choice((5, 6, 8))
-    kinds = only or tuple(Kind)
-    quiet_s = seconds / 2 if random.random() < 0.2 else 2.0
+    nodes = random.choice((3, 3, 4))
+    hosts = random.choice((5, 6, 8))
+    kinds = only or tuple(FaultKind)
+    quiet_s = seconds / 2 if random.random() < FULL_QUIET_CHANCE else USUAL_QUIET_S
     faults: list[Fault] = []
     moment = quiet_s
     while moment < seconds - 1.0:
-        faults.append(_fault(random, moment, random.choice(kinds), nodes, hosts))
-        moment += random.expovariate(1.0) * 0.8
+        faults.append(_draw_fault(random, moment, random.choice(kinds), nodes, hosts))
+        moment += random.expovariate(1.0) * MEAN_INTERVAL_S
     return Schedule(
         seed=seed,
         seconds=seconds,
         nodes=nodes,
         hosts=hosts,
-        sockets=random.choice((160, 256)),
+        descriptor_limit=random.choice((160, 256)),
         rate=random.choice((4.0, 8.0, 12.0)),
         quiet_s=quiet_s,
         max_attempts=random.choice((1, 2, 3, 3)),
@@ -96,41 +103,106 @@
     )
 
 
-def _fault(random: Random, at_s: float, kind: Kind, nodes: int, hosts: int) -> Fault:
-    node, host = f"n{random.randrange(nodes)}", f"h{random.randrange(hosts)}"
-    lasts_s = random.uniform(0.1, 2.5)
-    if kind is Kind.CLOCK:
-        return Fault(at_s, kind, node, amount=random.choice(STEPS_S))
-    if kind is Kind.CALL:
-        call = random.choice(tuple(CALL_ERRORS))
-        return Fault(
-            at_s,
-            kind,
-            node,
-            f"{call} {random.choice(CALL_ERRORS[call])}",
-            random.choice((0.1, 0.5, 1.0)),
-            random.uniform(0.05, 0.5),
-        )
-    if kind is Kind.SHORT:
-        return Fault(at_s, kind, node, amount=random.choice((1, 3, 17)), lasts_s=lasts_s)
-    if kind is Kind.HOLD_UP:
-        return Fault(at_s, kind, node, amount=random.uniform(0.05, 0.15), lasts_s=lasts_s)
-    if kind is Kind.FREEZE:
-        return Fault(at_s, kind, node, lasts_s=random.uniform(0.02, 0.15))
-    if kind is Kind.HOST:
-        return Fault(at_s, kind, host, random.choice(BEHAVIOURS), lasts_s=random.uniform(0.5, 8.0))
-    if kind in (Kind.HOST_DIES, Kind.DRAIN):
-        return Fault(at_s, kind, host, lasts_s=random.uniform(1.0, 4.0))
-    if kind is Kind.RELOAD:
-        return Fault(at_s, kind, node, random.choice(("same", "invalid", "moved")), random.randint(1, 5))
-    if kind is Kind.DISK:
-        return Fault(at_s, kind, node, random.choice(DISK_ERRORS), 1.0, random.uniform(0.2, 4.0))
-    if kind is Kind.DETACH:
-        return Fault(at_s, kind, node, host, lasts_s=random.uniform(2.0, 5.0))
-    if kind is Kind.CROWD:
-        return Fault(at_s, kind, node, amount=random.choice((40, 120, 300)), lasts_s=random.uniform(2.0, 6.0))
-    if kind is Kind.RUDE:
-        return Fault(at_s, kind, node, amount=random.randint(1, 20), lasts_s=4.0)
-    if kind in (Kind.DISCOVERY_DOWN, Kind.DISCOVERY_SILENT):
-        return Fault(at_s, kind, lasts_s=random.uniform(0.5, 5.0))
-    return Fault(at_s, kind, node)  # restart, kill
+@dataclass(frozen=True, slots=True)
+class _Draw:
+    """What one fault is drawn from."""
+
+    random: Random
+    at_s: float
+    kind: FaultKind
+    node: str
+    host: str
+    duration_s: float
+
+
+def _draw_fault(random: Random, at_s: float, kind: FaultKind, nodes: int, hosts: int) -> Fault:
+    node = f"n{random.randrange(nodes)}"
+    host = f"h{random.randrange(hosts)}"
+    duration_s = random.uniform(0.1, 2.5)
+    return _DRAWS[kind](_Draw(random, at_s, kind, node, host, duration_s))
+
+
+def _clock_step(draw: _Draw) -> Fault:
+    return Fault(draw.at_s, draw.kind, draw.node, amount=draw.random.choice(CLOCK_STEPS_S))
+
+
+def _call(draw: _Draw) -> Fault:
+    call = draw.random.choice(tuple(CALL_ERRORS))
+    error = draw.random.choice(CALL_ERRORS[call])
+    chance = draw.random.choice((0.1, 0.5, 1.0))
+    return Fault(draw.at_s, draw.kind, draw.node, f"{call} {error}", chance, draw.random.uniform(0.05, 0.5))
+
+
+def _short_io(draw: _Draw) -> Fault:
+    most_bytes = draw.random.choice((1, 3, 17))
+    return Fault(draw.at_s, draw.kind, draw.node, amount=most_bytes, duration_s=draw.duration_s)
+
+
+def _write_pause(draw: _Draw) -> Fault:
+    pause_s = draw.random.uniform(0.05, 0.15)
+    return Fault(draw.at_s, draw.kind, draw.node, amount=pause_s, duration_s=draw.duration_s)
+
+
+def _freeze(draw: _Draw) -> Fault:
+    return Fault(draw.at_s, draw.kind, draw.node, duration_s=draw.random.uniform(0.02, 0.15))
+
+
+def _host_behaviour(draw: _Draw) -> Fault:
+    behaviour = draw.random.choice(BEHAVIOURS)
+    return Fault(draw.at_s, draw.kind, draw.host, behaviour, duration_s=draw.random.uniform(0.5, 8.0))
+
+
+def _host_restart(draw: _Draw) -> Fault:
+    return Fault(draw.at_s, draw.kind, draw.host, duration_s=draw.random.uniform(1.0, 4.0))
+
+
+def _reload(draw: _Draw) -> Fault:
+    how = draw.random.choice(RELOADS)
+    return Fault(draw.at_s, draw.kind, draw.node, how, draw.random.randint(1, 5))
+
+
+def _disk(draw: _Draw) -> Fault:
+    error = draw.random.choice(DISK_ERRORS)
+    return Fault(draw.at_s, draw.kind, draw.node, error, 1.0, draw.random.uniform(0.2, 4.0))
+
+
+def _detach(draw: _Draw) -> Fault:
+    return Fault(draw.at_s, draw.kind, draw.node, draw.host, duration_s=draw.random.uniform(2.0, 5.0))
+
+
+def _idle_clients(draw: _Draw) -> Fault:
+    count = draw.random.choice((40, 120, 300))
+    return Fault(draw.at_s, draw.kind, draw.node, amount=count, duration_s=draw.random.uniform(2.0, 6.0))
+
+
+def _malformed_requests(draw: _Draw) -> Fault:
+    return Fault(draw.at_s, draw.kind, draw.node, amount=draw.random.randint(1, 20), duration_s=4.0)
+
+
+def _discovery(draw: _Draw) -> Fault:
+    return Fault(draw.at_s, draw.kind, duration_s=draw.random.uniform(0.5, 5.0))
+
+
+def _at_node(draw: _Draw) -> Fault:
+    return Fault(draw.at_s, draw.kind, draw.node)
+
+
+_DRAWS: dict[FaultKind, Callable[[_Draw], Fault]] = {
+    FaultKind.CLOCK_STEP: _clock_step,
+    FaultKind.CALL: _call,
+    FaultKind.SHORT_IO: _short_io,
+    FaultKind.WRITE_PAUSE: _write_pause,
+    FaultKind.FREEZE: _freeze,
+    FaultKind.HOST: _host_behaviour,
+    FaultKind.HOST_KILLED: _host_restart,
+    FaultKind.DRAIN: _host_restart,
+    FaultKind.DISCOVERY_DOWN: _discovery,
+    FaultKind.DISCOVERY_SILENT: _discovery,
+    FaultKind.RELOAD: _reload,
+    FaultKind.RESTART: _at_node,
+    FaultKind.KILL: _at_node,
+    FaultKind.IDLE_CLIENTS: _idle_clients,
+    FaultKind.MALFORMED_REQUESTS: _malformed_requests,
+    FaultKind.DISK: _disk,
+    FaultKind.DETACH: _detach,
+}
--- a/packages/faults/src/puffindeck_faults/soak.py
+++ b/packages/faults/src/puffindeck_faults/soak.py
@@ -1,7 +1,7 @@
 """Many runs, each drawn from a seed: `python -m puffindeck_faults.soak --seeds 1..50 --seconds 60 --jobs 4`.
 
 A run that breaks a rule leaves its schedule, the nodes' logs and the timeline of each request concerned in a folder;
-`--replay FOLDER` plays that schedule again. The exit code is 0 if no rule was broken, 1 if one was.
+`--replay FOLDER` runs that schedule again. The exit code is 0 if no rule was broken, 1 if one was.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 import click
 import msgspec
 
-from puffindeck_faults.checker import Break
-from puffindeck_faults.player import Player, play
-from puffindeck_faults.schedule import Kind, Schedule, draw
+from puffindeck_faults.checker import Violation
+from puffindeck_faults.scenario_runner import ScenarioRunner, run_schedule
+from puffindeck_faults.schedule import FaultKind, Schedule, draw_schedule
 
 SCHEDULE = "schedule.json"
 
 
-class Result(NamedTuple):
-    """What a run came to."""
+class RunResult(NamedTuple):
+    """The result of a run."""
 
     seed: int
     requests: int
     answered: Counter[str]
-    broken: list[Break]
+    violations: list[Violation]
     error: str = ""
 
 
-def seeds_of(text: str) -> list[int]:
-    """`3` or `1..50`. Raises click.BadParameter, naming the text."""
+def parse_seeds(text: str) -> list[int]:
+    """The seeds of `3` or `1..50`. Raises click.BadParameter, naming the text."""
     first, dots, last = text.partition("..")
     try:
         return list(range(int(first), int(last if dots else first) + 1))
@@ -43,72 +43,82 @@
         raise click.BadParameter(f"{text!r} is not a seed or FIRST..LAST") from None
 
 
-def run(schedule: Schedule, kept: Path | None) -> Result:
-    """Play one schedule; keep what is needed to understand a break."""
+def run(schedule: Schedule, output: Path | None) -> RunResult:
+    """Run one schedule; write what is needed to understand a violation to a folder of `output`."""
     folder = Path(tempfile.mkdtemp(prefix="puffindeck-soak-"))
     try:
-        broken, player = play(schedule, folder)
-        records = player.world.records
+        violations, runner = run_schedule(schedule, folder)
+        records = runner.world.records
         answered = Counter((client.answer or "none").partition(" ")[0] for client in records.clients)
-        if broken and kept is not None:
-            keep(schedule, broken, player, folder, kept / f"seed-{schedule.seed}")
-        return Result(schedule.seed, len(records.clients), answered, broken)
-    except Exception as error:  # a run that can't be played is told, and is no success
-        return Result(schedule.seed, 0, Counter(), [], f"{type(error).__name__}: {error}")
+        if violations and output is not None:
+            save_violations(schedule, violations, runner, folder, output / f"seed-{schedule.seed}")
+        return RunResult(schedule.seed, len(records.clients), answered, violations)
+    except Exception as error:  # reported as a failed run
+        return RunResult(schedule.seed, 0, Counter(), [], f"{type(error).__name__}: {error}")
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def keep(schedule: Schedule, broken: list[Break], player: Player, folder: Path, kept: Path) -> None:
-    """The schedule, the logs, and the timelines of the requests concerned."""
-    kept.mkdir(parents=True, exist_ok=True)
-    (kept / SCHEDULE).write_bytes(msgspec.json.format(msgspec.json.encode(schedule)))
+def save_violations(
+    schedule: Schedule, violations: list[Violation], runner: ScenarioRunner, folder: Path, output: Path
+) -> None:
+    """Write the schedule, the logs, and the timelines of the requests concerned."""
+    output.mkdir(parents=True, exist_ok=True)
+    (output / SCHEDULE).write_bytes(msgspec.json.format(msgspec.json.encode(schedule)))
     for log in folder.glob("*/log.*"):
-        shutil.copy(log, kept / f"{log.parent.name}.{log.name}")
-    records = player.world.records
-    began = min(life.started for life in records.lives)
-    lines = [f"{one.at - began:8.3f} {one.rule}: {one.what} {one.request}" for one in broken]
-    concerned = {one.request for one in broken if one.request}
-    lines += [str(client) for client in records.clients if client.request in concerned]
-    lines += [str(attempt) for attempt in records.attempts if attempt.request in concerned]
-    lines += [str(life) for life in records.lives]
-    lines += [f"times count from {began}"]
-    (kept / "timeline.txt").write_text("\n".join(lines) + "\n")
-
-
-def line_of(result: Result) -> str:
-    """A run in one line."""
+        shutil.copy(log, output / f"{log.parent.name}.{log.name}")
+    records = runner.world.records
+    began = min(process.started for process in records.processes)
+    lines = [f"{one.at - began:8.3f} {one.rule}: {one.description} {one.request}" for one in violations]
+    affected = {one.request for one in violations if one.request}
+    lines += [str(client) for client in records.clients if client.request in affected]
+    lines += [str(attempt) for attempt in records.attempts if attempt.request in affected]
+    lines += [str(process) for process in records.processes]
+    lines += [f"times are relative to {began}"]
+    (output / "timeline.txt").write_text("\n".join(lines) + "\n")
+
+
+def summary_line(result: RunResult) -> str:
+    """The result in one line."""
     if result.error:
-        return f"seed {result.seed}: not played: {result.error}"
+        return f"seed {result.seed}: not run: {result.error}"
     answers = ", ".join(f"{count} {answer}" for answer, count in sorted(result.answered.items()))
-    rules = ", ".join(f"{rule} {n}" for rule, n in sorted(Counter(one.rule for one in result.broken).items()))
-    first = f"; first: {result.broken[0].what}" if result.broken else ""
+    rules = ", ".join(f"{rule} {n}" for rule, n in sorted(Counter(one.rule for one in result.violations).items()))
+    first = f"; first: {result.violations[0].description}" if result.violations else ""
     return f"seed {result.seed}: {result.requests} requests ({answers}); broken: {rules or 'none'}{first}"
 
 
 @click.command()
 @click.option("--seeds", default="1..5", help="A seed, or FIRST..LAST.")
-@click.option("--seconds", default=30.0, help="How long each run lasts, before its nodes are told to stop.")
-@click.option("--only", multiple=True, type=click.Choice([kind.value for kind in Kind]), help="No other faults.")
+@click.option("--seconds", default=30.0, help="Length of each run, until SIGTERM to its nodes.")
+@click.option(
+    "--only", multiple=True, type=click.Choice([kind.value for kind in FaultKind]), help="Only these kinds of fault."
+)
 @click.option("--jobs", default=2, help="Runs at a time.")
-@click.option("--keep", "kept", default="found/soak", type=click.Path(path_type=Path), help="For runs that broke.")
-@click.option("--replay", type=click.Path(exists=True, path_type=Path), help="A folder of such a run.")
-def main(seeds: str, seconds: float, only: tuple[str, ...], jobs: int, kept: Path, replay: Path | None) -> None:
-    """Play runs, a line each."""
+@click.option(
+    "--keep",
+    "output",
+    default="found/soak",
+    type=click.Path(path_type=Path),
+    help="Folder for runs with a broken rule.",
+)
+@click.option("--replay", type=click.Path(exists=True, path_type=Path), help="The folder of such a run.")
+def main(seeds: str, seconds: float, only: tuple[str, ...], jobs: int, output: Path, replay: Path | None) -> None:
+    """Run schedules, and print a line for each."""
     if replay is not None:
         schedules = [msgspec.json.decode((replay / SCHEDULE).read_bytes(), type=Schedule)]
     else:
-        kinds = tuple(Kind(word) for word in only)
-        schedules = [draw(seed, seconds, kinds) for seed in seeds_of(seeds)]
+        kinds = tuple(FaultKind(value) for value in only)
+        schedules = [draw_schedule(seed, seconds, kinds) for seed in parse_seeds(seeds)]
     results = []
     with ProcessPoolExecutor(jobs) as pool, click.progressbar(length=len(schedules), file=sys.stderr) as bar:
-        for done in as_completed(pool.submit(run, schedule, kept) for schedule in schedules):
+        for done in as_completed(pool.submit(run, schedule, output) for schedule in schedules):
             results.append(done.result())
             bar.update(1)
-            click.echo(line_of(results[-1]))
-    broken = Counter(one.rule for result in results for one in result.broken)
-    failed = sum(bool(result.broken or result.error) for result in results)
-    click.echo(f"{len(results)} runs, {failed} with a broken rule or not played: {dict(broken)}")
+            click.echo(summary_line(results[-1]))
+    violations = Counter(one.rule for result in results for one in result.violations)
+    failed = sum(bool(result.violations or result.error) for result in results)
+    click.echo(f"{len(results)} runs, {failed} with a broken rule or not run: {dict(violations)}")
     sys.exit(1 if failed else 0)
 
 
--- a/packages/faults/tests/conftest.py
+++ b/packages/faults/tests/conftest.py
@@ -1,16 +1,16 @@
-"""Where the machine has no C compiler, nothing here can be played: that is said, and skipped."""
+"""Skip these tests, with the reason, on a machine that has no C compiler."""
 
 from __future__ import annotations
 
 import pytest
 
-from puffindeck_faults.machine import NoCompilerError, library
+from puffindeck_faults.fault_injector import NoCompilerError, build_library
 
 
 @pytest.fixture(autouse=True, scope="session")
 def compiled() -> None:
-    """The library that is loaded into the processes."""
+    """Build the library that is loaded into the processes."""
     try:
-        library()
+        build_library()
     except NoCompilerError as error:
         pytest.skip(str(error))
--- a/packages/faults/tests/test_checker.py
+++ b/packages/faults/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each rule's break, planted once in sound records, and only it."""
+"""The checker finds each rule's violation, inserted once into valid records, and only it."""
 
 from __future__ import annotations
 
@@ -6,16 +6,18 @@
 
 import pytest
 
-from puffindeck_faults.checker import Terms, check
-from puffindeck_faults.records import Attempt, ClientRecord, Detachment, HostChange, NodeLife, Records
+from puffindeck_faults.checker import RunLimits, check
+from puffindeck_faults.records import Attempt, ClientRecord, Detachment, HostChange, Outage, ProcessRecord, Records
 
-TERMS = Terms(capacity=2.0)
+TERMS = RunLimits(host_capacity=2.0)
 
 
-def sound() -> Records:
-    """A node that served three clients well: one moved, one refused, one that left early."""
+def valid() -> Records:
+    """A node that served three clients well: one migrated, one rejected, one that left early."""
     records = Records()
-    records.lives = [NodeLife("n0", 0.0, ready=0.5, told_to_stop=60.0, exited=63.0, code=0, most_descriptors=90)]
+    records.processes = [
+        ProcessRecord("n0", 0.0, ready=0.5, terminated=60.0, exited=63.0, exit_code=0, peak_descriptors=90)
+    ]
     records.clients = [
         ClientRecord(
             "a",
@@ -26,7 +28,7 @@
             sent=10.0,
             answer="UP h0-1",
             answered=10.2,
-            moved=True,
+            migrated=True,
             ended=20.0,
             longest_silence_s=0.1,
         ),
@@ -88,7 +90,7 @@
 
 
 def at_a_host_that_staff_took_out(records: Records) -> None:
-    records.detachments.append(Detachment("n0", "h1", 11.0, said_yes=11.1, over=20.0))
+    records.detachments.append(Detachment("n0", "h1", 11.0, confirmed=11.1, ended=20.0))
     records.clients.append(ClientRecord("e", "n0", "chat", 1.0, connected=11.5, sent=11.6, answer="ERR", answered=11.8))
     records.attempts.append(Attempt("h1", 11.7, "e", 11.7, 11.7, None, "", 11.8))
 
@@ -103,11 +105,11 @@
 
 
 def cut(records: Records) -> None:
-    records.clients[0].moved = False
+    records.clients[0].migrated = False
 
 
 def silent(records: Records) -> None:
-    records.clients[0].longest_silence_s, records.clients[0].unanswered = 7.3, 12.6
+    records.clients[0].longest_silence_s, records.clients[0].unanswered_since = 7.3, 12.6
 
 
 def not_ended_with_its_host(records: Records) -> None:
@@ -115,18 +117,18 @@
 
 
 def crash(records: Records) -> None:
-    records.lives[0].told_to_stop = None
+    records.processes[0].terminated = None
 
 
 def slow_start_of_a_process(records: Records) -> None:
-    records.lives[0].ready = 11.0
+    records.processes[0].ready = 11.0
 
 
 def too_many_descriptors(records: Records) -> None:
-    records.lives[0].most_descriptors = 257
+    records.processes[0].peak_descriptors = 257
 
 
-PLANTED: dict[Callable[[Records], None], str] = {
+VIOLATIONS: dict[Callable[[Records], None], str] = {
     no_answer: "lost",
     closed_unanswered: "lost",
     answered_late: "lost",
@@ -148,28 +150,28 @@
 
 
 def test_sound_records_break_nothing() -> None:
-    assert check(sound(), TERMS) == []
+    assert check(valid(), TERMS) == []
 
 
-@pytest.mark.parametrize("plant", PLANTED, ids=lambda plant: plant.__name__)
-def test_a_planted_break_is_found_and_only_it(plant: Callable[[Records], None]) -> None:
-    records = sound()
-    plant(records)
-    assert [one.rule for one in check(records, TERMS)] == [PLANTED[plant]]
+@pytest.mark.parametrize("insert", VIOLATIONS, ids=lambda insert: insert.__name__)
+def test_a_planted_break_is_found_and_only_it(insert: Callable[[Records], None]) -> None:
+    records = valid()
+    insert(records)
+    assert [one.rule for one in check(records, TERMS)] == [VIOLATIONS[insert]]
 
 
 def test_a_request_at_a_node_that_was_killed_with_no_word_is_not_held_against_it() -> None:
-    records = sound()
+    records = valid()
     closed_unanswered(records)
-    records.lives[0].told_to_stop, records.lives[0].killed, records.lives[0].code = None, 10.4, -9
+    records.processes[0].terminated, records.processes[0].killed, records.processes[0].exit_code = None, 10.4, -9
     assert check(records, TERMS) == []
 
 
 def test_a_change_while_discovery_was_down_counts_as_told_six_seconds_after_its_return() -> None:
-    records = sound()
+    records = valid()
     after_the_grace(records)
-    records.changes[0].written.clear()
+    records.changes[0].sent_to_nodes.clear()
     records.changes[0].made = 4.0
     assert [one.rule for one in check(records, TERMS)] == ["drain"]
-    records.unreachable = [(3.0, 8.0)]
+    records.outages = [Outage(3.0, 8.0)]
     assert check(records, TERMS) == []
--- a/packages/faults/tests/test_node_process.py
+++ b/packages/faults/tests/test_node_process.py
@@ -24,11 +24,11 @@
         ):
             outgoing.bind(("127.0.0.1", node.port))  # as Linux does for outgoing connections on loopback
             outgoing.connect(server.getsockname())
-            second.bind(("127.0.0.1", node.operator))
+            second.bind(("127.0.0.1", node.operator_port))
             second.connect(server.getsockname())
             async with world:
-                assert node.life is not None
-                assert node.life.ready is not None
+                assert node.process_record is not None
+                assert node.process_record.ready is not None
 
     asyncio.run(story())
 
@@ -43,9 +43,9 @@
         ):
             await world.__aenter__()
         assert raised.value.exit_code == 2
-        assert node.life is not None
-        assert node.life.code == 2
-        assert node.life.ready is None
+        assert node.process_record is not None
+        assert node.process_record.exit_code == 2
+        assert node.process_record.ready is None
         await world.__aexit__()
 
     asyncio.run(story())
--- a/packages/faults/tests/test_soak.py
+++ b/packages/faults/tests/test_soak.py
@@ -8,33 +8,33 @@
 import msgspec
 import pytest
 
-from puffindeck_faults.schedule import Kind, Schedule, draw
-from puffindeck_faults.soak import run, seeds_of
+from puffindeck_faults.schedule import FaultKind, Schedule, draw_schedule
+from puffindeck_faults.soak import parse_seeds, run
 
 SEEDS, SECONDS, JOBS = (1, 2, 3, 4), 12.0, 2
 
 
 def test_short_runs_of_all_faults_break_no_rule() -> None:
     with ProcessPoolExecutor(JOBS) as pool:
-        results = list(pool.map(run, (draw(seed, SECONDS) for seed in SEEDS), [None] * len(SEEDS)))
-    assert [(result.seed, result.broken, result.error) for result in results] == [(seed, [], "") for seed in SEEDS]
+        results = list(pool.map(run, (draw_schedule(seed, SECONDS) for seed in SEEDS), [None] * len(SEEDS)))
+    assert [(result.seed, result.violations, result.error) for result in results] == [(seed, [], "") for seed in SEEDS]
     assert all(result.answered["UP"] > 0 for result in results)
 
 
 def test_a_schedule_hangs_on_its_seed_alone_and_is_read_back_as_it_was() -> None:
-    schedule = draw(7, 30.0)
-    assert schedule == draw(7, 30.0) != draw(8, 30.0)
+    schedule = draw_schedule(7, 30.0)
+    assert schedule == draw_schedule(7, 30.0) != draw_schedule(8, 30.0)
     assert msgspec.json.decode(msgspec.json.encode(schedule), type=Schedule) == schedule
 
 
 def test_every_kind_of_fault_is_drawn_and_one_alone_where_it_is_named() -> None:
-    drawn = {fault.kind for seed in range(20) for fault in draw(seed, 30.0).faults}
-    assert drawn == set(Kind)
-    assert {fault.kind for fault in draw(1, 30.0, (Kind.CLOCK,)).faults} == {Kind.CLOCK}
+    drawn = {fault.kind for seed in range(20) for fault in draw_schedule(seed, 30.0).faults}
+    assert drawn == set(FaultKind)
+    assert {fault.kind for fault in draw_schedule(1, 30.0, (FaultKind.CLOCK_STEP,)).faults} == {FaultKind.CLOCK_STEP}
 
 
 def test_seeds_are_one_or_a_range_and_others_an_error_that_names_them() -> None:
-    assert seeds_of("3") == [3]
-    assert seeds_of("1..3") == [1, 2, 3]
+    assert parse_seeds("3") == [3]
+    assert parse_seeds("1..3") == [1, 2, 3]
     with pytest.raises(click.BadParameter, match="'x' is not a seed"):
-        seeds_of("x")
+        parse_seeds("x")
--- a/packages/faults/tests/test_system_calls.py
+++ b/packages/faults/tests/test_system_calls.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from puffindeck_faults.clients import Class
-from puffindeck_faults.machine import Call
+from puffindeck_faults.clients import RequestClass
+from puffindeck_faults.fault_injector import SystemCall
 from puffindeck_faults.records import ClientRecord
 from puffindeck_faults.world import CLASSES, World
 
@@ -22,12 +22,12 @@
     return [(record.answer or "none").partition(" ")[0] for record in records]
 
 
-def ask(world: World, count: int, cls: Class = CHAT) -> list[ClientRecord]:
-    return [world.clients.begin("n0", world.nodes["n0"].port, cls, 0.0) for _ in range(count)]
+def ask(world: World, count: int, request_class: RequestClass = CHAT) -> list[ClientRecord]:
+    return [world.clients.begin("n0", world.nodes["n0"].port, request_class, 0.0) for _ in range(count)]
 
 
 async def ended(world: World, records: list[ClientRecord]) -> None:
-    await world.until(lambda: all(record.left or record.ended for record in records), "the clients' ends")
+    await world.wait_until(lambda: all(record.left or record.ended for record in records), "the clients' ends")
 
 
 @pytest.mark.parametrize(
@@ -46,11 +46,11 @@
 def test_whole_requests_that_wait_to_be_accepted_are_served(tmp_path: Path, error: str, times: int) -> None:
     async def story() -> None:
         async with World(tmp_path) as world:
-            machine = world.nodes["n0"].machine
-            machine.fail(Call.ACCEPT, getattr(errno, error), times=times)
+            fault_injector = world.nodes["n0"].fault_injector
+            fault_injector.fail(SystemCall.ACCEPT, getattr(errno, error), times=times)
             records = ask(world, 12)
             await ended(world, records)
-            assert machine.failed(Call.ACCEPT) == times
+            assert fault_injector.failed(SystemCall.ACCEPT) == times
             assert answers(records) == ["UP"] * 12
 
     asyncio.run(story())
@@ -59,22 +59,22 @@
 @pytest.mark.parametrize(
     ("call", "error"),
     [
-        (Call.SOCKET, "ENFILE"),
-        (Call.SOCKET, "EMFILE"),
-        (Call.SOCKET, "ENOBUFS"),
-        (Call.SOCKET, "ENOMEM"),
-        (Call.CONNECT, "EADDRNOTAVAIL"),
-        (Call.CONNECT, "EINTR"),
-        (Call.CONNECT, "ENETUNREACH"),
+        (SystemCall.SOCKET, "ENFILE"),
+        (SystemCall.SOCKET, "EMFILE"),
+        (SystemCall.SOCKET, "ENOBUFS"),
+        (SystemCall.SOCKET, "ENOMEM"),
+        (SystemCall.CONNECT, "EADDRNOTAVAIL"),
+        (SystemCall.CONNECT, "EINTR"),
+        (SystemCall.CONNECT, "ENETUNREACH"),
     ],
 )
 def test_the_only_attempt_that_this_machine_can_not_begin_is_begun_again(
-    tmp_path: Path, call: Call, error: str
+    tmp_path: Path, call: SystemCall, error: str
 ) -> None:
     async def story() -> None:
         async with World(tmp_path, limits=ONE_ATTEMPT) as world:
             node = world.nodes["n0"]
-            node.machine.fail(call, getattr(errno, error), times=8)
+            node.fault_injector.fail(call, getattr(errno, error), times=8)
             records = ask(world, 4)
             await ended(world, records)
             assert answers(records) == ["UP"] * 4
@@ -87,12 +87,12 @@
     async def story() -> None:
         async with World(tmp_path) as world:
             node = world.nodes["n0"]
-            node.machine.fail(Call.CONNECT, errno.EADDRNOTAVAIL)
+            node.fault_injector.fail(SystemCall.CONNECT, errno.EADDRNOTAVAIL)
             records = ask(world, 6)
             await ended(world, records)
             assert set(answers(records)) == {"BUSY"}
             assert max(r.answered - r.sent for r in records if r.answered and r.sent) <= CHAT.deadline_ms / 1000 + 0.5
-            node.machine.mend()
+            node.fault_injector.clear_failures()
             after = ask(world, 6)
             await ended(world, after)
             assert answers(after) == ["UP"] * 6
@@ -104,7 +104,7 @@
 def test_a_connect_that_fails_on_the_way_is_tried_elsewhere(tmp_path: Path, error: str) -> None:
     async def story() -> None:
         async with World(tmp_path) as world:
-            world.nodes["n0"].machine.fail(Call.CONNECT, getattr(errno, error), times=1)
+            world.nodes["n0"].fault_injector.fail(SystemCall.CONNECT, getattr(errno, error), times=1)
             records = ask(world, 1)
             await ended(world, records)
             assert answers(records) == ["UP"]
@@ -115,25 +115,25 @@
 @pytest.mark.parametrize(
     ("call", "error"),
     [
-        (Call.RECV, "EINTR"),
-        (Call.RECV, "ENOMEM"),
-        (Call.RECV, "ENOBUFS"),
-        (Call.RECV, "EAGAIN"),
-        (Call.SEND, "EINTR"),
-        (Call.SEND, "ENOMEM"),
-        (Call.SEND, "ENOBUFS"),
-        (Call.SEND, "EAGAIN"),
-        (Call.EPOLL_WAIT, "EINTR"),
+        (SystemCall.RECV, "EINTR"),
+        (SystemCall.RECV, "ENOMEM"),
+        (SystemCall.RECV, "ENOBUFS"),
+        (SystemCall.RECV, "EAGAIN"),
+        (SystemCall.SEND, "EINTR"),
+        (SystemCall.SEND, "ENOMEM"),
+        (SystemCall.SEND, "ENOBUFS"),
+        (SystemCall.SEND, "EAGAIN"),
+        (SystemCall.EPOLL_WAIT, "EINTR"),
     ],
 )
-def test_an_error_that_passes_ends_no_connection(tmp_path: Path, call: Call, error: str) -> None:
+def test_an_error_that_passes_ends_no_connection(tmp_path: Path, call: SystemCall, error: str) -> None:
     async def story() -> None:
         async with World(tmp_path) as world:
-            machine = world.nodes["n0"].machine
-            machine.fail(call, getattr(errno, error), chance=0.5)
+            fault_injector = world.nodes["n0"].fault_injector
+            fault_injector.fail(call, getattr(errno, error), chance=0.5)
             records = [world.clients.begin("n0", world.nodes["n0"].port, CHAT, 1.6) for _ in range(6)]
             await ended(world, records)
-            assert machine.failed(call) > 0
+            assert fault_injector.failed(call) > 0
             assert answers(records) == ["UP"] * 6
             assert [record.ended for record in records] == [None] * 6
 
@@ -143,7 +143,7 @@
 def test_reads_and_writes_of_one_byte_serve_all_the_same(tmp_path: Path) -> None:
     async def story() -> None:
         async with World(tmp_path) as world:
-            world.nodes["n0"].machine.shorten(1)
+            world.nodes["n0"].fault_injector.limit_io_bytes(1)
             records = [world.clients.begin("n0", world.nodes["n0"].port, CHAT, 1.6) for _ in range(6)]
             await ended(world, records)
             assert answers(records) == ["UP"] * 6
@@ -160,9 +160,9 @@
             path.rename(node.folder / "away")
             path.mkdir()  # EISDIR
             node.send_signal(signal.SIGHUP)
-            await world.until(lambda: "reload: tried again" in node.log(), "the first try")
+            await world.wait_until(lambda: "reload: tried again" in node.log(), "the first try")
             path.rmdir()
             (node.folder / "away").rename(path)
-            await world.until(lambda: "reload: done" in node.log(), "the second one")
+            await world.wait_until(lambda: "reload: done" in node.log(), "the second one")
 
     asyncio.run(story())
--- a/packages/faults/tests/test_wall_clock.py
+++ b/packages/faults/tests/test_wall_clock.py
@@ -18,8 +18,8 @@
 
 CHAT = CLASSES[0]
 STEPS_S = (-380.0, -3600.0, -5.0, 3600.0, 0.0)
-SILENT_S = 7.05  # a connection that brings nothing back has to end within this
-TOLD_S = 6.0  # a change counts as told so long after discovery had it
+SILENT_S = 7.05  # a connection that receives nothing has to end within this
+NOTIFIED_S = 6.0  # a change counts as notified so long after discovery had it
 
 
 async def a_request_whose_host_hangs_gets_its_answer_in_time(folder: Path, step_s: float) -> None:
@@ -28,9 +28,9 @@
             host.behaviour = Behaviour.HANG
         node = world.nodes["n0"]
         record = world.clients.begin("n0", node.port, CHAT, 0.0)
-        await world.until(lambda: world.records.attempts, "an attempt")
-        node.machine.set_wall_clock(step_s)
-        await world.until(lambda: record.left or record.ended, "the client's end")
+        await world.wait_until(lambda: world.records.attempts, "an attempt")
+        node.fault_injector.set_wall_clock(step_s)
+        await world.wait_until(lambda: record.left or record.ended, "the client's end")
         assert record.answer is not None
         assert record.answer.startswith(("BUSY", "ERR"))
         assert record.sent is not None
@@ -43,9 +43,9 @@
         world.hosts["h0"].delay_s = 0.8
         node = world.nodes["n0"]
         record = world.clients.begin("n0", node.port, CHAT, 0.0)
-        await world.until(lambda: world.records.attempts, "an attempt")
-        node.machine.set_wall_clock(step_s)
-        await world.until(lambda: record.left or record.ended, "the client's end")
+        await world.wait_until(lambda: world.records.attempts, "an attempt")
+        node.fault_injector.set_wall_clock(step_s)
+        await world.wait_until(lambda: record.left or record.ended, "the client's end")
         assert record.answer is not None
         assert record.answer.startswith("UP h0-")
 
@@ -54,10 +54,10 @@
     async with World(folder, hosts=1) as world:
         node = world.nodes["n0"]
         record = world.clients.begin("n0", node.port, CHAT, 30.0)
-        await world.until(lambda: record.answer, "an answer")
+        await world.wait_until(lambda: record.answer, "an answer")
         world.hosts["h0"].behaviour = Behaviour.HANG
-        node.machine.set_wall_clock(step_s)
-        await world.until(lambda: record.ended or record.longest_silence_s > SILENT_S, "its end", 12)
+        node.fault_injector.set_wall_clock(step_s)
+        await world.wait_until(lambda: record.ended or record.longest_silence_s > SILENT_S, "its end", 12)
         assert record.ended is not None
         assert record.longest_silence_s <= SILENT_S
 
@@ -66,28 +66,28 @@
     async with World(folder, hosts=2) as world:
         node = world.nodes["n0"]
         world.discovery.silent = True
-        node.machine.set_wall_clock(step_s)
-        world.discovery.change(world.target("h0", "DRAINING"))
+        node.fault_injector.set_wall_clock(step_s)
+        world.discovery.change(world.listed_endpoint("h0", "DRAINING"))
         made = world.records.changes[-1]
-        ends = now() + TOLD_S
-        await world.until(lambda: "watch broken: silent" in node.log() or now() > ends, "a new call")
+        ends = now() + NOTIFIED_S
+        await world.wait_until(lambda: "watch broken: silent" in node.log() or now() > ends, "a new call")
         world.discovery.silent = False
-        await world.until(lambda: made.written or now() > ends, "the change")
-        assert made.written
+        await world.wait_until(lambda: made.sent_to_nodes or now() > ends, "the change")
+        assert made.sent_to_nodes
 
 
 async def a_node_told_to_stop_moves_all_and_ends_before_the_kill(folder: Path, step_s: float) -> None:
     async with World(folder) as world:
         node = world.nodes["n0"]
         held = [world.clients.begin("n0", node.port, CHAT, 30.0) for _ in range(8)]
-        await world.until(lambda: all(record.answer for record in held), "answers")
-        node.machine.set_wall_clock(step_s)
+        await world.wait_until(lambda: all(record.answer for record in held), "answers")
+        node.fault_injector.set_wall_clock(step_s)
         await node.stop(world.longest_s, signal.SIGTERM)
-        assert node.life is not None
-        assert node.life.killed is None
-        assert node.life.code == 0
-        await world.until(lambda: all(record.ended for record in held), "their ends")
-        assert [record.moved for record in held] == [True] * 8
+        assert node.process_record is not None
+        assert node.process_record.killed is None
+        assert node.process_record.exit_code == 0
+        await world.wait_until(lambda: all(record.ended for record in held), "their ends")
+        assert [record.migrated for record in held] == [True] * 8
 
 
 STORIES = (
