--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from benchmarks.table import table
-from puffindeck_testing.checker import opened, outside, without_one_answer
+from puffindeck_testing.checker import connections_outside, connections_per_window, without_final_answer
 from puffindeck_testing.world import World
 
 REGIONS = {"e1": "north", "e2": "north", "e3": "south", "e4": "south", "e5": "east"}
@@ -55,26 +55,26 @@
 
     at(5)
     for one, other in world.relays:
-        world.faults(one, other, loss=0.3, copies=0.2, delay_s=(0.0, 0.2))
+        world.set_faults(one, other, loss=0.3, copies=0.2, delay_s=(0.0, 0.2))
     at(13)
     for one, other in world.relays:
-        world.faults(one, other, loss=0.0, copies=0.0, delay_s=(0.0, 0.0))
-    world.split({"e1", "e2"}, {"e3", "e4", "e5"})
+        world.set_faults(one, other, loss=0.0, copies=0.0, delay_s=(0.0, 0.0))
+    world.partition({"e1", "e2"}, {"e3", "e4", "e5"})
     at(22)
-    world.split({"e1", "e2"}, {"e3", "e4", "e5"}, cut=False)
+    world.partition({"e1", "e2"}, {"e3", "e4", "e5"}, cut=False)
     at(26)
-    world.signal("e3", signal.SIGKILL)
+    world.send_signal("e3", signal.SIGKILL)
     at(30)
     world.start("e3", wait=False)
     at(34)
-    world.signal("e4", signal.SIGSTOP)
+    world.send_signal("e4", signal.SIGSTOP)
     at(38)
-    world.signal("e4", signal.SIGCONT)
+    world.send_signal("e4", signal.SIGCONT)
     at(42)
-    world.faults("e1", "e5", cut=True)
+    world.set_faults("e1", "e5", cut=True)
     at(48)
-    world.faults("e1", "e5", cut=False)
-    world.signal("e2", signal.SIGTERM)
+    world.set_faults("e1", "e5", cut=False)
+    world.send_signal("e2", signal.SIGTERM)
     world.processes["e2"].wait(10)
     world.start("e2", wait=False)
 
@@ -84,29 +84,34 @@
     try:
         for name in REGIONS:
             world.start(name, wait=False)
-        world.until(world.all_alive, "all to know each other", 30)
+        world.wait_until(world.all_alive, "all to know each other", 30)
         time.sleep(8)  # until rights are minted
-        random, begun, told = Random(5), time.monotonic(), len(world.told)
+        random, begun, told = Random(5), time.monotonic(), len(world.results)
         with ThreadPoolExecutor() as pool:
             script = pool.submit(faults, world, begun) if with_faults else None
             while (passed := time.monotonic() - begun) < 60:
                 for name in REGIONS:
                     for group, rate in RATES.items():
                         if random.random() < rate * 0.02:
-                            world.ask(name, group, hold=0.2)
+                            world.begin_client(name, group, hold_s=0.2)
                 time.sleep(max(0.0, begun + passed + 0.02 - time.monotonic()))
             if script is not None:
                 script.result()
         time.sleep(3)
-        clients = world.told[told:]
+        clients = world.results[told:]
         served = sum(client.answers[:1] != [] and client.answers[0].startswith("UP") for client in clients)
         excess = max(
-            max(opened(world.ups, TENANTS[name], WINDOW).values()) - most for name, most in LIMITS.items()
+            max(connections_per_window(world.connections, TENANTS[name], WINDOW).values()) - most
+            for name, most in LIMITS.items()
+        )
+        strangers = sum(
+            len(connections_outside(world.connections, group, zones)) for group, zones in RULED.items()
         )
-        strangers = sum(len(outside(world.ups, group, zones)) for group, zones in RULED.items())
         answered = [c for c in clients if c.answers[:1] != ["no connection"] and c.answers[:1] != ["reset"]]
         killed = sum(c.answers[:1] in (["reset"], ["closed"]) and c.gateway == "e3" for c in clients)
-        wrong = [c for c in without_one_answer(answered) if c.answers[:1] != ["closed"] or c.gateway != "e3"]
+        wrong = [
+            c for c in without_final_answer(answered) if c.answers[:1] != ["closed"] or c.gateway != "e3"
+        ]
         return [
             "faults" if with_faults else "none",
             len(clients),
--- a/packages/testing/src/puffindeck_testing/checker.py
+++ b/packages/testing/src/puffindeck_testing/checker.py
@@ -1,35 +1,39 @@
-"""What a run came to, by what hosts and clients saw alone. It shares no code with the product."""
+"""The result of a run, computed from what hosts and clients observed. It shares no code with the product."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable
 
-from puffindeck_testing.world import Told, Up
+from puffindeck_testing.clients import ClientResult
+from puffindeck_testing.hosts import HostConnection
 
+FINAL_ANSWERS = ("UP", "BUSY", "ERR")
 
-def group_of(line: str) -> str:
-    """The group in a first line."""
-    return next((part[2:] for part in line.split(" ")[3].split(",") if part.startswith("g=")), "")
 
+def group_of(first_line: str) -> str:
+    """The group in a first line, empty if there is none."""
+    attributes = first_line.split(" ")[3].split(",")
+    return next((attribute[2:] for attribute in attributes if attribute.startswith("g=")), "")
 
-def opened(ups: Iterable[Up], group: str, window_s: float) -> Counter[int]:
-    """Connections of a group by the window in which their host saw them."""
-    return Counter(int(up.at // window_s) for up in ups if group_of(up.line) == group)
 
+def connections_per_window(connections: Iterable[HostConnection], group: str, window_s: float) -> Counter[int]:
+    """The number of a group's connections, by the window of Unix time in which their host saw them open."""
+    return Counter(int(one.opened // window_s) for one in connections if group_of(one.first_line) == group)
 
-def outside(ups: Iterable[Up], group: str, zones: set[str]) -> list[Up]:
-    """Connections of a group at a host that is not in these zones."""
-    return [up for up in ups if group_of(up.line) == group and up.zone not in zones]
 
+def connections_outside(connections: Iterable[HostConnection], group: str, zones: set[str]) -> list[HostConnection]:
+    """The connections of a group at hosts that are not in these zones."""
+    return [one for one in connections if group_of(one.first_line) == group and one.zone not in zones]
 
-def without_one_answer(told: Iterable[Told]) -> list[Told]:
-    """Clients that reached a gateway and did not get exactly one final answer."""
+
+def without_final_answer(results: Iterable[ClientResult]) -> list[ClientResult]:
+    """The clients that reached a gateway and did not get a final answer."""
     wrong = []
-    for client in told:
-        first = client.answers[0] if client.answers else "silence"
+    for result in results:
+        first = result.answers[0] if result.answers else "silence"
         if first == "no connection":
-            continue  # it never reached one: its gateway was down
-        if not first.startswith(("UP", "BUSY", "ERR")):
-            wrong.append(client)
+            continue  # the gateway was down
+        if not first.startswith(FINAL_ANSWERS):
+            wrong.append(result)
     return wrong
--- a/packages/testing/src/puffindeck_testing/relay.py
+++ b/packages/testing/src/puffindeck_testing/relay.py
@@ -1,7 +1,7 @@
-"""Relays on loopback: between each ordered pair of gateways one, which loses, delays, repeats and cuts by a seed.
+"""Datagram relays on loopback, one for each ordered pair of gateways, which lose, delay, duplicate and cut by a seed.
 
-A relay hands on what a real network would: where nobody listens behind it, its own port is closed for a while, so
-that who sends there is refused too.
+A relay also passes on refusals, as a network does: while nobody listens at its destination its own port is closed,
+so that its senders are refused.
 """
 
 from __future__ import annotations
@@ -14,94 +14,99 @@
 
 from puffindeck_testing.ports import free_port, own_address
 
-PROBE_S = 0.1  # how often a refused relay tries whether somebody listens again
+PROBE_INTERVAL_S = 0.1  # between two probes of a destination that refuses
 
 
-@dataclass
-class Faults:
-    """What one direction does to datagrams."""
+@dataclass(frozen=True, slots=True)
+class LinkFaults:
+    """What one direction does to datagrams. `loss` and `copies` are probabilities from 0 to 1."""
 
     loss: float = 0.0
-    delay_s: tuple[float, float] = (0.0, 0.0)
+    delay_s: tuple[float, float] = (0.0, 0.0)  # least and most
     copies: float = 0.0
     cut: bool = False
 
 
-class _In(asyncio.DatagramProtocol):
+class _Inbound(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        self._relay.came(data)
+        self._relay.on_datagram(data)
 
 
-class _Out(asyncio.DatagramProtocol):
+class _Outbound(asyncio.DatagramProtocol):
     def __init__(self, relay: Relay) -> None:
         self._relay = relay
 
     def error_received(self, exc: Exception) -> None:
         if isinstance(exc, ConnectionRefusedError):
-            self._relay.refused()
+            self._relay.on_refused()
 
 
 class Relay:
-    """One direction."""
-
-    def __init__(self, to: tuple[str, int], seed: str) -> None:
-        self.to, self.faults, self._random = to, Faults(), Random(seed)
-        self.passed = 0
-        self._in: Any = None
-        self._out: Any = None
+    """One direction between two gateways."""
+
+    def __init__(self, destination: tuple[str, int], seed: str) -> None:
+        """`destination`: address and port of the receiver."""
+        self.faults = LinkFaults()
+        self.forwarded = 0  # datagrams
+        self._destination = destination
+        self._random = Random(seed)
         self._address = (own_address(), free_port(socket.SOCK_DGRAM))
+        self._inbound: Any = None
+        self._outbound: Any = None
         self._reopening: asyncio.Task[None] | None = None
-        self._asked = 0.0
+        self._last_refusal = 0.0  # on the loop's clock
 
     async def open(self) -> str:
-        """Its address."""
+        """Open the relay, and return its address as HOST:PORT."""
         loop = asyncio.get_running_loop()
-        self._out, _ = await loop.create_datagram_endpoint(lambda: _Out(self), remote_addr=self.to)
+        self._outbound, _ = await loop.create_datagram_endpoint(lambda: _Outbound(self), remote_addr=self._destination)
         await self._listen()
         return "{}:{}".format(*self._address)
 
     async def _listen(self) -> None:
         loop = asyncio.get_running_loop()
-        self._in, _ = await loop.create_datagram_endpoint(lambda: _In(self), local_addr=self._address)
+        self._inbound, _ = await loop.create_datagram_endpoint(lambda: _Inbound(self), local_addr=self._address)
 
-    def came(self, data: bytes) -> None:
+    def on_datagram(self, data: bytes) -> None:
+        """Forward a datagram, as far as the faults allow."""
         faults = self.faults
         if faults.cut or self._random.random() < faults.loss:
             return
         for _ in range(1 + (self._random.random() < faults.copies)):
-            low, high = faults.delay_s
-            wait = low + (high - low) * self._random.random()
-            asyncio.get_running_loop().call_later(wait, self._pass, data)
-
-    def _pass(self, data: bytes) -> None:
-        if not self._out.is_closing():
-            self.passed += 1
-            self._out.sendto(data)
-
-    def refused(self) -> None:
-        """Nobody listens there: nor does this end, until somebody does."""
-        self._asked = asyncio.get_running_loop().time()
-        if self._in is not None and not self.faults.cut:
-            self._in.close()
-            self._in = None
+            least, most = faults.delay_s
+            delay_s = least + (most - least) * self._random.random()
+            asyncio.get_running_loop().call_later(delay_s, self._forward, data)
+
+    def _forward(self, data: bytes) -> None:
+        if not self._outbound.is_closing():
+            self.forwarded += 1
+            self._outbound.sendto(data)
+
+    def on_refused(self) -> None:
+        """Close the own port, as nobody listens at the destination, until somebody does."""
+        self._last_refusal = asyncio.get_running_loop().time()
+        if self._inbound is not None and not self.faults.cut:
+            self._inbound.close()
+            self._inbound = None
             self._reopening = asyncio.get_running_loop().create_task(self._reopen())
 
     async def _reopen(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             sent = loop.time()
-            self._out.sendto(b"?")  # an empty one is not sent at all
-            await asyncio.sleep(PROBE_S)
-            if self._asked < sent:
+            self._outbound.sendto(b"?")  # asyncio does not send an empty datagram
+            await asyncio.sleep(PROBE_INTERVAL_S)
+            if self._last_refusal < sent:
                 break
         await self._listen()
 
     def close(self) -> None:
+        """Close both sides."""
         if self._reopening is not None:
             self._reopening.cancel()
-        for transport in (self._in, self._out):
+        for transport in (self._inbound, self._outbound):
             if transport is not None:
                 transport.close()
