--- a/packages/faults/tests/test_node_process.py
+++ b/packages/faults/tests/test_node_process.py
@@ -19,13 +19,11 @@
         node = world.nodes["n0"]
         with (
             socket.create_server(("127.0.0.1", 0)) as server,
-            socket.socket() as outgoing,
-            socket.socket() as second,
+            socket.create_connection(server.getsockname()) as first,
+            socket.create_connection(server.getsockname()) as second,
         ):
-            outgoing.bind(("127.0.0.1", node.port))  # as Linux does for outgoing connections on loopback
-            outgoing.connect(server.getsockname())
-            second.bind(("127.0.0.1", node.operator_port))
-            second.connect(server.getsockname())
+            node.port = first.getsockname()[1]
+            node.operator_port = second.getsockname()[1]
             async with world:
                 assert node.process_record is not None
                 assert node.process_record.ready is not None
