--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -13,8 +13,8 @@
 
 from benchmarks.table import table
 from puffindeck_membership import Membership, News, Phase
-from puffindeck_testing.plain import FirstSwim, Heartbeats
-from puffindeck_testing.virtual import Link, Net
+from puffindeck_testing.baseline_protocols import FirstSwim, Heartbeats
+from puffindeck_testing.virtual_network import Link, Net
 
 WAYS = ("membership", "heartbeats to all", "SWIM as first told")
 MOST_HEARTBEATS = 200  # members: at 1,000 they would send a million datagrams a second
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,8 +1,8 @@
-"""A toy world for one node, all on loopback: three hosts and discovery, or one client.
+"""A toy environment for one node, all on loopback: three hosts and discovery, or one client.
 
 python examples/toy.py world        hosts at 6001 to 6003, discovery at 8500; reads commands:
                                     drain h1, serve h1, gone h1
-python examples/toy.py client KEY   asks the node at 5000, then says something each second
+python examples/toy.py client KEY   sends a request to the node at 5000, then a line each second
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 HOSTS = {"h1": 6001, "h2": 6002, "h3": 6003}
 
 
-class Roster:
-    """The list of hosts, and the watches that are told of its changes."""
+class EndpointList:
+    """The list of hosts, and the watches that are notified of its changes."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -29,6 +29,7 @@
         self.watches: set[Discovery] = set()
 
     def text(self, full: bool, *names: str) -> bytes:
+        """A line of JSON with the named hosts, all if none is named. `full`: it replaces the whole list."""
         targets = [
             {
                 "uid": name,
@@ -45,6 +46,7 @@
         return json.dumps({"rev": self.version, "all": full, "targets": targets}).encode() + b"\n"
 
     def change(self, name: str, state: str) -> None:
+        """Change a host's state, and notify the watches."""
         self.states[name] = state
         self.version += 1
         for watch in self.watches:
@@ -52,39 +54,44 @@
 
 
 class Discovery(LineReceiver):
-    """HTTP, as much of it as a watch takes."""
+    """Discovery's side of HTTP/1.1: the list, and watches on it."""
 
-    def __init__(self, roster: Roster) -> None:
-        self.roster = roster
+    def __init__(self, endpoint_list: EndpointList) -> None:
+        self.endpoint_list = endpoint_list
         self.path = b""
 
     def lineReceived(self, line: bytes) -> None:
+        """Read the request's head, and answer it."""
         if line:
             self.path = self.path or line.split(b" ")[1]
         elif b"watch=1" in self.path:
             self.transport.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            self.chunk(self.roster.text(True))
-            self.roster.watches.add(self)
+            self.chunk(self.endpoint_list.text(True))
+            self.endpoint_list.watches.add(self)
         else:
-            body = self.roster.text(True)
+            body = self.endpoint_list.text(True)
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def chunk(self, body: bytes) -> None:
+        """Write a chunk of a watch's answer."""
         self.transport.write(b"%x\r\n%s\r\n" % (len(body), body))
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.roster.watches.discard(self)
+        """Notify this watch no more."""
+        self.endpoint_list.watches.discard(self)
 
 
 class Host(LineReceiver):
-    """Takes every connection and echoes its lines."""
+    """A host that accepts every connection and echoes its lines."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.head = name, b""
+        self.name = name
+        self.first_line = b""
 
     def lineReceived(self, line: bytes) -> None:
-        if not self.head:
-            self.head = line
+        """Answer UP to the first line, and echo the others."""
+        if not self.first_line:
+            self.first_line = line
             print(f"{self.name}: {line.decode()}", flush=True)
             self.sendLine(b"UP from-" + self.name.encode())
         else:
@@ -92,65 +99,72 @@
 
 
 class Commands(LineReceiver):
-    """What is typed."""
+    """The commands on standard input."""
 
     delimiter = b"\n"
     states = {"drain": "DRAINING", "serve": "SERVING", "gone": "DELETED"}  # noqa: RUF012
 
-    def __init__(self, roster: Roster) -> None:
-        self.roster = roster
+    def __init__(self, endpoint_list: EndpointList) -> None:
+        self.endpoint_list = endpoint_list
 
     def lineReceived(self, line: bytes) -> None:
+        """Change a host's state."""
         verb, _, name = line.decode().strip().partition(" ")
         if verb in self.states and name in HOSTS:
-            self.roster.change(name, self.states[verb])
+            self.endpoint_list.change(name, self.states[verb])
         elif line.strip():
             print("drain, serve or gone, and h1, h2 or h3", flush=True)
 
 
-class Caller(LineReceiver):
+class Client(LineReceiver):
     """A client."""
 
     def connectionMade(self) -> None:
+        """Send the request."""
         self.sendLine(b"OPEN 9b1f03aa5c7e2d41 %s c=item-watch,d=2000" % sys.argv[2].encode())
 
     def lineReceived(self, line: bytes) -> None:
+        """Print the line, and send one each second once the connection is up."""
         print(line.decode(), flush=True)
         if line.startswith(b"UP "):
             task.LoopingCall(self.sendLine, b"still here?").start(1)
 
     def connectionLost(self, reason: Any = None) -> None:
+        """End the program."""
         reactor.stop()
 
 
-class Built(Factory):
-    """A protocol with what it needs."""
+class ProtocolFactory(Factory):
+    """Makes protocols of one class, with these arguments."""
 
     noisy = False
 
     def __init__(self, kind: Any, *args: Any) -> None:
-        self.kind, self.args = kind, args
+        self.kind = kind
+        self.args = args
 
     def buildProtocol(self, addr: object) -> Any:
+        """A protocol for a new connection."""
         return self.kind(*self.args)
 
 
 def main() -> None:
+    """Run the part that the command line names."""
     if sys.argv[1:] == ["world"]:
-        roster = Roster()
-        reactor.listenTCP(8500, Built(Discovery, roster), interface="127.0.0.1")
+        endpoint_list = EndpointList()
+        reactor.listenTCP(8500, ProtocolFactory(Discovery, endpoint_list), interface="127.0.0.1")
         for name, port in HOSTS.items():
-            reactor.listenTCP(port, Built(Host, name), interface="127.0.0.1")
-        stdio.StandardIO(Commands(roster))
+            reactor.listenTCP(port, ProtocolFactory(Host, name), interface="127.0.0.1")
+        stdio.StandardIO(Commands(endpoint_list))
 
-        def alive() -> None:
-            for watch in roster.watches:
+        def send_keepalives() -> None:
+            for watch in endpoint_list.watches:
                 watch.chunk(b"\n")
 
-        task.LoopingCall(alive).start(2)
+        task.LoopingCall(send_keepalives).start(2)
     elif len(sys.argv) == 3 and sys.argv[1] == "client":
         at = endpoints.TCP4ClientEndpoint(reactor, "127.0.0.1", 5000)
-        at.connect(Built(Caller)).addErrback(lambda failure: (print(failure.value), reactor.stop()))
+        at.connect(ProtocolFactory(Client)).addErrback(lambda failure: (print(failure.value), reactor.stop()))
     else:
         sys.exit(__doc__)
     reactor.run()
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -6,7 +6,7 @@
 
 from puffindeck_membership import Leave, Membership, News, PeerMisnamed, Phase, Refused, Tick, Usurped, Wake
 from puffindeck_messaging import Report
-from puffindeck_testing.virtual import Link, Net
+from puffindeck_testing.virtual_network import Link, Net
 
 MINUTE = 60000.0
 
--- a/packages/testing/src/puffindeck_testing/plain.py
+++ b/packages/testing/src/puffindeck_testing/baseline_protocols.py
@@ -1,6 +1,10 @@
-"""Plainer ways of knowing who is there, to measure membership against: heartbeats to all, and SWIM as first told.
+"""Simpler membership protocols, which the benchmark of `puffindeck_membership` is compared with.
 
-Both speak the same messages on the same network. Neither hears refusals, doubts itself or lets a suspect answer.
+Heartbeats to all members, and SWIM without its later extensions. Both use the same messages on the same network.
+Neither uses refusals, a local health score or suspicions that the suspected member can refute.
+
+Source of SWIM: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+Protocol", 2002.
 """
 
 from __future__ import annotations
@@ -14,7 +18,7 @@
 
 
 class Plain:
-    """What the two share: a table, a clock of rounds, verdicts that are final until a word comes."""
+    """What both share: protocol periods, and members that count as dead until a datagram of theirs arrives."""
 
     round_ms = 1000.0
 
@@ -51,14 +55,16 @@
         return self.actions
 
     def came(self, envelope: Envelope) -> None:
+        """Handle a datagram."""
         raise NotImplementedError
 
     def tick(self) -> None:
+        """Handle the timer."""
         raise NotImplementedError
 
 
 class Heartbeats(Plain):
-    """Everybody tells everybody, each second; three missing ones are a death."""
+    """Each member sends to all others each second; one that is silent for three seconds is dead."""
 
     patience_ms = 3000.0
 
@@ -80,9 +86,11 @@
 
 
 class FirstSwim(Plain):
-    """Each second one by turns is pinged, then by three others; no word is a death, which is passed on."""
+    """Each second one member in turn is pinged, then by three others; without an answer it is dead, by gossip too."""
 
-    wait_ms, helpers, riding = 300.0, 3, 6
+    wait_ms = 300.0  # for the answer to a direct ping
+    helpers = 3  # members that ping indirectly
+    riding = 6  # updates on one datagram
 
     def __init__(self, name: str, addresses: dict[str, str], seed: int) -> None:
         super().__init__(name, addresses, seed)
--- a/packages/testing/src/puffindeck_testing/virtual.py
+++ b/packages/testing/src/puffindeck_testing/virtual_network.py
@@ -1,8 +1,8 @@
 """A network of members on virtual time, with the faults of a real one, by a seed.
 
-A member is anything with `handle(now_ms, events)`, as `puffindeck_membership.Membership` has it. A process that
-was killed refuses (its machine says that nobody listens); one on a machine that vanished, or that is paused, says
-nothing, and a paused one finds what came meanwhile when it goes on.
+A member is anything with `handle(now_ms, events)`, as `puffindeck_membership.Membership`. Datagrams to a killed
+process are refused (its machine answers that nobody listens); a machine that vanished and a paused process answer
+nothing, and a paused process handles what arrived meanwhile once it continues.
 """
 
 from __future__ import annotations
@@ -17,24 +17,26 @@
 
 from puffindeck_membership import Arrived, Changed, Post, Received, Refused, Tick, Wake
 
-HEADER = 28 + 15  # octets of IP, UDP and the datagram's own frame
-BUFFERED = 200  # datagrams that a paused process's socket keeps
+HEADER_OCTETS = 28 + 15  # IP and UDP headers, and the datagram's own frame
+RECEIVE_BUFFER = 200  # datagrams that a paused process's socket buffers
 encoder = msgspec.msgpack.Encoder()
 
 
 class Played(Protocol):
-    """What plays on the network."""
+    """A member of the network."""
 
-    def handle(self, now_ms: float, events: Any) -> list[Any]: ...
+    def handle(self, now_ms: float, events: Any) -> list[Any]:
+        """The actions that follow from events. `now_ms`: the member's own clock, in milliseconds."""
+        ...
 
 
 @dataclass(frozen=True)
 class Link:
-    """One direction between two members."""
+    """One direction between two members. `loss` and `copies` are probabilities from 0 to 1."""
 
     loss: float = 0.0
-    delay_ms: tuple[float, float] = (0.2, 1.5)
-    copies: float = 0.0  # the part that comes twice
+    delay_ms: tuple[float, float] = (0.2, 1.5)  # least and most
+    copies: float = 0.0  # of the datagrams arrive twice
     cut: bool = False
 
 
@@ -46,7 +48,7 @@
     address: str
     played: Any  # Played, and whatever a test reads of it
     up: bool = True
-    vanished: bool = False  # its machine says nothing any more
+    vanished: bool = False  # its machine answers nothing
     paused: bool = False
     skew_ms: float = 0.0
     waiting: list[Any] = field(default_factory=list)
@@ -56,7 +58,7 @@
 
 
 class Net:
-    """The members, their links, and what happens when."""
+    """The members, their links, and the queue of events on virtual time (milliseconds)."""
 
     def __init__(self, seed: int, link: Link | None = None) -> None:
         self.random = Random(seed)
@@ -74,17 +76,18 @@
     # Members
 
     def add(self, name: str, address: str, played: Played) -> Host:
+        """Add a member, or a new process of one, at an address."""
         host = Host(name, address, played)
         self.hosts[name] = self.at_address[address] = host
         self.at(self.now, self._tell, host)
         return host
 
     def kill(self, name: str, machine: bool = False) -> None:
-        """SIGKILL; or the machine vanishes."""
+        """Kill a member's process; with `machine` its machine vanishes too."""
         self.hosts[name].up, self.hosts[name].vanished = False, machine
 
     def pause(self, name: str, for_ms: float) -> None:
-        """SIGSTOP, and SIGCONT after that time."""
+        """Pause a member's process (SIGSTOP), and continue it after that time (SIGCONT)."""
         self.hosts[name].paused = True
         self.at(self.now + for_ms, self._go_on, name)
 
@@ -98,15 +101,17 @@
     # Links
 
     def link(self, one: str, other: str, **changes: Any) -> None:
-        """Change the way from one to the other."""
+        """Change fields of the link from one to the other."""
         self.links[one, other] = replace(self.links.get((one, other), self.usual), **changes)
 
     def cut(self, one: str, other: str, cut: bool = True, both: bool = False) -> None:
+        """Cut the link from one to the other, with `both` in both directions; `cut=False` restores it."""
         self.link(one, other, cut=cut)
         if both:
             self.link(other, one, cut=cut)
 
     def split(self, *sides: set[str], cut: bool = True) -> None:
+        """Partition the network into these sets of members; `cut=False` restores it."""
         for i, side in enumerate(sides):
             for others in sides[i + 1 :]:
                 for one in side:
@@ -116,11 +121,12 @@
     # Time
 
     def at(self, when: float, act: Callable[..., None], *args: Any) -> None:
+        """Call a function at a moment of virtual time (ms)."""
         self._count += 1
         heappush(self._events, (when, self._count, act, args))
 
     def run(self, until: float) -> None:
-        """Let time pass up to that moment."""
+        """Advance virtual time up to that moment (ms), and run all events until then."""
         while self._events and self._events[0][0] <= until:
             self.now, _, act, args = heappop(self._events)
             act(*args)
@@ -132,13 +138,13 @@
         if not host.up:
             return
         if host.paused:
-            if len(host.waiting) < BUFFERED:
+            if len(host.waiting) < RECEIVE_BUFFER:
                 host.waiting += events
             return
         self.take(host, host.played.handle(self.now + host.skew_ms, events))
 
     def take(self, host: Host, actions: list[Any]) -> None:
-        """Do what a member's actions say."""
+        """Carry out a member's actions."""
         for action in actions:
             if isinstance(action, Post):
                 self._post(host, action)
@@ -165,7 +171,7 @@
 
     def _post(self, host: Host, post: Post) -> None:
         host.sent += 1
-        host.octets += len(encoder.encode(post.envelope)) + HEADER
+        host.octets += len(encoder.encode(post.envelope)) + HEADER_OCTETS
         to = self.at_address.get(post.address)
         if to is None:
             return
