--- a/conftest.py
+++ b/conftest.py
@@ -34,9 +34,7 @@
             raise pytest.UsageError(f"{KNOWN_RED.name}:{number}: not `test | cause | issue`")
         found.append(KnownFailure(*parts))
     if len(found) > MAX_KNOWN_FAILURES:
-        raise pytest.UsageError(
-            f"{KNOWN_RED.name}: {len(found)} tests, at most {MAX_KNOWN_FAILURES} allowed"
-        )
+        raise pytest.UsageError(f"{KNOWN_RED.name}: {len(found)} tests, at most {MAX_KNOWN_FAILURES} allowed")
     return found
 
 
