--- a/tests/deploy/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -1,4 +1,4 @@
-"""What deploy/balancer.toml says of `run`, seen from outside: one process, no other, nothing left behind.
+"""What deploy/balancer.toml promises of `run`, observed from outside: one process, no other, no large files.
 
 The platform starts `run` by a shell and refuses fork, Unix sockets, splice and io_uring on some days.
 """
@@ -25,23 +25,25 @@
 
 ROOT = Path(__file__).parents[2]
 DEPLOY = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())
-SUBREAPER = 36  # PR_SET_CHILD_SUBREAPER: who is orphaned below us becomes our child, and is found
+PR_SET_CHILD_SUBREAPER = 36  # prctl(2): orphaned descendants become children of this process
 
 
 def children(pid: int) -> set[int]:
+    """The child processes of all threads."""
     found: set[int] = set()
     for thread in Path(f"/proc/{pid}/task").iterdir():
         found |= {int(child) for child in (thread / "children").read_text().split()}
     return found
 
 
-def waited_for(pid: int) -> int:
+def faults_of_waited_children(pid: int) -> int:
     """Page faults of children that have ended and were waited for, kept over an exec (proc(5): cminflt)."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return int(fields[11 - 3])
 
 
 def unix_sockets(pid: int) -> list[str]:
+    """The Unix sockets that a process has open."""
     known = {line.split()[6] for line in Path(f"/proc/{pid}/net/unix").read_text().splitlines()[1:]}
     held = []
     for descriptor in Path(f"/proc/{pid}/fd").iterdir():
@@ -54,17 +56,17 @@
     return held
 
 
-class Started:
-    """A node as the platform starts it, in a folder of its own, until it says PONG."""
+class StartedNode:
+    """A node as the platform starts it, in a folder of its own."""
 
     def __init__(self, run: str, folder: Path) -> None:
         self.port, self.folder = free_port(), folder
-        self.strays: set[int] = set()  # processes of its group that have become ours to wait for
+        self.orphans: set[int] = set()  # processes of its group that have become children of this process
         config = json.loads((ROOT / "examples/node.json").read_text())
         config["discovery"] = f"{own_address()}:{free_port()}"  # nobody there: ready without a list
         (folder / "config.json").write_text(json.dumps(config))
-        self.kept = folder / "tmp"
-        self.kept.mkdir()
+        self.temporary_folder = folder / "tmp"
+        self.temporary_folder.mkdir()
         environment = {
             **os.environ,
             "EDGE_NAME": "n0",
@@ -72,7 +74,7 @@
             "EDGE_DISCOVERY": config["discovery"],
             "EDGE_CONFIG": str(folder / "config.json"),
             "EDGE_OPERATOR": f"{own_address()}:{free_port()}",
-            "TMPDIR": str(self.kept),
+            "TMPDIR": str(self.temporary_folder),
         }
         self.log = (folder / "log").open("w+")
         self.process = subprocess.Popen(
@@ -86,7 +88,7 @@
         )
 
     def wait(self) -> None:
-        """Until it is ready. Raises NodeExitedError if it ends before."""
+        """Wait until it answers PONG. Raises NodeExitedError if it ends before, AssertionError after 20 s."""
         until = time.monotonic() + 20
         while time.monotonic() < until:
             raise_if_exited("n0", self.process, self.folder / "log")
@@ -103,36 +105,37 @@
         raise AssertionError(f"not ready within 20 s: {self.log.read()}")
 
     def stop(self) -> int:
-        """SIGTERM, and whatever is left of it killed."""
+        """Send SIGTERM, kill what is left of its group after 10 s, and return its exit code."""
         self.process.send_signal(signal.SIGTERM)
         try:
             return self.process.wait(10)
         finally:
             with suppress(ProcessLookupError):
                 os.killpg(self.process.pid, signal.SIGKILL)
-            for stray in self.strays:
-                os.waitpid(stray, 0)
+            for orphan in self.orphans:
+                os.waitpid(orphan, 0)
             self.log.close()
 
 
-def faults(node: Started, strays: set[int]) -> list[str]:
-    """How a node that is ready breaks what the platform asks of `run`."""
-    pid, found = node.process.pid, []
+def platform_violations(node: StartedNode, orphans: set[int]) -> list[str]:
+    """The platform's rules on `run` that a ready node violates."""
+    pid = node.process.pid
+    violations = []
     if "python" not in os.path.basename(os.readlink(f"/proc/{pid}/exe")):
-        found.append("run did not end by exec: the shell is still there")
+        violations.append("run did not end by exec: the shell is still there")
     if children(pid):
-        found.append("it has child processes")
-    if waited_for(pid):
-        found.append("it has started other programs and waited for them")
-    if strays:
-        found.append("it has left processes to others")
+        violations.append("it has child processes")
+    if faults_of_waited_children(pid):
+        violations.append("it has started other programs and waited for them")
+    if orphans:
+        violations.append("it has left processes to others")
     if not any(
         "/libc.so" in line or "/libc-" in line for line in Path(f"/proc/{pid}/maps").read_text().splitlines()
     ):
-        found.append("not linked dynamically against the C library")
+        violations.append("not linked dynamically against the C library")
     if unix_sockets(pid):
-        found.append("it holds Unix sockets")
-    return found
+        violations.append("it holds Unix sockets")
+    return violations
 
 
 class RunTest(unittest.TestCase):
@@ -144,29 +147,29 @@
         with (ROOT / "deploy/build.sh").open() as script:
             fcntl.flock(script, fcntl.LOCK_EX)  # another check of this checkout may build at the same time
             subprocess.run(build, cwd=ROOT, check=True, capture_output=True, timeout=600)
-        ctypes.CDLL(None).prctl(SUBREAPER, 1, 0, 0, 0)
+        ctypes.CDLL(None).prctl(PR_SET_CHILD_SUBREAPER, 1, 0, 0, 0)
 
     @classmethod
     def tearDownClass(cls) -> None:
-        ctypes.CDLL(None).prctl(SUBREAPER, 0, 0, 0, 0)
+        ctypes.CDLL(None).prctl(PR_SET_CHILD_SUBREAPER, 0, 0, 0, 0)
 
-    def start(self, run: str) -> tuple[Started, list[str]]:
+    def start(self, run: str) -> tuple[StartedNode, list[str]]:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         before = children(os.getpid())
-        node = Started(run, Path(folder.name))
+        node = StartedNode(run, Path(folder.name))
         self.addCleanup(lambda: node.process.poll() is None and node.stop())
         node.wait()
-        strays = children(os.getpid()) - before - {node.process.pid}
-        node.strays = strays
-        return node, faults(node, strays)
+        orphans = children(os.getpid()) - before - {node.process.pid}
+        node.orphans = orphans
+        return node, platform_violations(node, orphans)
 
     def test_run_is_one_process_that_starts_no_other(self) -> None:
-        node, found = self.start(DEPLOY["run"])
-        self.assertEqual(found, [])
+        node, violations = self.start(DEPLOY["run"])
+        self.assertEqual(violations, [])
         node.stop()
         self.assertEqual(node.process.returncode, 0)
-        left = [p for p in node.kept.rglob("*") if p.is_file() and p.stat().st_size > 1 << 16]
+        left = [p for p in node.temporary_folder.rglob("*") if p.is_file() and p.stat().st_size > 1 << 16]
         self.assertEqual(left, [], "what it leaves in TMPDIR counts as memory")
 
     def test_a_run_that_forks_is_found(self) -> None:
@@ -180,8 +183,8 @@
         }
         for line, fault in cases.items():
             with self.subTest(run=line):
-                node, found = self.start(line)
-                self.assertTrue(any(fault in f for f in found), found)
+                node, violations = self.start(line)
+                self.assertTrue(any(fault in f for f in violations), violations)
                 node.stop()
 
     def test_a_node_on_this_build_loads_no_tls(self) -> None:
@@ -198,7 +201,7 @@
         self.assertEqual(loaded & {"OpenSSL", "cryptography", "service_identity", "aioquic"}, set())
 
     def test_memory_of_a_node_that_is_ready(self) -> None:
-        """Four days of 200 nodes are played side by side in 24 GB: 30 MB each did not fit."""
+        """Four days of 200 nodes run side by side in 24 GB: 30 MB each did not fit."""
         node, _ = self.start(DEPLOY["run"])
         rollup = Path(f"/proc/{node.process.pid}/smaps_rollup").read_text()
         own = next(int(line.split()[1]) for line in rollup.splitlines() if line.startswith("Private_Dirty"))
@@ -209,9 +212,9 @@
 class StartTest(unittest.TestCase):
     """When the clients' port opens."""
 
-    def begin(self, folder: Path, program: str, **environment: str) -> subprocess.CompletedProcess[str]:
+    def run_program(self, folder: Path, program: str, **environment: str) -> subprocess.CompletedProcess[str]:
         (folder / "config.json").write_text((ROOT / "examples/node.json").read_text())
-        told = {
+        variables = {
             "EDGE_CONFIG": str(folder / "config.json"),
             "TMPDIR": str(folder),
             "EDGE_DISCOVERY": "127.0.0.1:9",
@@ -221,7 +224,7 @@
         return subprocess.run(
             [sys.executable, "-c", program],
             cwd=ROOT,
-            env={**os.environ, **told},
+            env={**os.environ, **variables},
             capture_output=True,
             text=True,
             timeout=60,
@@ -245,7 +248,7 @@
             "program.main()\n"
         )
         with tempfile.TemporaryDirectory() as folder:
-            done = self.begin(Path(folder), program, EDGE_LISTEN=f"{own_address()}:{free_port()}")
+            done = self.run_program(Path(folder), program, EDGE_LISTEN=f"{own_address()}:{free_port()}")
         first = next(line for line in done.stdout.splitlines() if line.startswith("turns"))
         self.assertGreaterEqual(int(first.split()[-1]), 1, done.stderr)
 
@@ -255,6 +258,6 @@
             taken.listen()
             address = f"127.0.0.1:{taken.getsockname()[1]}"
             program = "import sys; from puffindeck.__main__ import main; sys.exit(main())"
-            done = self.begin(Path(folder), program, EDGE_LISTEN=address)
+            done = self.run_program(Path(folder), program, EDGE_LISTEN=address)
         self.assertEqual(done.returncode, 2)
         self.assertIn("Couldn't listen on", done.stderr)
--- a/tests/deploy/test_descriptor_limits.py
+++ b/tests/deploy/test_descriptor_limits.py
@@ -1,6 +1,6 @@
-"""Real processes with little: descriptors that strangers fill, a discovery that says nothing.
+"""Real processes short of resources: descriptors that idle clients fill, a discovery that answers nothing.
 
-Each is the program as the platform starts it, on ports of its own; nothing here waits by sleeping.
+Each is the program as the platform starts it, on ports of its own; no test waits by sleeping.
 """
 
 from __future__ import annotations
@@ -25,22 +25,23 @@
 from puffindeck_testing.ports import free_port, own_address
 
 ROOT = Path(__file__).parents[2]
-DESCRIPTORS, STRANGERS = 160, 400
-ASK = b"OPEN 9b1f03aa5c7e2d41 7f3a c=item-watch,d=2000\r\n"
+DESCRIPTORS = 160
+IDLE_CLIENTS = 400
+REQUEST = b"OPEN 9b1f03aa5c7e2d41 7f3a c=item-watch,d=2000\r\n"
 
 
-def bound() -> socket.socket:
-    """A port that is taken: connections are refused until it listens."""
+def bound_socket() -> socket.socket:
+    """A socket that is bound and does not listen yet: connections are refused."""
     held = socket.socket()
     held.bind(("127.0.0.1", 0))
     return held
 
 
-class Process:
-    """A node with a limit on its descriptors, and its log line by line."""
+class NodeProcess:
+    """A node with a limit on its descriptors, whose log is read line by line."""
 
-    def ask(self, line: bytes) -> bytes:
-        """The first line that a client is told."""
+    def first_answer(self, line: bytes) -> bytes:
+        """Connect, send a line, and return the first line of the answer."""
         with self.client(line) as client, client.makefile("rb") as answer:
             return answer.readline()
 
@@ -54,7 +55,7 @@
         folder.mkdir(exist_ok=True)
         (folder / "config.json").write_text(json.dumps(config))
         environment = {k: v for k, v in os.environ.items() if not k.startswith("EDGE_")}
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
         self.process = subprocess.Popen(
             [sys.executable, "-m", "puffindeck"],
             cwd=ROOT,
@@ -66,8 +67,8 @@
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)),
         )
 
-    def says(self, text: str) -> str:
-        """The next line of its log with this in it. Raises NodeExitedError if it ends before."""
+    def wait_for_line(self, text: str) -> str:
+        """The next line of its log that contains this text. Raises NodeExitedError if it ends before."""
         assert self.process.stdout is not None
         read = []
         for line in self.process.stdout:
@@ -77,40 +78,45 @@
         raise NodeExitedError("n0", self.process.wait(), "".join(read))
 
     def client(self, line: bytes) -> socket.socket:
+        """Connect and send a line."""
         made = socket.create_connection(self.address, timeout=10)
         made.sendall(line)
         return made
 
     def end(self) -> None:
+        """Kill the process."""
         self.process.send_signal(signal.SIGKILL)
         self.process.wait()
         assert self.process.stdout is not None
         self.process.stdout.close()
 
 
-class Strangers(threading.Thread):
-    """They connect and say nothing; for each one that is put out another comes."""
+class IdleClients(threading.Thread):
+    """Clients that connect and send nothing; for each one that is disconnected another connects."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         super().__init__(daemon=True)
-        self.address, self.over, self.full = address, threading.Event(), threading.Event()
-        self.evict = 0
+        self.address = address
+        self.stopped = threading.Event()
+        self.full = threading.Event()  # all have tried to connect
+        self.evicted = 0
 
     def run(self) -> None:
-        watch, here = select.epoll(), dict[int, socket.socket]()
-        while not self.over.is_set():
-            while len(here) < STRANGERS:
+        watch = select.epoll()
+        connections: dict[int, socket.socket] = {}
+        while not self.stopped.is_set():
+            while len(connections) < IDLE_CLIENTS:
                 one = socket.socket()
                 one.setblocking(False)
                 one.connect_ex(self.address)
-                here[one.fileno()] = one
+                connections[one.fileno()] = one
                 watch.register(one, select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR)
             self.full.set()
             for number, _ in watch.poll(0.05):
-                self.evict += 1
+                self.evicted += 1
                 watch.unregister(number)
-                here.pop(number).close()
-        for one in here.values():
+                connections.pop(number).close()
+        for one in connections.values():
             one.close()
         watch.close()
 
@@ -120,11 +126,11 @@
         folder = TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.discovery = bound()
+        self.discovery = bound_socket()
         self.addCleanup(self.discovery.close)
 
     def serve(self, host: socket.socket) -> None:
-        """A host that takes whoever comes."""
+        """Act as a host that accepts every connection."""
         with suppress(OSError):
             while True:
                 peer, _ = host.accept()
@@ -133,14 +139,14 @@
                 self.addCleanup(peer.close)
 
     def test_strangers_that_fill_the_descriptors_keep_nobody_from_discovery_or_service(self) -> None:
-        node = Process(self.folder, self.discovery, DESCRIPTORS)
+        node = NodeProcess(self.folder, self.discovery, DESCRIPTORS)
         self.addCleanup(node.end)
-        node.says("ready")  # without a list, as discovery is down
-        strangers = Strangers(node.address)
-        strangers.start()
-        self.addCleanup(strangers.join)
-        self.addCleanup(strangers.over.set)
-        self.assertTrue(strangers.full.wait(10))
+        node.wait_for_line("ready")  # without a list, as discovery is down
+        idle_clients = IdleClients(node.address)
+        idle_clients.start()
+        self.addCleanup(idle_clients.join)
+        self.addCleanup(idle_clients.stopped.set)
+        self.assertTrue(idle_clients.full.wait(10))
         host = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(host.close)
         threading.Thread(target=self.serve, args=(host,), daemon=True).start()
@@ -164,18 +170,18 @@
         line = json.dumps({"rev": 9, "all": True, "targets": [row]}).encode() + b"\n"
         call.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         call.sendall(b"%x\r\n%s\r\n" % (len(line), line))
-        self.assertEqual(node.ask(ASK), b"UP r\r\n")
-        self.assertEqual(node.ask(b"PING\r\n"), b"PONG\r\n")
-        self.assertEqual(node.ask(b"GET / HTTP/1.1\r\n"), b"ERR\r\n")
+        self.assertEqual(node.first_answer(REQUEST), b"UP r\r\n")
+        self.assertEqual(node.first_answer(b"PING\r\n"), b"PONG\r\n")
+        self.assertEqual(node.first_answer(b"GET / HTTP/1.1\r\n"), b"ERR\r\n")
         self.assertIsNone(node.process.poll())
 
     def test_ten_processes_restarted_at_once_are_ready_though_discovery_says_nothing(self) -> None:
         self.discovery.listen()  # and takes no call
-        nodes = [Process(self.folder / str(i), self.discovery) for i in range(10)]
+        nodes = [NodeProcess(self.folder / str(i), self.discovery) for i in range(10)]
         for node in nodes:
             self.addCleanup(node.end)
         for node in nodes:
-            node.says("ready")
-        took = sorted(time.monotonic() - node.begun for node in nodes)
+            node.wait_for_line("ready")
+        took = sorted(time.monotonic() - node.started_at for node in nodes)
         self.assertLess(took[8], 10)
-        self.assertEqual(nodes[0].ask(b"PING\r\n"), b"PONG\r\n")
+        self.assertEqual(nodes[0].first_answer(b"PING\r\n"), b"PONG\r\n")
