--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -19,19 +19,19 @@
 from puffindeck_fleet.keeping import Keeper, Kept
 from puffindeck_fleet.wire import MOST, Dropped, Wire
 from puffindeck_membership import (
-    Arrived,
-    Changed,
+    ConnectionRefused,
+    DatagramReceived,
     Leave,
+    MemberChanged,
     Membership,
     NameTaken,
+    NameTakenOver,
+    PayloadReceived,
+    PeersChanged,
     Phase,
-    Post,
-    Received,
-    Refused,
-    Retuned,
-    Tick,
-    Usurped,
-    Wake,
+    ScheduleTimer,
+    SendDatagram,
+    TimerFired,
 )
 from puffindeck_messaging import MessageReceived, Report, SendMessage
 from puffindeck_quota import Quota, Release, Seen
@@ -81,7 +81,7 @@
             name,
             told.advertise or f"{host}:{port}",
             told.region,
-            life=life,
+            process_incarnation=life,
             peers=told.peers,
             seed=seed,
             incarnation=incarnation,
@@ -157,31 +157,31 @@
         except Dropped as dropped:
             self.dropped[dropped.kind] += 1
             return
-        self._do_member(Received(envelope, source))
+        self._do_member(DatagramReceived(envelope, source))
 
     def _refused(self, name: str) -> None:
-        self._do_member(Refused(name))
+        self._do_member(ConnectionRefused(name))
 
     def _do_member(self, *events: Any) -> None:
         """Hand events to the membership, and do what it says."""
         if self._left:
             return
         for action in self.member.handle(self._now(), events):
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 self._post(action)
-            elif isinstance(action, Wake):
+            elif isinstance(action, ScheduleTimer):
                 self._wake_at(action.at_ms)
-            elif isinstance(action, Arrived):
+            elif isinstance(action, PayloadReceived):
                 self._arrived(action)
-            elif isinstance(action, Changed):
+            elif isinstance(action, MemberChanged):
                 self._changed(action)
             elif isinstance(action, Report):
                 log.error("fleet: {error}", error=described(action.error))
-            elif isinstance(action, Usurped):
+            elif isinstance(action, NameTakenOver):
                 self._ended(NameTaken(f"fleet {self.told.name}: {self.name}", address=action.address))
         self._keep()
 
-    def _post(self, post: Post) -> None:
+    def _post(self, post: SendDatagram) -> None:
         try:
             data = self._wire.write(post.envelope)
         except ValueError as error:
@@ -195,10 +195,10 @@
 
     def _wake_at(self, at_ms: float) -> None:
         self.deadlines.cancel(self._wake)
-        self._wake = self.deadlines.after(span(max(0.0, at_ms - self._now())), self._do_member, Tick())
+        self._wake = self.deadlines.after(span(max(0.0, at_ms - self._now())), self._do_member, TimerFired())
 
-    def _changed(self, action: Changed) -> None:
-        news = action.news
+    def _changed(self, action: MemberChanged) -> None:
+        news = action.update
         log.info(
             "fleet: {name} is {state}, incarnation {incarnation}",
             name=news.name,
@@ -208,7 +208,7 @@
 
     # Quotas
 
-    def _arrived(self, parcel: Arrived) -> None:
+    def _arrived(self, parcel: PayloadReceived) -> None:
         if parcel.channel == "quota" and self.quota is not None:
             self._do_quota(MessageReceived(parcel.sender, parcel.data))
         elif parcel.channel == "residency" and self.books is not None:
@@ -224,8 +224,8 @@
             self._do_books(BookSeen(frozenset(self.member.table.living)))
             self._engine.tell(FLUSH)
         if self.quota is not None:
-            living = {m.name: m.news.region for m in self.member.table.living.values()}
-            self._do_quota(Seen(living, self.member.apart_ms(), self.member.shunned), QuotaTick())
+            living = {m.name: m.update.region for m in self.member.table.living.values()}
+            self._do_quota(Seen(living, self.member.clock_offset_ms(), self.member.excluded_by_peers), QuotaTick())
 
     def _do_books(self, event: MessageReceived | BookSeen) -> None:
         assert self.books is not None
@@ -256,12 +256,12 @@
         """A parcel to another member."""
         if self._left:
             return
-        for post in self.member.parcel(name, channel, data):
+        for post in self.member.send_payload(name, channel, data):
             self._post(post)
 
     def reload(self, told: Any, limits: tuple[Any, ...], book: Any) -> None:
         """Peers, limits and rules of a file that was read anew."""
-        self._do_member(Retuned(told.peers))
+        self._do_member(PeersChanged(told.peers))
         if self.books is not None and book is not None:
             self.books.reread(book)
         if self.quota is not None:
@@ -298,7 +298,7 @@
             "instance": self.name,
             "incarnation": self.member.incarnation,
             "members": members,
-            "counts_as_dead": self.member.shunned,
+            "counts_as_dead": self.member.excluded_by_peers,
             "dropped": dict(self.dropped + self.member.dropped),
         }
 
--- a/packages/fleet/tests/test_parts.py
+++ b/packages/fleet/tests/test_parts.py
@@ -15,10 +15,10 @@
 from puffindeck_fleet.errors import FolderUnusable, StateUnreadable
 from puffindeck_fleet.keeping import Keeper, Kept
 from puffindeck_fleet.wire import FRAME, MOST, VERSION, Dropped, Wire
-from puffindeck_membership import Envelope, News, Parcel
+from puffindeck_membership import Envelope, MemberUpdate, Payload
 from puffindeck_membership.messages import Ping
 
-ENVELOPE = Envelope("e1", 7, 1, 5, "e2", 1000, Ping(3), [News("e1", 0, 1, 7, "127.0.0.1:7001", "north")])
+ENVELOPE = Envelope("e1", 7, 1, 5, "e2", 1000, Ping(3), [MemberUpdate("e1", 0, 1, 7, "127.0.0.1:7001", "north")])
 
 
 def kind(data: bytes, wire: Wire) -> str:
@@ -39,7 +39,7 @@
     assert kind(b"x" * 60, wire) == "garbage"
     assert kind(data[:-1], wire) == "damaged"
     with pytest.raises(ValueError, match="octets"):
-        wire.write(Envelope("e1", 7, 1, 5, "e2", 1000, Parcel("quota", b"x" * MOST)))
+        wire.write(Envelope("e1", 7, 1, 5, "e2", 1000, Payload("quota", b"x" * MOST)))
 
 
 def test_fields_of_a_later_version_are_passed_over() -> None:
--- a/packages/membership/src/puffindeck_membership/__init__.py
+++ b/packages/membership/src/puffindeck_membership/__init__.py
@@ -1,48 +1,48 @@
-"""Who is in the fleet: the decisions of one member.
+"""Membership of a fleet: which members there are and which of them are alive, decided without I/O.
 
-`Membership.handle` takes what has happened and a moment in milliseconds, and says what to post and what has
-changed. It opens no socket and reads no clock. docs/design/membership.md has the ways weighed.
+`Membership.handle` takes events and a moment in milliseconds, and returns what to send and what has changed. It
+opens no socket and reads no clock. docs/design/membership.md compares it with other protocols.
 """
 
 from puffindeck_membership.errors import MembershipError, NameTaken, PeerMisnamed
-from puffindeck_membership.membership import Membership
-from puffindeck_membership.messages import Envelope, News, Parcel, Phase
-from puffindeck_membership.model import (
+from puffindeck_membership.events import (
     Action,
-    Arrived,
-    Changed,
+    ConnectionRefused,
+    DatagramReceived,
     Event,
     Leave,
-    Post,
-    Received,
-    Refused,
-    Retuned,
-    Tick,
-    Timing,
-    Usurped,
-    Wake,
+    MemberChanged,
+    NameTakenOver,
+    PayloadReceived,
+    PeersChanged,
+    ScheduleTimer,
+    SendDatagram,
+    TimerFired,
 )
+from puffindeck_membership.membership import Membership
+from puffindeck_membership.messages import Envelope, MemberUpdate, Payload, Phase
+from puffindeck_membership.timing import Timing
 
 __all__ = [
     "Action",
-    "Arrived",
-    "Changed",
+    "ConnectionRefused",
+    "DatagramReceived",
     "Envelope",
     "Event",
     "Leave",
+    "MemberChanged",
+    "MemberUpdate",
     "Membership",
     "MembershipError",
     "NameTaken",
-    "News",
-    "Parcel",
+    "NameTakenOver",
+    "Payload",
+    "PayloadReceived",
     "PeerMisnamed",
+    "PeersChanged",
     "Phase",
-    "Post",
-    "Received",
-    "Refused",
-    "Retuned",
-    "Tick",
+    "ScheduleTimer",
+    "SendDatagram",
+    "TimerFired",
     "Timing",
-    "Usurped",
-    "Wake",
 ]
--- a/packages/membership/src/puffindeck_membership/errors.py
+++ b/packages/membership/src/puffindeck_membership/errors.py
@@ -1,23 +1,23 @@
-"""What can go wrong among members."""
+"""The errors of the membership protocol that an operator has to resolve."""
 
 from puffindeck_errors import OperatorError
 
 
 class MembershipError(OperatorError):
-    """The root of this package's errors."""
+    """The base class of this package's errors."""
 
     what = "the fleet's membership failed"
 
 
 class NameTaken(MembershipError):
-    """Another living process has this name, and had it before."""
+    """Another living process had this member's name first."""
 
     what = "a living process at {address} had the name before this one."
     cure = "Give one of the two another `name` in its file, or stop the other process, then start this one again."
 
 
 class PeerMisnamed(MembershipError):
-    """Under a peer's address another instance answers."""
+    """Another member than the configured one answers at a peer's address."""
 
     what = "at {address} answers {found}."
     cure = "Correct the address of {where}, or that instance's `name`."
--- /dev/null
+++ b/packages/membership/src/puffindeck_membership/gossip_queue.py
@@ -0,0 +1,55 @@
+"""Member updates that still have to be disseminated. Each rides on a number of datagrams, least sent first."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from math import ceil, log2
+
+from puffindeck_membership.messages import MemberUpdate
+
+UPDATE_OVERHEAD_OCTETS = 24  # of an encoded update beside its texts, at most
+SENDS_PER_DOUBLING = 3  # transmissions of an update for each doubling of the fleet's size
+
+
+def encoded_size(update: MemberUpdate) -> int:
+    """The octets that an update takes in a datagram, at most."""
+    texts = len(update.name.encode()) + len(update.address.encode()) + len(update.region.encode())
+    return UPDATE_OVERHEAD_OCTETS + texts
+
+
+@dataclass(slots=True)
+class QueuedUpdate:
+    """An update and how often it is still to be sent."""
+
+    update: MemberUpdate
+    remaining_sends: int
+
+
+class GossipQueue:
+    """The updates that this member still passes on, one for each member."""
+
+    def __init__(self) -> None:
+        self._queued: dict[str, QueuedUpdate] = {}  # by the name of the member
+
+    def __len__(self) -> int:
+        return len(self._queued)
+
+    def add(self, update: MemberUpdate, living_members: int) -> None:
+        """Queue an update. It replaces an earlier one of the same member."""
+        sends = SENDS_PER_DOUBLING * ceil(log2(living_members + 2))
+        self._queued[update.name] = QueuedUpdate(update, sends)
+
+    def take(self, octets: int, excluding: str = "") -> list[MemberUpdate]:
+        """The updates for one datagram of that room; none about the member `excluding`, which receives it."""
+        chosen: list[MemberUpdate] = []
+        for queued in sorted(self._queued.values(), key=lambda item: -item.remaining_sends):
+            if queued.update.name == excluding:
+                continue
+            octets -= encoded_size(queued.update)
+            if octets < 0:
+                break
+            chosen.append(queued.update)
+            queued.remaining_sends -= 1
+            if queued.remaining_sends == 0:
+                del self._queued[queued.update.name]
+        return chosen
--- /dev/null
+++ b/packages/membership/src/puffindeck_membership/member_table.py
@@ -0,0 +1,144 @@
+"""The other members of the fleet as the local member knows them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from random import Random
+
+import msgspec
+
+from puffindeck_membership.bucket_hashes import BucketHashes
+from puffindeck_membership.messages import MemberUpdate, Phase
+from puffindeck_membership.monitoring_topology import MonitoringTopology
+
+NEVER_MS = float("-inf")
+
+
+@dataclass(frozen=True, slots=True)
+class ReceivedSuspicion:
+    """When another observer's suspicion was received, and if that observer has confirmed it."""
+
+    received_ms: float
+    confirmed: bool
+
+
+class Member:
+    """Another member. All times are milliseconds of the local clock."""
+
+    __slots__ = (
+        "changed_ms",
+        "clock_offset_ms",
+        "last_contact_ms",
+        "last_direct_contact_ms",
+        "monitored_since_ms",
+        "notified_ms",
+        "probed_as_suspect",
+        "refused_since_ms",
+        "round_trip_ms",
+        "suspecters",
+        "update",
+    )
+
+    def __init__(self, update: MemberUpdate, now_ms: float) -> None:
+        self.update = update
+        self.last_contact_ms = now_ms  # the latest sign of life, direct or through another member
+        self.last_direct_contact_ms = NEVER_MS  # the latest datagram of the member itself
+        self.monitored_since_ms = now_ms
+        self.notified_ms = NEVER_MS  # when it was last notified that it counts as dead
+        self.changed_ms = now_ms
+        self.refused_since_ms = NEVER_MS  # since when its machine refuses connections
+        self.suspecters: dict[str, ReceivedSuspicion] = {}  # by the name of the observer
+        self.probed_as_suspect = False
+        self.clock_offset_ms = 0.0  # of its clock, by the fastest recent answer
+        self.round_trip_ms = float("inf")  # of that answer
+
+    @property
+    def name(self) -> str:
+        """The member's name."""
+        return self.update.name
+
+    @property
+    def phase(self) -> Phase:
+        """The member's phase, as disseminated."""
+        return Phase(self.update.phase)
+
+    @property
+    def is_refusing(self) -> bool:
+        """Whether its machine refuses connections."""
+        return self.refused_since_ms != NEVER_MS
+
+
+def supersedes(update: MemberUpdate, other: MemberUpdate) -> bool:
+    """Whether an update about a member replaces another one about the same member."""
+    return (update.incarnation, update.phase, update.process_incarnation) > (
+        other.incarnation,
+        other.phase,
+        other.process_incarnation,
+    )
+
+
+class MemberTable:
+    """All other members by name. The living ones, and the local member, are on the monitoring rings."""
+
+    def __init__(self, local_name: str, observers: int) -> None:
+        self.topology = MonitoringTopology(observers)
+        self.bucket_hashes = BucketHashes()
+        self.members: dict[str, Member] = {}
+        self.living: dict[str, Member] = {}
+        self.topology.add(local_name)
+
+    def put(self, update: MemberUpdate, now_ms: float) -> Phase | None:
+        """Store an update, without a check whether it supersedes. Returns the phase before; None for a new member."""
+        member = self.members.get(update.name)
+        previous = member.update if member is not None else None
+        if previous is not None:
+            address = update.address or previous.address
+            region = update.region or previous.region
+            update = msgspec.structs.replace(update, address=address, region=region)
+        if member is None or previous is None or _resets_evidence(previous, update):
+            member = self._replace_member(member, update, now_ms)
+        else:
+            member.update = update
+        member.changed_ms = now_ms
+        self.bucket_hashes.replace(previous, update)
+        self._update_living(member)
+        return None if previous is None else Phase(previous.phase)
+
+    def _replace_member(self, previous: Member | None, update: MemberUpdate, now_ms: float) -> Member:
+        member = Member(update, now_ms)
+        if previous is not None:
+            member.probed_as_suspect = previous.probed_as_suspect  # its timer still runs
+        self.members[update.name] = member
+        return member
+
+    def _update_living(self, member: Member) -> None:
+        if member.update.phase == Phase.ALIVE:
+            if member.name not in self.living:
+                self.topology.add(member.name)
+            self.living[member.name] = member
+        elif self.living.pop(member.name, None) is not None:
+            self.topology.remove(member.name)
+
+    def start_monitoring(self, now_ms: float) -> None:
+        """Count the silence of all members from now on."""
+        for member in self.members.values():
+            member.last_contact_ms = now_ms
+            member.monitored_since_ms = now_ms
+            member.changed_ms = now_ms
+
+    def forget(self, name: str) -> None:
+        """Remove a member."""
+        member = self.members.pop(name)
+        self.bucket_hashes.replace(member.update, None)
+        if self.living.pop(name, None) is not None:
+            self.topology.remove(name)
+
+    def random_members(self, random: Random, count: int, excluding: str = "") -> list[str]:
+        """Names of so many living members at random; fewer if there are not as many."""
+        candidates = [name for name in self.living if name != excluding]
+        return random.sample(candidates, min(count, len(candidates)))
+
+
+def _resets_evidence(previous: MemberUpdate, update: MemberUpdate) -> bool:
+    """Whether evidence against a member is void: it concerned an earlier process, or the member has refuted it."""
+    return previous.process_incarnation != update.process_incarnation or previous.incarnation < update.incarnation
--- a/packages/membership/src/puffindeck_membership/membership.py
+++ b/packages/membership/src/puffindeck_membership/membership.py
@@ -1,179 +1,200 @@
-"""One member: events and a moment in, what to post and what has changed out."""
+"""One member of the fleet: takes events and a moment, and returns what to send and what has changed."""
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Iterable
-from typing import Any
-
-from puffindeck_membership.messages import (
-    Ack,
-    Ask,
-    Digest,
-    Doubt,
-    Envelope,
-    News,
-    Parcel,
-    Phase,
-    Ping,
-    Taken,
-)
-from puffindeck_membership.model import (
+from random import Random
+
+import msgspec
+
+from puffindeck_membership.anti_entropy import AntiEntropy
+from puffindeck_membership.contact import ContactTracker
+from puffindeck_membership.datagram_receiver import DatagramReceiver
+from puffindeck_membership.datagram_sender import AddressBook, DatagramSender
+from puffindeck_membership.dissemination import Dissemination, GossipRounds
+from puffindeck_membership.events import (
     Action,
-    Arrived,
+    ConnectionRefused,
+    DatagramReceived,
     Event,
     Leave,
-    Post,
-    Received,
-    Refused,
-    Retuned,
-    Tick,
-    Usurped,
+    PeersChanged,
+    ScheduleTimer,
+    SendDatagram,
+    TimerFired,
 )
-from puffindeck_membership.probing import Probing
-from puffindeck_membership.seen import Seen
-
-FIRST_MS = 50.0  # the first pings go out within this
-
-
-class Membership(Probing):
-    """A member of the fleet.
-
-    `life` is this process's own, higher than any earlier one's of this name; `peers` the addresses that its file
-    has; `incarnation` one that no earlier life has used, where that is known.
+from puffindeck_membership.failure_detector import FailureDetector
+from puffindeck_membership.gossip_queue import GossipQueue
+from puffindeck_membership.local_health import LocalHealth
+from puffindeck_membership.local_member import LocalMember
+from puffindeck_membership.member_table import Member, MemberTable
+from puffindeck_membership.messages import MemberUpdate, Payload, Phase
+from puffindeck_membership.probes import MonitoredSubjects, Pinger
+from puffindeck_membership.reconnection import Reconnection
+from puffindeck_membership.runtime import ActionLog, Runtime
+from puffindeck_membership.scheduler import Scheduler
+from puffindeck_membership.suspicion import SuspicionProtocol
+from puffindeck_membership.timing import Timing
+
+MAX_FIRST_PING_DELAY_MS = 50.0  # within which unreachable peers are pinged for the first time
+
+
+class Membership:
+    """A member of the fleet, composed of the parts of the protocol. It does no I/O and reads no clock.
+
+    `process_incarnation` is higher than that of any earlier process of this name. `peers` are the configured
+    addresses by name. `incarnation` is one that no earlier process has used, where that is known. `initial_updates`
+    describe the members that are known from the start. The same seed and events give the same actions.
     """
 
-    def __init__(self, *args: Any, known: Iterable[News] = (), **keywords: Any) -> None:
-        super().__init__(*args, **keywords)
-        self.dropped: Counter[str] = Counter()  # datagrams of no use, by kind
-        self._seen = Seen()
-        self._begun = False
-        for news in known:
-            if news.name != self.name:
-                self.table.put(news, 0.0)
-        self._behind = not self.table.living
+    def __init__(
+        self,
+        name: str,
+        address: str,
+        region: str = "",
+        *,
+        process_incarnation: int,
+        peers: dict[str, str] | None = None,
+        timing: Timing | None = None,
+        seed: int = 0,
+        incarnation: int = 1,
+        initial_updates: Iterable[MemberUpdate] = (),
+    ) -> None:
+        timing = timing or Timing()
+        self._runtime = Runtime(Scheduler(), Random(seed), timing, ActionLog())
+        self._local = LocalMember(name, address, region, process_incarnation, incarnation)
+        self._health = LocalHealth(timing)
+        self._is_started = False
+        self.table = MemberTable(name, timing.observers)
+        for update in initial_updates:
+            if update.name != name:
+                self.table.put(update, 0.0)
+        self._addresses = AddressBook(peers or {}, self.table)
+        self._contacts = ContactTracker(self.table, self._health, self._runtime)
+        self._compose()
+
+    def _compose(self) -> None:
+        """Create the parts of the protocol, each with its collaborators."""
+        local = self._local
+        table = self.table
+        health = self._health
+        contacts = self._contacts
+        runtime = self._runtime
+        queue = GossipQueue()
+        sender = DatagramSender(local, self._addresses, queue, runtime)
+        pinger = Pinger(local, sender, runtime)
+        subjects = MonitoredSubjects(local, table, runtime)
+        self._sender = sender
+        self._rounds = GossipRounds(table, queue, sender, runtime)
+        self._dissemination = Dissemination(local, table, queue, self._rounds, sender, self._addresses, runtime)
+        self._suspicions = SuspicionProtocol(
+            local, table, health, contacts, subjects, pinger, self._dissemination, sender, runtime
+        )
+        self._detector = FailureDetector(
+            local, table, health, contacts, self._suspicions, subjects, pinger, sender, self._addresses, runtime
+        )
+        self._reconnection = Reconnection(local, table, pinger, self._addresses, runtime)
+        self._anti_entropy = AntiEntropy(local, table, sender, runtime)
+        self._receiver = DatagramReceiver(
+            local,
+            table,
+            health,
+            contacts,
+            self._dissemination,
+            self._detector,
+            self._suspicions,
+            self._anti_entropy,
+            sender,
+            runtime,
+        )
+
+    # Events
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Take in what has happened at this moment."""
-        self.actions, self.now = [], now_ms
-        if not self._begun:
-            self._begin()
-        elif self.health.turn(now_ms, self.due()):
-            self._woke()
+        """Handle events at a moment in milliseconds, and run the timers that are due."""
+        scheduler = self._runtime.scheduler
+        self._runtime.actions.take()
+        scheduler.now_ms = now_ms
+        if not self._is_started:
+            self._start()
+        elif self._health.record_wakeup(now_ms, scheduler.next_due_ms()):
+            self._contacts.discard_evidence()
         for event in events:
-            if isinstance(event, Received):
-                self._received(event)
-            elif isinstance(event, Refused):
-                self.refused(event.name)
-            elif isinstance(event, Leave):
-                self.leave()
-            elif isinstance(event, Retuned):
-                self.peers = dict(event.peers)
-            else:
-                assert isinstance(event, Tick)
-                self._woken_for = float("inf")  # it may come a hair before its time
-        self.run_timers()
-        return self.actions
-
-    def _begin(self) -> None:
-        self._begun = True
-        self._tokens, self._tokens_ms = self.timing.gossip_burst, self.now
+            self._handle_event(event)
+        scheduler.run_due()
+        wakeup_ms = scheduler.request_wakeup()
+        if wakeup_ms is not None:
+            self._runtime.actions.add(ScheduleTimer(wakeup_ms))
+        return self._runtime.actions.take()
+
+    def _handle_event(self, event: Event) -> None:
+        match event:
+            case DatagramReceived():
+                self._receiver.receive(event)
+            case ConnectionRefused():
+                self._suspicions.connection_refused(event.name)
+            case Leave():
+                self._dissemination.leave()
+            case PeersChanged():
+                self._addresses.configure(event.peers)
+            case TimerFired():
+                self._runtime.scheduler.wakeup_fired()
+
+    def _start(self) -> None:
+        """Start all periodic work at random moments of its interval."""
+        self._is_started = True
+        self._rounds.start()
+        self.table.start_monitoring(self._runtime.now_ms)
+        random = self._runtime.random
+        timing = self._runtime.timing
+        call_later = self._runtime.scheduler.call_later
+        call_later(random.random() * MAX_FIRST_PING_DELAY_MS, self._reconnection.run)
+        call_later(random.random() * timing.probe_interval_ms, self._detector.probe_next_subject)
+        call_later(random.random() * timing.catch_up_interval_ms, self._anti_entropy.run)
+
+    # State
+
+    @property
+    def incarnation(self) -> int:
+        """The incarnation that this member has reached."""
+        return self._local.incarnation
+
+    @property
+    def excluded_by_peers(self) -> bool:
+        """Whether others count this member as dead and may not have received its refutation."""
+        return self._local.excluded_by_peers
+
+    @property
+    def dropped(self) -> Counter[str]:
+        """The number of received datagrams that were of no use, by reason."""
+        return self._receiver.dropped
+
+    def members(self) -> list[MemberUpdate]:
+        """All known members, the local one among them, by name. Those that are silent have the phase SUSPECT."""
+        found = [self._local.update()]
         for member in self.table.members.values():
-            member.heard_ms = member.since_ms = member.changed_ms = self.now
-        self.after(self.random.random() * FIRST_MS, self.revisit)
-        self.after(self.random.random() * self.timing.period_ms, self.beat)
-        self.after(self.random.random() * self.timing.catch_up_ms, self.sync)
-
-    def _woke(self) -> None:
-        """Stopped for a while: what came and went meanwhile says nothing of others."""
-        for member in self.table.living.values():
-            member.pressing = False
-            member.doubters.clear()
-            member.refused_ms = float("-inf")
-
-    # Datagrams
-
-    def _received(self, event: Received) -> None:
-        envelope = event.envelope
-        if envelope.sender == self.name:
-            self._namesake(envelope, event.source)
-            return
-        if self._seen.before(envelope.sender, envelope.life, envelope.number):
-            self.dropped["repeated"] += 1
-            return
-        if self.phase == Phase.LEFT:
-            return
-        self.health.heard_ms = self.now
-        misnamed = envelope.to not in ("", self.name)
-        for news in envelope.news:
-            self.hear(news)
-        member = self.table.members.get(envelope.sender)
-        self.word(envelope, event.source)
-        if member is not None and member.news.life > envelope.life:  # an earlier process of this name lives
-            self.dropped["earlier"] += 1
-            return
-        if misnamed:
-            self.dropped["misnamed"] += 1
-            if not isinstance(envelope.body, Ping):
-                return
-        self._body(envelope)
-
-    def _body(self, envelope: Envelope) -> None:
-        body = envelope.body
-        if isinstance(body, Ping):
-            self.pinged(envelope, body.probe)
-        elif isinstance(body, Ack):
-            self.acked(envelope, body)
-        elif isinstance(body, Ask):
-            self.asked(envelope.sender, body)
-        elif isinstance(body, Doubt):
-            self.doubted(envelope.sender, body)
-        elif isinstance(body, Digest):
-            self.compare(envelope.sender, body)
-        elif isinstance(body, Parcel):
-            self.actions.append(Arrived(envelope.sender, body.channel, body.data))
-
-    def _namesake(self, envelope: Envelope, source: str) -> None:
-        """Another process with this name, or one's own datagram by a wrong address."""
-        if envelope.life == self.life:
-            self.dropped["own"] += 1
-            return
-        self.dropped["namesake"] += 1
-        if isinstance(envelope.body, Taken) and envelope.body.life < self.life:
-            self.actions.append(Usurped(envelope.body.address))
-        elif envelope.life > self.life:
-            self.post("", Taken(self.life, self.address), address=source)
-
-    # What others ask of it
-
-    def members(self) -> list[News]:
-        """All that are known, itself among them, by name; one without a word for a while is suspect."""
-        found = [self.own()]
-        for member in self.table.members.values():
-            news = member.news
-            suspect = news.phase == Phase.ALIVE and (
-                bool(member.doubters) or (member.pressing and self.silent(member) >= self.timing.tell_ms)
-            )
-            found.append(News(news.name, Phase.SUSPECT, *_rest(news)) if suspect else news)
-        return sorted(found, key=lambda news: news.name)
-
-    def living(self) -> list[str]:
-        """Names of all that are not dead and have not left, itself among them."""
-        return sorted([self.name, *self.table.living])
+            is_suspect = member.phase == Phase.ALIVE and self._is_suspect(member)
+            update = msgspec.structs.replace(member.update, phase=Phase.SUSPECT) if is_suspect else member.update
+            found.append(update)
+        return sorted(found, key=lambda update: update.name)
 
-    def parcel(self, name: str, channel: str, data: bytes) -> list[Post]:
-        """A parcel to another member, as what to post."""
-        self.actions = []
-        self.post(name, Parcel(channel, data), octets=0)
-        return [action for action in self.actions if isinstance(action, Post)]
+    def _is_suspect(self, member: Member) -> bool:
+        if member.suspecters:
+            return True
+        timeout_ms = self._runtime.timing.announce_suspicion_after_ms
+        return member.probed_as_suspect and self._contacts.silence_ms(member) >= timeout_ms
 
-    def apart_ms(self) -> float:
-        """How far this member's clock is from the middle of all that it has compared with, its own among them."""
-        offsets = sorted([0.0, *(m.offset_ms for m in self.table.living.values() if m.rtt_ms < float("inf"))])
-        half = len(offsets) // 2
-        middle = offsets[half] if len(offsets) % 2 else (offsets[half - 1] + offsets[half]) / 2
-        return -middle
-
-
-def _rest(news: News) -> tuple[int, int, str, str]:
-    return news.incarnation, news.life, news.address, news.region
+    def living(self) -> list[str]:
+        """The sorted names of all living members, the local one among them."""
+        return sorted([self._local.name, *self.table.living])
+
+    def clock_offset_ms(self) -> float:
+        """How far the local clock is ahead of the median of all clocks, in milliseconds."""
+        return self._contacts.clock_offset_ms()
+
+    def send_payload(self, name: str, channel: str, data: bytes) -> list[SendDatagram]:
+        """The datagrams that carry a message of another module to a member; none if its address is unknown."""
+        self._runtime.actions.take()
+        self._sender.send(name, Payload(channel, data), piggyback_octets=0)
+        return [action for action in self._runtime.actions.take() if isinstance(action, SendDatagram)]
--- a/packages/membership/src/puffindeck_membership/messages.py
+++ b/packages/membership/src/puffindeck_membership/messages.py
@@ -1,4 +1,8 @@
-"""What members send each other. Fields may be added at the end: who does not know them passes them over."""
+"""The messages of the membership protocol, as they stand in datagrams.
+
+Each message is a msgpack array, so the order of the fields and the `tag` numbers are the wire format. New fields go
+to the end: a receiver that does not know them skips them. The protocol is SWIM (Das, Gupta, Motivala, 2002).
+"""
 
 from __future__ import annotations
 
@@ -8,90 +12,93 @@
 
 
 class Phase(IntEnum):
-    """How a member is. Of two words with one incarnation the later phase holds."""
+    """The state of a member. Of two updates with one incarnation, the one with the later phase supersedes the other."""
 
     ALIVE = 0
-    SUSPECT = 1  # only here: a doubt is told to the suspect and who else looks after it, not to all
+    SUSPECT = 1  # never disseminated: a suspicion is sent only to the suspect and to its other observers
     DEAD = 2
     LEFT = 3
 
 
-class News(msgspec.Struct, array_like=True, frozen=True):
-    """A member as somebody knows it."""
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
+    """The state of one member, as another member knows it."""
 
     name: str
     phase: int
-    incarnation: int  # raised by the member alone, to answer a word that it is dead or doubted
-    life: int  # the process: a later one of the same name has a higher number
+    incarnation: int  # raised only by the member itself, to refute a suspicion or a death
+    process_incarnation: int  # a later process of the same name has a higher number
     address: str = ""
     region: str = ""
 
 
 class Ping(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """Are you there? Answered by an Ack with the same number."""
+    """A probe. The receiver answers with an Ack of the same number."""
 
-    probe: int
+    probe_number: int
 
 
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """Yes; or, for a probe that was asked for, `of` is."""
+    """The answer to a probe: `member` is alive. It is the sender, or the target of an indirect probe."""
 
-    probe: int
-    of: str
+    probe_number: int
+    member: str
 
 
-class Ask(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """Ping that member for me."""
+class IndirectPingRequest(msgspec.Struct, array_like=True, frozen=True, tag=3):
+    """Asks the receiver to ping `target` and to forward its Ack."""
 
-    probe: int
+    probe_number: int
     target: str
 
 
-class Doubt(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """I have no word of this member; if `sure`, for as long as it takes, or its machine refuses."""
+class Suspicion(msgspec.Struct, array_like=True, frozen=True, tag=4):
+    """The sender has no contact with a member.
+
+    `confirmed`: the silence has lasted for the whole suspicion timeout, or the connection was refused for long enough.
+    """
 
     name: str
     incarnation: int
-    sure: bool
-    refused: bool = False  # its machine says that nobody listens: a word from before says nothing
+    confirmed: bool
+    refused: bool = False  # the member's machine refuses connections: earlier contact is no counter-evidence
 
 
 class Gossip(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Only the envelope's news."""
+    """A datagram that only carries member updates."""
 
 
-class Digest(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """What I know, as a hash for each bucket of names. Answered where it differs."""
+class StateDigest(msgspec.Struct, array_like=True, frozen=True, tag=6):
+    """The hashes of the sender's member table, one a bucket of names. A receiver whose hashes differ answers."""
 
-    buckets: list[int]
-    answer: bool = False
+    bucket_hashes: list[int]
+    is_reply: bool = False
 
 
-class Taken(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """This name is mine, and I was there before you."""
+class NameConflict(msgspec.Struct, array_like=True, frozen=True, tag=7):
+    """The sender has used the receiver's name since before the receiver's process started."""
 
-    life: int
+    process_incarnation: int
     address: str
 
 
-class Parcel(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """Something between other parts of two members."""
+class Payload(msgspec.Struct, array_like=True, frozen=True, tag=8):
+    """A message between other modules of two members, named by `channel`."""
 
     channel: str
     data: bytes
 
 
-Body = Ping | Ack | Ask | Doubt | Gossip | Digest | Taken | Parcel
+Body = Ping | Ack | IndirectPingRequest | Suspicion | Gossip | StateDigest | NameConflict | Payload
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
     """One datagram."""
 
     sender: str
-    life: int
+    process_incarnation: int
     incarnation: int
-    number: int  # of the sender's datagrams: one that comes twice is known
-    to: str  # "" where the sender only has an address
-    at_ms: int  # the sender's clock, which may be off
+    sequence_number: int  # of the datagrams of the sender's process; identifies duplicates
+    recipient: str  # empty if the sender only knows an address
+    sent_at_ms: int  # the sender's clock, which may be wrong
     body: Body
-    news: list[News] = []
+    updates: list[MemberUpdate] = []
--- /dev/null
+++ b/packages/membership/src/puffindeck_membership/monitoring_topology.py
@@ -0,0 +1,79 @@
+"""Which members monitor which: each member is observed by its predecessor on each of several hash rings.
+
+Members that know the same names compute the same rings without any communication. A member has as many observers as
+there are rings, and as many subjects, however large the fleet is (as in Rapid: Suresh and others, 2018).
+"""
+
+from __future__ import annotations
+
+from bisect import bisect_left, insort
+from collections.abc import Iterator
+from functools import lru_cache
+from typing import NamedTuple
+
+from xxhash import xxh64_intdigest
+
+POSITION_CACHE_SIZE = 1 << 14
+
+
+class RingPosition(NamedTuple):
+    """The position of a member on a ring."""
+
+    hash: int
+    name: str
+
+
+@lru_cache(POSITION_CACHE_SIZE)
+def ring_position(ring: int, name: str) -> RingPosition:
+    """The position of a name on the ring with that index."""
+    return RingPosition(xxh64_intdigest(name.encode(), ring + 1), name)
+
+
+class MonitoringTopology:
+    """The members on each ring, ordered by their hashes on it."""
+
+    def __init__(self, ring_count: int) -> None:
+        self._rings: list[list[RingPosition]] = [[] for _ in range(ring_count)]
+
+    def add(self, name: str) -> None:
+        """Put a member on all rings. One that is there already stays."""
+        for index, ring in enumerate(self._rings):
+            position = ring_position(index, name)
+            slot = bisect_left(ring, position)
+            if slot == len(ring) or ring[slot] != position:
+                insort(ring, position)
+
+    def remove(self, name: str) -> None:
+        """Take a member off all rings."""
+        for index, ring in enumerate(self._rings):
+            position = ring_position(index, name)
+            slot = bisect_left(ring, position)
+            if slot < len(ring) and ring[slot] == position:
+                del ring[slot]
+
+    def subjects(self, name: str) -> list[str]:
+        """The members that this member monitors: its successor on each ring, each once."""
+        return self._neighbours(name, 1)
+
+    def observers(self, name: str) -> list[str]:
+        """The members that monitor this member: its predecessor on each ring, each once."""
+        return self._neighbours(name, -1)
+
+    def _neighbours(self, name: str, step: int) -> list[str]:
+        found: list[str] = []
+        for index in range(len(self._rings)):
+            neighbour = next((other for other in self._walk(index, name, step) if other not in found), None)
+            if neighbour is not None:
+                found.append(neighbour)
+        return found
+
+    def _walk(self, index: int, name: str, step: int) -> Iterator[str]:
+        """The other members on a ring in that direction, nearest first."""
+        ring = self._rings[index]
+        start = bisect_left(ring, ring_position(index, name))
+        size = len(ring)
+        slots = range(start, start + size) if step > 0 else range(start - 1, start - 1 - size, -1)
+        for slot in slots:
+            other = ring[slot % size].name
+            if other != name:
+                yield other
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -4,7 +4,17 @@
 
 import pytest
 
-from puffindeck_membership import Leave, Membership, News, PeerMisnamed, Phase, Refused, Tick, Usurped, Wake
+from puffindeck_membership import (
+    ConnectionRefused,
+    Leave,
+    Membership,
+    MemberUpdate,
+    NameTakenOver,
+    PeerMisnamed,
+    Phase,
+    ScheduleTimer,
+    TimerFired,
+)
 from puffindeck_messaging import Report
 from puffindeck_testing.virtual import Link, Net
 
@@ -19,17 +29,17 @@
     """Members e1, e2, ... that know each other; or that have to find each other by their peers."""
     net = Net(seed, link)
     names = [f"e{i}" for i in range(1, count + 1)]
-    all_news = [News(name, Phase.ALIVE, 1, i, address(i), "north") for i, name in enumerate(names, 1)]
+    all_updates = [MemberUpdate(name, Phase.ALIVE, 1, i, address(i), "north") for i, name in enumerate(names, 1)]
     for i, name in enumerate(names, 1):
         peers = {other: address(j) for j, other in enumerate(names, 1) if other != name}
         member = Membership(
             name,
             address(i),
             "north",
-            life=i,
+            process_incarnation=i,
             peers=peers if count <= 10 else {},
             seed=seed * 1000 + i,
-            known=all_news if known else (),
+            initial_updates=all_updates if known else (),
         )
         net.add(name, address(i), member)
     net.run(settle)
@@ -37,7 +47,7 @@
 
 
 def phases(net: Net, at: str) -> dict[str, Phase]:
-    return {news.name: Phase(news.phase) for news in net.hosts[at].played.members()}
+    return {update.name: Phase(update.phase) for update in net.hosts[at].played.members()}
 
 
 def all_alive(net: Net, *but: str) -> bool:
@@ -45,32 +55,39 @@
 
 
 def deaths(net: Net) -> list[tuple[float, str, str]]:
-    return [(when, who, c.news.name) for when, who, c in net.changes if c.news.phase == Phase.DEAD]
+    return [(when, who, c.update.name) for when, who, c in net.changes if c.update.phase == Phase.DEAD]
 
 
 def incarnation(net: Net, of: str, at: str) -> int:
-    return next(int(news.incarnation) for news in net.hosts[at].played.members() if news.name == of)
+    return next(int(update.incarnation) for update in net.hosts[at].played.members() if update.name == of)
 
 
-def lives(net: Net, of: str) -> set[int]:
-    return {news.life for host in net.hosts.values() for news in host.played.members() if news.name == of}
+def process_incarnations(net: Net, of: str) -> set[int]:
+    return {
+        update.process_incarnation
+        for host in net.hosts.values()
+        for update in host.played.members()
+        if update.name == of
+    }
 
 
 def test_members_find_each_other_by_one_peer_that_answers() -> None:
     net = Net(3)
     for i in range(1, 8):  # e1 knows nobody; each other one only the one before
         peers = {f"e{i - 1}": address(i - 1)} if i > 1 else {}
-        net.add(f"e{i}", address(i), Membership(f"e{i}", address(i), "south", life=i, peers=peers, seed=i))
+        net.add(
+            f"e{i}", address(i), Membership(f"e{i}", address(i), "south", process_incarnation=i, peers=peers, seed=i)
+        )
     net.run(10000)
     assert all(len(phases(net, name)) == 7 for name in net.hosts)
     assert all_alive(net)
-    assert {news.region for news in net.hosts["e1"].played.members()} == {"south"}
+    assert {update.region for update in net.hosts["e1"].played.members()} == {"south"}
 
 
 def test_a_wrong_peer_is_reported_and_harms_nobody() -> None:
     net = fleet(3)
     peers = {"e9": address(1), "e8": "10.9.9.9:1", "e2": address(2)}
-    net.add("e4", address(4), Membership("e4", address(4), life=4, peers=peers, seed=4))
+    net.add("e4", address(4), Membership("e4", address(4), process_incarnation=4, peers=peers, seed=4))
     net.run(net.now + 10000)
     assert set(phases(net, "e4")) == {"e1", "e2", "e3", "e4"}
     assert all_alive(net)
@@ -139,7 +156,7 @@
         assert all_alive(net)
         assert incarnation(net, "e1", "e2") == 2
         assert {name for _, _, name in deaths(net)} == {"e1"}  # and it held nobody else to be dead
-        assert not net.hosts["e1"].played.shunned
+        assert not net.hosts["e1"].played.excluded_by_peers
 
 
 def test_a_third_of_all_datagrams_lost_for_minutes_kills_nobody() -> None:
@@ -155,7 +172,7 @@
 @pytest.mark.parametrize("count", [3, 5, 40])
 def test_one_that_does_not_hear_another_asks_others(count: int) -> None:
     net = fleet(count)
-    observers = net.hosts["e2"].played.table.rings.observers("e2")
+    observers = net.hosts["e2"].played.table.topology.observers("e2")
     net.cut("e2", observers[0])
     net.run(net.now + 30000)
     assert not deaths(net)
@@ -177,13 +194,13 @@
         net.cut("e1", other)
     net.run(net.now + 15000)
     assert all(phases(net, name)["e1"] == Phase.DEAD for name in ("e2", "e3", "e4", "e5"))
-    assert net.hosts["e1"].played.shunned
+    assert net.hosts["e1"].played.excluded_by_peers
     assert {name for _, _, name in deaths(net)} == {"e1"}
     for other in ("e2", "e3", "e4", "e5"):
         net.cut("e1", other, cut=False)
     net.run(net.now + 3000)
     assert all_alive(net)
-    assert not net.hosts["e1"].played.shunned
+    assert not net.hosts["e1"].played.excluded_by_peers
 
 
 def test_a_split_of_3_and_2_and_its_healing() -> None:
@@ -223,13 +240,13 @@
     net = Net(1)
     for i in range(1, 6):
         peers = {f"e{j}": address(j) for j in range(1, 6) if j != i}
-        member = Membership(f"e{i}", address(i), life=i, peers=peers, seed=i)
+        member = Membership(f"e{i}", address(i), process_incarnation=i, peers=peers, seed=i)
         net.add(f"e{i}", address(i), member).skew_ms = 3600000.0 if i == 2 else 0.0
     net.run(30000)
     assert not deaths(net)
     assert all_alive(net)
-    assert abs(net.hosts["e2"].played.apart_ms() - 3600000) < 5
-    assert abs(net.hosts["e1"].played.apart_ms()) < 5
+    assert abs(net.hosts["e2"].played.clock_offset_ms() - 3600000) < 5
+    assert abs(net.hosts["e1"].played.clock_offset_ms()) < 5
 
 
 def test_a_start_at_once_after_a_kill_takes_the_name_over() -> None:
@@ -238,31 +255,31 @@
         net.kill("e2")
         net.run(net.now + gap)
         peers = {f"e{j}": address(j) for j in (1, 3, 4, 5)}
-        net.add("e2", address(2), Membership("e2", address(2), "north", life=99, peers=peers, seed=99))
+        net.add("e2", address(2), Membership("e2", address(2), "north", process_incarnation=99, peers=peers, seed=99))
         net.run(net.now + 4000)
         assert all_alive(net), gap
-        assert not any(isinstance(a, Usurped) for _, _, a in net.other)
-        assert lives(net, "e2") == {99}
+        assert not any(isinstance(a, NameTakenOver) for _, _, a in net.other)
+        assert process_incarnations(net, "e2") == {99}
 
 
-@pytest.mark.parametrize("shunned_before", [False, True])
-def test_of_two_living_processes_under_one_name_the_later_ends(shunned_before: bool) -> None:
+@pytest.mark.parametrize("excluded_before", [False, True])
+def test_of_two_living_processes_under_one_name_the_later_ends(excluded_before: bool) -> None:
     net = fleet(5)
-    if shunned_before:  # the first has a higher incarnation than a new process begins with
+    if excluded_before:  # the first has a higher incarnation than a new process begins with
         net.pause("e2", 15000)
         net.run(net.now + 18000)
     peers = {f"e{j}": address(j) for j in (1, 3, 4, 5)}
-    later = Membership("e2", address(9), "north", life=99, peers=peers, seed=99)
+    later = Membership("e2", address(9), "north", process_incarnation=99, peers=peers, seed=99)
     net.add("e2 again", address(9), later)
     net.run(net.now + 3000)
-    usurped = [(who, a.address) for _, who, a in net.other if isinstance(a, Usurped)]
-    assert {who for who, _ in usurped} == {"e2 again"}
-    assert usurped[0][1] == address(2)
+    conflicts = [(who, a.address) for _, who, a in net.other if isinstance(a, NameTakenOver)]
+    assert {who for who, _ in conflicts} == {"e2 again"}
+    assert conflicts[0][1] == address(2)
     net.kill("e2 again")  # as its process does
     net.run(net.now + 10000)
     del net.hosts["e2 again"]
     assert all_alive(net)
-    assert lives(net, "e2") == {2}
+    assert process_incarnations(net, "e2") == {2}
 
 
 def test_one_that_leaves_tells_so_at_once() -> None:
@@ -273,7 +290,7 @@
     net.run(net.now + 1200)
     assert all(phases(net, name)["e2"] == Phase.LEFT for name in net.hosts if name != "e2")
     assert not deaths(net)
-    net.add("e2", address(2), Membership("e2", address(2), life=99, peers={"e1": address(1)}, seed=99))
+    net.add("e2", address(2), Membership("e2", address(2), process_incarnation=99, peers={"e1": address(1)}, seed=99))
     net.run(net.now + 4000)
     assert all_alive(net)
 
@@ -282,7 +299,7 @@
     net = fleet(5)
     for name in ("e2", "nobody"):
         for _ in range(3):
-            net.take(net.hosts["e1"], net.hosts["e1"].played.handle(net.now, [Refused(name)]))
+            net.take(net.hosts["e1"], net.hosts["e1"].played.handle(net.now, [ConnectionRefused(name)]))
             net.run(net.now + 100)
     net.run(net.now + 5000)
     assert not deaths(net)
@@ -312,7 +329,7 @@
 
 
 def test_a_wake_that_comes_a_hair_early_is_asked_for_again() -> None:
-    member = Membership("e1", address(1), life=1, peers={"e2": address(2)}, seed=1)
-    wake = next(a for a in member.handle(0.0, []) if isinstance(a, Wake))
-    again = [a for a in member.handle(wake.at_ms - 1e-9, [Tick()]) if isinstance(a, Wake)]
+    member = Membership("e1", address(1), process_incarnation=1, peers={"e2": address(2)}, seed=1)
+    wake = next(a for a in member.handle(0.0, []) if isinstance(a, ScheduleTimer))
+    again = [a for a in member.handle(wake.at_ms - 1e-9, [TimerFired()]) if isinstance(a, ScheduleTimer)]
     assert again == [wake]
--- a/packages/testing/src/puffindeck_testing/plain.py
+++ b/packages/testing/src/puffindeck_testing/plain.py
@@ -9,8 +9,17 @@
 from random import Random
 from typing import Any
 
-from puffindeck_membership import Changed, Envelope, News, Phase, Post, Received, Tick, Wake
-from puffindeck_membership.messages import Ack, Ask, Gossip, Ping
+from puffindeck_membership import (
+    DatagramReceived,
+    Envelope,
+    MemberChanged,
+    MemberUpdate,
+    Phase,
+    ScheduleTimer,
+    SendDatagram,
+    TimerFired,
+)
+from puffindeck_membership.messages import Ack, Gossip, IndirectPingRequest, Ping
 
 
 class Plain:
@@ -26,27 +35,27 @@
         self.number = 0
         self.actions: list[Any] = []
 
-    def post(self, to: str, body: Any, news: Iterable[News] = ()) -> None:
+    def post(self, to: str, body: Any, news: Iterable[MemberUpdate] = ()) -> None:
         self.number += 1
         envelope = Envelope(self.name, 1, 1, self.number, to, int(self.now), body, list(news))
-        self.actions.append(Post(to, self.addresses[to], envelope))
+        self.actions.append(SendDatagram(to, self.addresses[to], envelope))
 
     def verdict(self, name: str, dead: bool) -> None:
         if (name in self.dead) != dead and name != self.name:
             (self.dead.add if dead else self.dead.discard)(name)
             phase = Phase.DEAD if dead else Phase.ALIVE
-            self.actions.append(Changed(News(name, phase, 1, 1), None))
+            self.actions.append(MemberChanged(MemberUpdate(name, phase, 1, 1), None))
 
     def handle(self, now_ms: float, events: Iterable[Any]) -> list[Any]:
         self.actions, self.now = [], now_ms
         if not self.next:
             self.next = now_ms + self.round_ms * self.random.random()
-            self.actions.append(Wake(self.next))
+            self.actions.append(ScheduleTimer(self.next))
         for event in events:
-            if isinstance(event, Received):
+            if isinstance(event, DatagramReceived):
                 self.verdict(event.envelope.sender, False)
                 self.came(event.envelope)
-            elif isinstance(event, Tick):
+            elif isinstance(event, TimerFired):
                 self.tick()
         return self.actions
 
@@ -72,7 +81,7 @@
     def tick(self) -> None:
         while self.now >= self.next:
             self.next += self.round_ms
-        self.actions.append(Wake(self.next))
+        self.actions.append(ScheduleTimer(self.next))
         for other in self.others:
             self.post(other, Gossip())
             if self.now - max(self.heard[other], 1000.0) > self.patience_ms:
@@ -88,15 +97,15 @@
         super().__init__(name, addresses, seed)
         self.turn: list[str] = []
         self.target, self.answered, self.asked = "", True, False
-        self.news: dict[str, tuple[News, int]] = {}
+        self.news: dict[str, tuple[MemberUpdate, int]] = {}
         self.relays: dict[int, tuple[str, int]] = {}
 
     def verdict(self, name: str, dead: bool) -> None:
         if (name in self.dead) != dead and name != self.name:
-            self.news[name] = News(name, Phase.DEAD if dead else Phase.ALIVE, 1, 1), 12
+            self.news[name] = MemberUpdate(name, Phase.DEAD if dead else Phase.ALIVE, 1, 1), 12
         super().verdict(name, dead)
 
-    def ride(self) -> list[News]:
+    def ride(self) -> list[MemberUpdate]:
         chosen = sorted(self.news.values(), key=lambda item: -item[1])[: self.riding]
         for news, left in chosen:
             if left > 1:
@@ -106,20 +115,20 @@
         return [news for news, _ in chosen]
 
     def came(self, envelope: Envelope) -> None:
-        for news in envelope.news:
+        for news in envelope.updates:
             self.verdict(news.name, news.phase == Phase.DEAD)
         body = envelope.body
         if isinstance(body, Ping):
-            self.post(envelope.sender, Ack(body.probe, self.name), self.ride())
-        elif isinstance(body, Ask):
+            self.post(envelope.sender, Ack(body.probe_number, self.name), self.ride())
+        elif isinstance(body, IndirectPingRequest):
             self.number += 1
-            self.relays[self.number] = envelope.sender, body.probe
+            self.relays[self.number] = envelope.sender, body.probe_number
             self.post(body.target, Ping(self.number), self.ride())
         elif isinstance(body, Ack):
-            asker = self.relays.pop(body.probe, None)
+            asker = self.relays.pop(body.probe_number, None)
             if asker is not None:
-                self.post(asker[0], Ack(asker[1], body.of), self.ride())
-            elif body.of == self.target:
+                self.post(asker[0], Ack(asker[1], body.member), self.ride())
+            elif body.member == self.target:
                 self.answered = True
 
     def tick(self) -> None:
@@ -127,7 +136,7 @@
             self.asked = True
             others = [o for o in self.others if o != self.target and o not in self.dead]
             for helper in self.random.sample(others, min(self.helpers, len(others))):
-                self.post(helper, Ask(0, self.target), self.ride())
+                self.post(helper, IndirectPingRequest(0, self.target), self.ride())
         elif self.now >= self.next:
             if not self.answered:
                 self.verdict(self.target, True)
@@ -137,6 +146,6 @@
             self.post(self.target, Ping(0), self.ride())
             while self.now >= self.next:
                 self.next += self.round_ms
-            self.actions.append(Wake(self.now + self.wait_ms))
+            self.actions.append(ScheduleTimer(self.now + self.wait_ms))
             return
-        self.actions.append(Wake(self.next))
+        self.actions.append(ScheduleTimer(self.next))
--- a/packages/testing/src/puffindeck_testing/virtual.py
+++ b/packages/testing/src/puffindeck_testing/virtual.py
@@ -15,7 +15,15 @@
 
 import msgspec
 
-from puffindeck_membership import Arrived, Changed, Post, Received, Refused, Tick, Wake
+from puffindeck_membership import (
+    ConnectionRefused,
+    DatagramReceived,
+    MemberChanged,
+    PayloadReceived,
+    ScheduleTimer,
+    SendDatagram,
+    TimerFired,
+)
 
 HEADER = 28 + 15  # octets of IP, UDP and the datagram's own frame
 BUFFERED = 200  # datagrams that a paused process's socket keeps
@@ -65,9 +73,9 @@
         self.links: dict[tuple[str, str], Link] = {}
         self.hosts: dict[str, Host] = {}
         self.at_address: dict[str, Host] = {}
-        self.changes: list[tuple[float, str, Changed]] = []  # when, who noticed, what
+        self.changes: list[tuple[float, str, MemberChanged]] = []  # when, who noticed, what
         self.other: list[tuple[float, str, Any]] = []  # actions that are neither posts nor wakes nor changes
-        self.parcels: Callable[[str, Arrived], None] = lambda name, parcel: None
+        self.parcels: Callable[[str, PayloadReceived], None] = lambda name, parcel: None
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
@@ -92,7 +100,7 @@
         host = self.hosts[name]
         host.paused = False
         waiting, host.waiting = host.waiting, []
-        for event in waiting or [Tick()]:
+        for event in waiting or [TimerFired()]:
             self._tell(host, event)
 
     # Links
@@ -140,16 +148,16 @@
     def take(self, host: Host, actions: list[Any]) -> None:
         """Do what a member's actions say."""
         for action in actions:
-            if isinstance(action, Post):
+            if isinstance(action, SendDatagram):
                 self._post(host, action)
-            elif isinstance(action, Wake):
+            elif isinstance(action, ScheduleTimer):
                 when = action.at_ms - host.skew_ms
                 if when < host.wake_ms or host.wake_ms <= self.now:
                     host.wake_ms = when
                     self.at(when, self._wake, host, when)
-            elif isinstance(action, Changed):
+            elif isinstance(action, MemberChanged):
                 self.changes.append((self.now, host.name, action))
-            elif isinstance(action, Arrived):
+            elif isinstance(action, PayloadReceived):
                 self.parcels(host.name, action)
             else:
                 self.other.append((self.now, host.name, action))
@@ -157,13 +165,13 @@
     def _wake(self, host: Host, when: float) -> None:
         if self.hosts.get(host.name) is host and host.wake_ms == when:
             if host.paused:
-                if not any(isinstance(event, Tick) for event in host.waiting):
-                    host.waiting.append(Tick())
+                if not any(isinstance(event, TimerFired) for event in host.waiting):
+                    host.waiting.append(TimerFired())
                 return
             host.wake_ms = float("inf")
-            self._tell(host, Tick())
+            self._tell(host, TimerFired())
 
-    def _post(self, host: Host, post: Post) -> None:
+    def _post(self, host: Host, post: SendDatagram) -> None:
         host.sent += 1
         host.octets += len(encoder.encode(post.envelope)) + HEADER
         to = self.at_address.get(post.address)
@@ -176,10 +184,10 @@
             low, high = link.delay_ms
             self.at(self.now + low + (high - low) * self.random.random(), self._arrive, host, to, post)
 
-    def _arrive(self, sender: Host, to: Host, post: Post) -> None:
+    def _arrive(self, sender: Host, to: Host, post: SendDatagram) -> None:
         if to.up:
-            self._tell(to, Received(post.envelope, sender.address))
+            self._tell(to, DatagramReceived(post.envelope, sender.address))
         elif post.probe and not to.vanished:
             back = self.links.get((to.name, sender.name), self.usual)
             if not back.cut and self.random.random() >= back.loss:
-                self.at(self.now + back.delay_ms[1], self._tell, sender, Refused(post.name))
+                self.at(self.now + back.delay_ms[1], self._tell, sender, ConnectionRefused(post.name))
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -47,7 +47,7 @@
 
 def member_update(*fields: Any) -> Any:
     """What a datagram says of a member: name, phase, incarnation, process, address, region."""
-    return membership_messages.News(*fields)
+    return membership_messages.MemberUpdate(*fields)
 
 
 def datagram(fleet: str, *fields: Any) -> bytes:
