--- a/packages/fleet/src/puffindeck_fleet/__init__.py
+++ b/packages/fleet/src/puffindeck_fleet/__init__.py
@@ -1,7 +1,7 @@
-"""The fleet as one: what joins a node to the others. docs/fleet-operations.md is the operators' page."""
+"""Joins a node to the other nodes of its fleet. docs/fleet-operations.md is the operators' page."""
 
 from puffindeck_fleet.errors import BindFailed, FleetError, FolderUnusable, StateUnreadable
 from puffindeck_fleet.gateway import Fleet
-from puffindeck_fleet.governor import Governor
+from puffindeck_fleet.request_filter import RequestFilter
 
-__all__ = ["BindFailed", "Fleet", "FleetError", "FolderUnusable", "Governor", "StateUnreadable"]
+__all__ = ["BindFailed", "Fleet", "FleetError", "FolderUnusable", "RequestFilter", "StateUnreadable"]
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -1,328 +1,172 @@
-"""A node's part in its fleet: datagrams in and out, timers, files, and what staff are shown."""
+"""A node's part in its fleet: its membership, its quotas and its rules of residency."""
 
 from __future__ import annotations
 
 import secrets
-from collections import Counter
 from collections.abc import Callable
-from pathlib import Path
-from typing import Any
-
-from twisted.logger import Logger
+from typing import Any, Protocol
 
 from puffindeck.core.clock import ms, span
 from puffindeck.core.timer_queue import Deadline, TimerQueue
-from puffindeck_errors import OperatorError, described
-from puffindeck_fleet.datagrams import Datagrams
-from puffindeck_fleet.errors import FleetError
-from puffindeck_fleet.governor import FLUSH, Governor
-from puffindeck_fleet.keeping import Keeper, Kept
-from puffindeck_fleet.wire import MOST, Dropped, Wire
-from puffindeck_membership import (
-    ConnectionRefused,
-    DatagramReceived,
-    Leave,
-    MemberChanged,
-    Membership,
-    NameTaken,
-    NameTakenOver,
-    PayloadReceived,
-    PeersChanged,
-    Phase,
-    ScheduleTimer,
-    SendDatagram,
-    TimerFired,
-)
-from puffindeck_messaging import MessageReceived, Report, SendMessage
-from puffindeck_quota import Quota, Release, Seen
+from puffindeck.interface import Event
+from puffindeck_errors import OperatorError
+from puffindeck_fleet.config import FleetConfig, MemberIdentity
+from puffindeck_fleet.datagram_codec import DropReason
+from puffindeck_fleet.membership_driver import MembershipDriver
+from puffindeck_fleet.quota_driver import QuotaDriver
+from puffindeck_fleet.request_filter import FLUSH, RequestFilter
+from puffindeck_fleet.residency_driver import ResidencyDriver
+from puffindeck_fleet.status import FleetStatus, QuotaStatus, ResidencyStatus, member_status
+from puffindeck_membership import Leave, PayloadReceived, PeersChanged
+from puffindeck_messaging import MessageReceived, SendMessage
+from puffindeck_quota import Limit, Seen
 from puffindeck_quota import Retuned as QuotaRetuned
 from puffindeck_quota import Tick as QuotaTick
-from puffindeck_residency import Books
+from puffindeck_residency import Book
 from puffindeck_residency import Seen as BookSeen
 
-log = Logger("puffindeck")
+TICK_INTERVAL = span(50)  # between two ticks of quotas and rules
+QUOTA_CHANNEL = "quota"
+RESIDENCY_CHANNEL = "residency"
+RANDOM_BITS = 20  # of a process incarnation, below its milliseconds
+
+
+def new_process_incarnation(now_ms: float) -> int:
+    """A number for this process, higher than that of any earlier one of its name as far as the clocks agree."""
+    return (int(now_ms) << RANDOM_BITS) | secrets.randbits(RANDOM_BITS)
 
-TURN = span(50)  # how often quotas move rights
-KEEP_AGAIN = span(1000)  # how soon a folder that failed is tried again: what is owed is kept
-STATES = {Phase.ALIVE: "alive", Phase.SUSPECT: "suspect", Phase.DEAD: "dead", Phase.LEFT: "left"}
 
+class EventSink(Protocol):
+    """The part of the node's engine that takes events for the decision module."""
 
-def new_life(now_ms: float) -> int:
-    """This process's own number, higher than any earlier one's of its name as far as clocks agree."""
-    return (int(now_ms) << 20) | secrets.randbits(20)
+    def tell(self, event: Event) -> None:
+        """Handle an event."""
 
 
 class Fleet:
-    """One member, on its node's reactor and deadlines.
+    """One member, on its node's reactor and timers.
 
-    `told` is the file's `[fleet]` (puffindeck.config.fleet.Told). `ended` is called with the error if this process
-    has to end, as another one has its name.
+    `on_name_taken` is called with the error if this process has to end because another one has its name.
     """
 
     def __init__(
         self,
         reactor: Any,
-        deadlines: TimerQueue,
+        timers: TimerQueue,
         name: str,
-        told: Any,
-        life: int,
+        config: FleetConfig,
+        process_incarnation: int,
         seed: int,
-        ended: Callable[[OperatorError], None],
+        on_name_taken: Callable[[OperatorError], None],
     ) -> None:
-        self.deadlines, self.told, self.name, self.life = deadlines, told, name, life
-        self._ended = ended
-        self._keeper = Keeper(Path(told.folder), name) if told.folder else None
-        incarnation = self._remembered() + 1
-        self._wire = Wire(told.name)
-        self.dropped: Counter[str] = Counter()
-        self._datagrams = Datagrams(reactor, told.bind, self._came, self._refused)
-        host, port = told.bind
-        self.member = Membership(
-            name,
-            told.advertise or f"{host}:{port}",
-            told.region,
-            process_incarnation=life,
-            peers=told.peers,
-            seed=seed,
-            incarnation=incarnation,
+        self._timers = timers
+        self._name = name
+        self._driver = MembershipDriver(
+            reactor,
+            timers,
+            config,
+            MemberIdentity(name, process_incarnation, seed),
+            self._on_payload,
+            on_name_taken,
         )
-        self.quota: Quota | None = None
-        self.books: Books | None = None
-        self._governor: Governor | None = None
-        self._engine: Any = None
-        self._wake: Deadline | None = None
-        self._turn: Deadline | None = None
-        self._incarnation = 0  # the newest that is kept
-        self._unkept = False  # the folder has failed since
-        self._keep_again: Deadline | None = None
-        self._left = False
-
-    def join(self, engine: Any, governor: Governor | None) -> None:
-        """The node's engine, and its governor where there are quotas."""
-        self._engine, self._governor = engine, governor
-        self.quota = governor.quota if governor is not None else None
-        self.books = governor.books if governor is not None else None
-
-    def start(self) -> None:
-        """Open the socket and look for the others. BindFailed if there is none."""
-        address = self._datagrams.open()
-        log.info(
-            "fleet {fleet}: {name} at {address}, incarnation {incarnation}",
-            fleet=self.told.name,
-            name=self.name,
-            address=address,
-            incarnation=self.member.incarnation,
-        )
-        self._do_member()
-        self._tick_quota()
-
-    # Files
-
-    def _remembered(self) -> int:
-        try:
-            kept = self._keeper.read() if self._keeper is not None else None
-        except FleetError as error:
-            log.error("fleet: {error}", error=described(error))
-            return 0
-        return kept.incarnation if kept is not None else 0
-
-    def _keep(self) -> None:
-        incarnation = self.member.incarnation
-        if self._keeper is None or self._keep_again is not None or incarnation == self._incarnation:
-            return
-        try:
-            self._keeper.write(Kept(self.name, incarnation))
-        except FleetError as error:
-            if not self._unkept:
-                log.error("fleet: {error}", error=described(error))
-            self._unkept = True
-            self._keep_again = self.deadlines.after(KEEP_AGAIN, self._keep_once_more)
-        else:
-            if self._unkept:
-                log.info("fleet: incarnation {incarnation} is kept again", incarnation=incarnation)
-            self._incarnation, self._unkept = incarnation, False
-
-    def _keep_once_more(self) -> None:
-        self._keep_again = None
-        self._keep()
-
-    # Datagrams and timers
-
-    def _now(self) -> float:
-        return ms(self.deadlines.clock.now())
-
-    def _came(self, data: bytes, source: str) -> None:
-        try:
-            envelope = self._wire.read(data)
-        except Dropped as dropped:
-            self.dropped[dropped.kind] += 1
-            return
-        self._do_member(DatagramReceived(envelope, source))
-
-    def _refused(self, name: str) -> None:
-        self._do_member(ConnectionRefused(name))
-
-    def _do_member(self, *events: Any) -> None:
-        """Hand events to the membership, and do what it says."""
-        if self._left:
+        self.membership = self._driver.membership
+        self._engine: EventSink | None = None
+        self._request_filter: RequestFilter | None = None
+        self._quota: QuotaDriver | None = None
+        self._residency: ResidencyDriver | None = None
+        self._tick_timer: Deadline | None = None
+
+    def join(self, engine: EventSink | None, request_filter: RequestFilter | None) -> None:
+        """Set the node's engine, and its request filter if there are quotas or rules."""
+        self._engine = engine
+        self._request_filter = request_filter
+        if request_filter is None:
             return
-        for action in self.member.handle(self._now(), events):
-            if isinstance(action, SendDatagram):
-                self._post(action)
-            elif isinstance(action, ScheduleTimer):
-                self._wake_at(action.at_ms)
-            elif isinstance(action, PayloadReceived):
-                self._arrived(action)
-            elif isinstance(action, MemberChanged):
-                self._changed(action)
-            elif isinstance(action, Report):
-                log.error("fleet: {error}", error=described(action.error))
-            elif isinstance(action, NameTakenOver):
-                self._ended(NameTaken(f"fleet {self.told.name}: {self.name}", address=action.address))
-        self._keep()
+        if request_filter.quota is not None:
+            self._quota = QuotaDriver(request_filter.quota, self._send_quota, request_filter.release, self._flush)
+        if request_filter.books is not None:
+            self._residency = ResidencyDriver(request_filter.books, self._send_residency)
 
-    def _post(self, post: SendDatagram) -> None:
-        try:
-            data = self._wire.write(post.envelope)
-        except ValueError as error:
-            self.dropped["too long"] += 1
-            log.warn("fleet: not sent to {name}: {error}, at most {most}", name=post.name, error=error, most=MOST)
-            return
-        if post.probe:
-            self._datagrams.probe(post.name, post.address, data)
-        else:
-            self._datagrams.send(post.address, data)
+    def start(self) -> None:
+        """Open the sockets and look for the other members. Raises BindFailed."""
+        self._driver.start()
+        self._tick()
+
+    def reload(self, config: FleetConfig, limits: tuple[Limit, ...], book: Book | None) -> None:
+        """Apply the peers, limits and rules of a file that was read again."""
+        self._driver.handle(PeersChanged(config.peers))
+        if self._residency is not None and book is not None:
+            self._residency.books.reread(book)
+        if self._quota is not None:
+            self._quota.handle(self._now_ms(), QuotaRetuned(limits))
 
-    def _wake_at(self, at_ms: float) -> None:
-        self.deadlines.cancel(self._wake)
-        self._wake = self.deadlines.after(span(max(0.0, at_ms - self._now())), self._do_member, TimerFired())
+    def leave(self) -> None:
+        """Notify the other members that this one is shutting down."""
+        self._driver.handle(Leave())
 
-    def _changed(self, action: MemberChanged) -> None:
-        news = action.update
-        log.info(
-            "fleet: {name} is {state}, incarnation {incarnation}",
-            name=news.name,
-            state=STATES[Phase(news.phase)],
-            incarnation=news.incarnation,
-        )
+    def stop(self) -> None:
+        """Close the sockets. Nothing is sent or received any more."""
+        self._timers.cancel(self._tick_timer)
+        self._driver.stop()
 
-    # Quotas
+    # Quotas and rules
 
-    def _arrived(self, parcel: PayloadReceived) -> None:
-        if parcel.channel == "quota" and self.quota is not None:
-            self._do_quota(MessageReceived(parcel.sender, parcel.data))
-        elif parcel.channel == "residency" and self.books is not None:
-            self._do_books(MessageReceived(parcel.sender, parcel.data))
-        else:
-            self.dropped["channel"] += 1
+    def _now_ms(self) -> float:
+        return ms(self._timers.clock.now())
 
-    def _tick_quota(self) -> None:
-        if self._governor is None:
+    def _tick(self) -> None:
+        if self._request_filter is None:
             return
-        self._turn = self.deadlines.after(TURN, self._tick_quota)
-        if self.books is not None:
-            self._do_books(BookSeen(frozenset(self.member.table.living)))
-            self._engine.tell(FLUSH)
-        if self.quota is not None:
-            living = {m.name: m.update.region for m in self.member.table.living.values()}
-            self._do_quota(Seen(living, self.member.clock_offset_ms(), self.member.excluded_by_peers), QuotaTick())
-
-    def _do_books(self, event: MessageReceived | BookSeen) -> None:
-        assert self.books is not None
-        for action in self.books.handle(self._now(), [event]):
-            if isinstance(action, SendMessage):
-                self.send(action.to, "residency", action.data)
-            elif isinstance(action, Report):
-                log.error("residency: {error}", error=described(action.error))
-
-    def _do_quota(self, *events: Any) -> None:
-        assert self.quota is not None
-        moved = False
-        posted = []
-        for action in self.quota.handle(self._now(), events):
-            if isinstance(action, SendMessage):
-                posted.append(action)
-            elif isinstance(action, Release) and self._governor is not None:
-                self._governor.release(action.charge)
-                moved = True
-            elif isinstance(action, Report):
-                log.error("quota: {error}", error=described(action.error))
-        for parcel in posted:
-            self.send(parcel.to, "quota", parcel.data)
-        if moved and self._engine is not None:
+        self._tick_timer = self._timers.after(TICK_INTERVAL, self._tick)
+        living = self.membership.table.living
+        if self._residency is not None:
+            self._residency.handle(self._now_ms(), BookSeen(frozenset(living)))
+            self._flush()
+        if self._quota is not None:
+            regions = {member.name: member.update.region for member in living.values()}
+            offset_ms = self.membership.clock_offset_ms()
+            seen = Seen(regions, offset_ms, self.membership.excluded_by_peers)
+            self._quota.handle(self._now_ms(), seen, QuotaTick())
+
+    def _flush(self) -> None:
+        """Have the request filter hand out the actions that have come up between two events."""
+        if self._engine is not None:
             self._engine.tell(FLUSH)
 
-    def send(self, name: str, channel: str, data: bytes) -> None:
-        """A parcel to another member."""
-        if self._left:
-            return
-        for post in self.member.send_payload(name, channel, data):
-            self._post(post)
-
-    def reload(self, told: Any, limits: tuple[Any, ...], book: Any) -> None:
-        """Peers, limits and rules of a file that was read anew."""
-        self._do_member(PeersChanged(told.peers))
-        if self.books is not None and book is not None:
-            self.books.reread(book)
-        if self.quota is not None:
-            self._do_quota(QuotaRetuned(limits))
-
-    # The end
+    def _on_payload(self, payload: PayloadReceived) -> None:
+        message = MessageReceived(payload.sender, payload.data)
+        if payload.channel == QUOTA_CHANNEL and self._quota is not None:
+            self._quota.handle(self._now_ms(), message)
+        elif payload.channel == RESIDENCY_CHANNEL and self._residency is not None:
+            self._residency.handle(self._now_ms(), message)
+        else:
+            self._driver.count_dropped(DropReason.UNKNOWN_CHANNEL)
 
-    def leave(self) -> None:
-        """Tell the others at once."""
-        self._do_member(Leave())
+    def _send_quota(self, message: SendMessage) -> None:
+        self._driver.send(message.to, QUOTA_CHANNEL, message.data)
 
-    def stop(self) -> None:
-        """Nothing more is sent or heard."""
-        self._left = True
-        self.deadlines.cancel(self._wake)
-        self.deadlines.cancel(self._turn)
-        self.deadlines.cancel(self._keep_again)
-        self._datagrams.close()
+    def _send_residency(self, message: SendMessage) -> None:
+        self._driver.send(message.to, RESIDENCY_CHANNEL, message.data)
 
-    # For staff
+    # Operators' calls
 
-    def view(self) -> dict[str, Any]:
+    def status(self) -> FleetStatus:
         """`GET /_fleet`."""
-        members = [
-            {
-                "name": news.name,
-                "state": STATES[Phase(news.phase)],
-                "incarnation": news.incarnation,
-                "region": news.region,
-            }
-            for news in self.member.members()
-        ]
-        return {
-            "instance": self.name,
-            "incarnation": self.member.incarnation,
-            "members": members,
-            "counts_as_dead": self.member.excluded_by_peers,
-            "dropped": dict(self.dropped + self.member.dropped),
-        }
+        return FleetStatus(
+            instance=self._name,
+            incarnation=self.membership.incarnation,
+            members=[member_status(update) for update in self.membership.members()],
+            counts_as_dead=self.membership.excluded_by_peers,
+            dropped=self._driver.dropped(),
+        )
 
-    def quotas(self) -> dict[str, Any]:
+    def quota_status(self) -> QuotaStatus:
         """`GET /_quotas`."""
-        return {"limits": self.quota.view(self._now()) if self.quota is not None else []}
+        return self._quota.status(self._now_ms()) if self._quota is not None else QuotaStatus([])
 
-    def residency(self) -> dict[str, Any]:
+    def residency_status(self) -> ResidencyStatus:
         """`GET /_residency`."""
-        if self.books is None or self._governor is None:
-            return {"version": 0, "services": []}
-        names: dict[str, list[str]] = {}
-        for book in self.books.in_force():
-            for service in book.services:
-                before = names.get(service.name, list(service.allowed))
-                names[service.name] = [region for region in before if region in service.allowed]
-        outside = self._governor.standing_outside()
-        rows = [
-            {"name": name, "allowed": allowed, "standing_outside": outside.get(name, 0)}
-            for name, allowed in sorted(names.items())
-        ]
-        return {
-            "version": self.books.newest.version,
-            "stale": not self.books.fresh(self._now()),
-            "serves": self.books.serves(self._now()),
-            "services": rows,
-        }
+        if self._residency is None or self._request_filter is None:
+            return ResidencyStatus(version=0)
+        violations = self._request_filter.standing_outside()
+        return self._residency.status(self._now_ms(), violations)
--- /dev/null
+++ b/packages/fleet/src/puffindeck_fleet/incarnation_store.py
@@ -0,0 +1,65 @@
+"""Stores the incarnation that a member has reached, so that its next process begins beyond it."""
+
+from __future__ import annotations
+
+from pathlib import Path
+
+from twisted.logger import Logger
+
+from puffindeck.core.clock import span
+from puffindeck.core.timer_queue import Deadline, TimerQueue
+from puffindeck_errors import described
+from puffindeck_fleet.errors import FleetError
+from puffindeck_fleet.state_file import MemberState, StateFile
+
+log = Logger("puffindeck")
+
+RETRY_INTERVAL = span(1000)  # between two attempts to write to a folder that fails
+
+
+class IncarnationStore:
+    """The newest incarnation of a member, on disk. Without a folder nothing is stored."""
+
+    def __init__(self, folder: str, name: str, timers: TimerQueue) -> None:
+        self._name = name
+        self._timers = timers
+        self._file = StateFile(Path(folder), name) if folder else None
+        self._latest = 0
+        self._stored = 0  # the incarnation in the file
+        self._has_failed = False  # whether the latest write failed
+        self._retry: Deadline | None = None
+
+    def load(self) -> int:
+        """The incarnation that an earlier process has reached; 0 if that is not known."""
+        try:
+            state = self._file.read() if self._file is not None else None
+        except FleetError as error:
+            log.error("fleet: {error}", error=described(error))
+            return 0
+        return state.incarnation if state is not None else 0
+
+    def save(self, incarnation: int) -> None:
+        """Store an incarnation if it is new. A write that fails is repeated until it succeeds."""
+        self._latest = incarnation
+        if self._file is None or self._retry is not None or incarnation == self._stored:
+            return
+        try:
+            self._file.write(MemberState(self._name, incarnation))
+        except FleetError as error:
+            if not self._has_failed:
+                log.error("fleet: {error}", error=described(error))
+            self._has_failed = True
+            self._retry = self._timers.after(RETRY_INTERVAL, self._try_again)
+        else:
+            if self._has_failed:
+                log.info("fleet: incarnation {incarnation} is kept again", incarnation=incarnation)
+            self._stored = incarnation
+            self._has_failed = False
+
+    def _try_again(self) -> None:
+        self._retry = None
+        self.save(self._latest)
+
+    def stop(self) -> None:
+        """Attempt no further writes."""
+        self._timers.cancel(self._retry)
--- /dev/null
+++ b/packages/fleet/src/puffindeck_fleet/quota_admission.py
@@ -0,0 +1,46 @@
+"""Charges requests to the quotas of their tenants."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from puffindeck_fleet.filtered_request import FilteredRequest
+from puffindeck_quota import Charge, Quota, Refusal
+
+
+class QuotaAdmission:
+    """The charges of requests. Without a quota every request is admitted and nothing is charged."""
+
+    def __init__(self, quota: Quota | None, tenant_of: Callable[[Any], str]) -> None:
+        self.quota = quota
+        self._tenant_of = tenant_of
+        self._request_by_charge: dict[Charge, int] = {}
+
+    def admit(self, request: int, view: Any, now_ms: float, deadline_ms: float) -> Charge | Refusal | None:
+        """Charge a request that has to be answered by its deadline; a Refusal if the quota is used up."""
+        if self.quota is None:
+            return None
+        charge = self.quota.admit(self._tenant_of(view), now_ms, deadline_ms)
+        if not isinstance(charge, Refusal):
+            self._request_by_charge[charge] = request
+        return charge
+
+    def request_of(self, charge: Charge) -> int | None:
+        """The request of a charge; None if it has ended."""
+        return self._request_by_charge.get(charge)
+
+    def on_established(self, request: FilteredRequest, now_ms: float) -> None:
+        """A request has been established at an endpoint."""
+        if request.charge is not None and self.quota is not None:
+            self.quota.began(request.charge, now_ms)
+
+    def on_closed(self, request: FilteredRequest, now_ms: float) -> None:
+        """A request has ended. Its charge is returned if no endpoint can have served it."""
+        if request.charge is None or self.quota is None:
+            return
+        self._request_by_charge.pop(request.charge, None)
+        if request.is_established or request.may_have_been_served:
+            self.quota.ended(request.charge, now_ms)
+        else:
+            self.quota.give_back(request.charge)
--- /dev/null
+++ b/packages/fleet/src/puffindeck_fleet/quota_driver.py
@@ -0,0 +1,58 @@
+"""Drives a `Quota`: hands it events and carries out its actions."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from twisted.logger import Logger
+
+from puffindeck_errors import described
+from puffindeck_fleet.status import QuotaStatus
+from puffindeck_messaging import MessageReceived, Report, SendMessage
+from puffindeck_quota import Charge, Quota, Release, Seen
+from puffindeck_quota import Retuned as QuotaRetuned
+from puffindeck_quota import Tick as QuotaTick
+
+log = Logger("puffindeck")
+
+
+class QuotaDriver:
+    """The quotas of one member.
+
+    `send` sends a message to the quotas of another member, `release` gives up a connection's charge, and `flush` has
+    the connections moved whose charges were given up.
+    """
+
+    def __init__(
+        self,
+        quota: Quota,
+        send: Callable[[SendMessage], None],
+        release: Callable[[Charge], None],
+        flush: Callable[[], None],
+    ) -> None:
+        self._quota = quota
+        self._send = send
+        self._release = release
+        self._flush = flush
+
+    def handle(self, now_ms: float, *events: MessageReceived | Seen | QuotaTick | QuotaRetuned) -> None:
+        """Hand events to the quotas. Messages are sent after all other actions."""
+        must_flush = False
+        messages = []
+        for action in self._quota.handle(now_ms, events):
+            match action:
+                case SendMessage():
+                    messages.append(action)
+                case Release():
+                    self._release(action.charge)
+                    must_flush = True
+                case Report():
+                    log.error("quota: {error}", error=described(action.error))
+        for message in messages:
+            self._send(message)
+        if must_flush:
+            self._flush()
+
+    def status(self, now_ms: float) -> QuotaStatus:
+        """`GET /_quotas`."""
+        return QuotaStatus(self._quota.view(now_ms))
--- /dev/null
+++ b/packages/fleet/src/puffindeck_fleet/region_enforcement.py
@@ -0,0 +1,91 @@
+"""Enforces the rules of residency: which regions a request may go to, and which connections have to migrate."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from typing import Any, Protocol
+
+from puffindeck_fleet.filtered_request import FilteredRequest
+from puffindeck_residency import Books
+from puffindeck_residency.rules import Verdict, judged
+
+CHECK_INTERVAL_MS = 250.0  # between two checks for connections in regions that are not allowed
+MIGRATION_TIME_FRACTION = 0.8  # of the time within which they have to migrate: the last one does so by then
+
+
+class RegionalDecisions(Protocol):
+    """The part of a regional decision module that is used here. `puffindeck_residency.Regional` has it."""
+
+    @property
+    def orders(self) -> dict[int, tuple[str, ...]]:
+        """The allowed regions of requests that a rule applies to, in the order of preference."""
+
+    def outside(self) -> list[int]:
+        """The requests whose connection is in a region that is not allowed."""
+
+
+class RegionEnforcement:
+    """The rules of residency between a node's engine and its regional decision module."""
+
+    def __init__(self, module: RegionalDecisions, books: Books, region: str, migrate_within_ms: float) -> None:
+        self._module = module
+        self._books = books
+        self._region = region
+        self._migrate_within_ms = migrate_within_ms
+        self._generation = -1  # of the rules that are applied
+        self._checked_ms = float("-inf")
+        self._violated_since_ms: float | None = None  # None while no connection violates a rule
+
+    def admit(self, request: int, view: Any, now_ms: float) -> bool:
+        """Set the regions that a request may go to. False if no service here may take it now."""
+        verdict = judged(self._books.in_force(), view, self._region)
+        if verdict is None:
+            return True
+        if not verdict.carried or not verdict.allowed or not self._books.serves(now_ms):
+            return False
+        self._set_regions(request, verdict)
+        return True
+
+    def withdraw(self, request: int) -> None:
+        """Remove the regions of a request that is not admitted."""
+        self._set_regions(request, None)
+
+    def apply_new_rules(self, requests: Mapping[int, FilteredRequest]) -> None:
+        """If the rules have changed, apply them to existing requests too, except to those that may stay."""
+        if self._generation == self._books.generation:
+            return
+        self._generation = self._books.generation
+        for number, request in requests.items():
+            verdict = judged(self._books.in_force(), request.view, self._region)
+            if verdict is None or not (request.is_established and verdict.keeps):
+                self._set_regions(number, verdict)
+
+    def due_migrations(self, now_ms: float) -> list[int]:
+        """The requests that have to migrate now: at an even rate, all within the time that the rules set."""
+        if now_ms - self._checked_ms < CHECK_INTERVAL_MS:
+            return []
+        self._checked_ms = now_ms
+        violating = self._module.outside()
+        if not violating:
+            self._violated_since_ms = None
+            return []
+        if self._violated_since_ms is None:
+            self._violated_since_ms = now_ms
+        end_ms = self._violated_since_ms + MIGRATION_TIME_FRACTION * self._migrate_within_ms
+        remaining_checks = max(1.0, (end_ms - now_ms) / CHECK_INTERVAL_MS)
+        return violating[: max(1, round(len(violating) / remaining_checks + 0.5))]
+
+    def violations_by_service(self, requests: Mapping[int, FilteredRequest]) -> dict[str, int]:
+        """The number of connections in regions that are not allowed, by service."""
+        counts: dict[str, int] = {}
+        for number in self._module.outside():
+            verdict = judged(self._books.in_force(), requests[number].view, self._region)
+            for name in verdict.names if verdict is not None else ():
+                counts[name] = counts.get(name, 0) + 1
+        return counts
+
+    def _set_regions(self, request: int, verdict: Verdict | None) -> None:
+        if verdict is None:
+            self._module.orders.pop(request, None)
+        else:
+            self._module.orders[request] = verdict.allowed
--- /dev/null
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -0,0 +1,190 @@
+"""A filter between a node's engine and its decision module: it admits requests by quotas and rules of residency.
+
+It has the module's own interface, so that every front obeys it. It makes no decisions itself: `puffindeck-quota`
+decides whether a request is admitted, `puffindeck-residency` where it may go, and the module where it goes.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import Any, cast
+
+from puffindeck.core.engine import Decisions
+from puffindeck.interface import (
+    NOT_PROCESSED,
+    Action,
+    AttemptEnded,
+    AttemptEstablished,
+    ClientDisconnected,
+    ConnectionRestored,
+    Event,
+    Fail,
+    Migrate,
+    Outcome,
+    Reject,
+    RequestAborted,
+    RequestArrived,
+    Settings,
+    SettingsChanged,
+    TimerFired,
+)
+from puffindeck_fleet.filtered_request import FilteredRequest
+from puffindeck_fleet.quota_admission import QuotaAdmission
+from puffindeck_fleet.region_enforcement import RegionalDecisions, RegionEnforcement
+from puffindeck_quota import Charge, Quota, Refusal
+from puffindeck_residency import Books
+
+DEFAULT_TENANT = "default"  # of requests that match no configured tenant
+FLUSH = TimerFired(-1)  # hand out the actions that have come up between two events
+UNSERVED_OUTCOMES = NOT_PROCESSED | {Outcome.ERROR}  # of attempts that no endpoint counts as served
+NOT_SERVED_HERE_RETRY_MS = 1000.0  # after which a client may retry whose service may not be served here now
+
+
+class RequestFilter:
+    """The decision module behind quotas and rules of residency.
+
+    `view` gives what a front knows of a request, and `tenant` the tenant by that. With `books` the module has to be
+    a `puffindeck_residency.Regional`.
+    """
+
+    def __init__(
+        self,
+        inner: Decisions,
+        settings: Settings,
+        quota: Quota | None,
+        tenant: Callable[[Any], str] = lambda view: DEFAULT_TENANT,
+        *,
+        view: Callable[[RequestArrived], Any] = lambda event: event,
+        books: Books | None = None,
+        region: str = "",
+        moved_within_ms: float = 30000.0,
+    ) -> None:
+        self.quota = quota
+        self.books = books
+        self._inner = inner
+        self._settings = settings
+        self._view_of = view
+        self._admission = QuotaAdmission(quota, tenant)
+        self._regions: RegionEnforcement | None = None
+        if books is not None:
+            module = cast(RegionalDecisions, inner)
+            self._regions = RegionEnforcement(module, books, region, moved_within_ms)
+        self._requests: dict[int, FilteredRequest] = {}
+        self._released: list[int] = []  # requests that migrate with the next actions
+
+    def ceilings(self) -> dict[int, float]:
+        """The load limits of the decision module."""
+        return self._inner.ceilings()
+
+    def release(self, charge: Charge) -> None:
+        """A connection has lost its permit: it migrates with the next actions (`FLUSH`)."""
+        request = self._admission.request_of(charge)
+        if request is not None:
+            self._released.append(request)
+
+    def standing_outside(self) -> dict[str, int]:
+        """The number of connections in regions that are not allowed, by service."""
+        return self._regions.violations_by_service(self._requests) if self._regions is not None else {}
+
+    def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
+        """Handle events as the decision module does, and return its actions and those of the filter."""
+        if self._regions is not None:
+            self._regions.apply_new_rules(self._requests)
+        passed: list[Event] = []
+        rejections: list[Action] = []
+        for event in events:
+            if event is FLUSH:
+                continue
+            rejection = self._filter(now_ms, event)
+            if rejection is None:
+                passed.append(event)
+            else:
+                rejections.append(rejection)
+        actions = self._inner.handle(now_ms, passed)
+        for action in actions:
+            if isinstance(action, (Reject, Fail)):
+                self._on_final_answer(now_ms, action.request)
+        return rejections + actions + self._migrations(now_ms)
+
+    def _migrations(self, now_ms: float) -> list[Action]:
+        if self._regions is not None:
+            self._released += self._regions.due_migrations(now_ms)
+        released = self._released
+        self._released = []
+        return [Migrate(request) for request in released if request in self._requests]
+
+    # Admission
+
+    def _filter(self, now_ms: float, event: Event) -> Reject | None:
+        """Follow an event. A Reject if the decision module must not see it."""
+        match event:
+            case RequestArrived():
+                return self._admit(now_ms, event)
+            case ConnectionRestored():
+                pass  # it was charged before this process started
+            case SettingsChanged():
+                self._settings = event.settings
+            case AttemptEstablished():
+                self._on_established(now_ms, event)
+            case AttemptEnded():
+                self._on_attempt_ended(now_ms, event)
+            case ClientDisconnected():
+                self._on_client_disconnected(now_ms, event)
+            case RequestAborted():
+                self._on_aborted(event)
+        return None
+
+    def _admit(self, now_ms: float, event: RequestArrived) -> Reject | None:
+        if event.request in self._requests:
+            return None
+        view = self._view_of(event)
+        if self._regions is not None and not self._regions.admit(event.request, view, now_ms):
+            return self._reject(event, NOT_SERVED_HERE_RETRY_MS)
+        charge = self._admission.admit(event.request, view, now_ms, now_ms + event.remaining_ms)
+        if isinstance(charge, Refusal):
+            if self._regions is not None:
+                self._regions.withdraw(event.request)
+            return self._reject(event, charge.wait_ms)
+        self._requests[event.request] = FilteredRequest(charge, view)
+        return None
+
+    def _reject(self, event: RequestArrived, retry_after_ms: float) -> Reject:
+        return Reject(event.request, min(self._settings.max_retry_after_ms, retry_after_ms))
+
+    # Progress of requests
+
+    def _on_established(self, now_ms: float, event: AttemptEstablished) -> None:
+        request = self._requests.get(event.request)
+        if request is not None and not request.is_established:
+            request.is_established = True
+            self._admission.on_established(request, now_ms)
+
+    def _on_attempt_ended(self, now_ms: float, event: AttemptEnded) -> None:
+        request = self._requests.get(event.request)
+        if request is None:
+            return
+        if not request.is_established and event.outcome not in UNSERVED_OUTCOMES:
+            request.may_have_been_served = True
+        if request.is_established or event.final:
+            self._close(now_ms, event.request, request)
+
+    def _on_client_disconnected(self, now_ms: float, event: ClientDisconnected) -> None:
+        request = self._requests.get(event.request)
+        if request is not None and not request.is_established:
+            request.may_have_been_served = True  # an attempt may still be established
+            self._close(now_ms, event.request, request)
+
+    def _on_aborted(self, event: RequestAborted) -> None:
+        """The request ends with its final answer."""
+        request = self._requests.get(event.request)
+        if request is not None:
+            request.may_have_been_served = True  # an attempt may still be established
+
+    def _on_final_answer(self, now_ms: float, number: int) -> None:
+        request = self._requests.get(number)
+        if request is not None and not request.is_established:
+            self._close(now_ms, number, request)
+
+    def _close(self, now_ms: float, number: int, request: FilteredRequest) -> None:
+        del self._requests[number]
+        self._admission.on_closed(request, now_ms)
--- a/packages/fleet/tests/test_parts.py
+++ b/packages/fleet/tests/test_fleet_tables.py
@@ -1,4 +1,4 @@
-"""Frames, the kept file, and the fleet's tables of a node's file: what is damaged is told by kind or by key."""
+"""The fleet's tables of an operator's file: defaults, and errors that name the wrong key."""
 
 from __future__ import annotations
 
@@ -7,81 +7,9 @@
 from typing import Any
 
 import pytest
-from hypothesis import given, settings
-from hypothesis import strategies as st
 
 from puffindeck import config
 from puffindeck.config.fleet import duration_ms, installation
-from puffindeck_fleet.errors import FolderUnusable, StateUnreadable
-from puffindeck_fleet.keeping import Keeper, Kept
-from puffindeck_fleet.wire import FRAME, MOST, VERSION, Dropped, Wire
-from puffindeck_membership import Envelope, MemberUpdate, Payload
-from puffindeck_membership.messages import Ping
-
-ENVELOPE = Envelope("e1", 7, 1, 5, "e2", 1000, Ping(3), [MemberUpdate("e1", 0, 1, 7, "127.0.0.1:7001", "north")])
-
-
-def kind(data: bytes, wire: Wire) -> str:
-    try:
-        wire.read(data)
-    except Dropped as dropped:
-        return dropped.kind
-    return ""
-
-
-def test_a_datagram_comes_back_as_it_was_and_others_fleets_and_versions_are_told_apart() -> None:
-    wire = Wire("sfpx")
-    data = wire.write(ENVELOPE)
-    assert wire.read(data) == ENVELOPE
-    assert kind(data, Wire("other")) == "foreign"
-    assert kind(data[:2] + bytes([VERSION + 1]) + data[3:], wire) == "newer"
-    assert kind(data[: FRAME.size - 1], wire) == "short"
-    assert kind(b"x" * 60, wire) == "garbage"
-    assert kind(data[:-1], wire) == "damaged"
-    with pytest.raises(ValueError, match="octets"):
-        wire.write(Envelope("e1", 7, 1, 5, "e2", 1000, Payload("quota", b"x" * MOST)))
-
-
-def test_fields_of_a_later_version_are_passed_over() -> None:
-    import msgspec
-    from xxhash import xxh64_intdigest
-
-    wire = Wire("sfpx")
-    fields = msgspec.msgpack.decode(msgspec.msgpack.encode(ENVELOPE))
-    payload = msgspec.msgpack.encode([*fields, "a field of later", {"more": 1}])
-    frame = wire.write(ENVELOPE)[: FRAME.size]
-    magic, version, fleet, _ = FRAME.unpack(frame)
-    assert wire.read(FRAME.pack(magic, version, fleet, xxh64_intdigest(payload, fleet)) + payload) == ENVELOPE
-
-
-@settings(derandomize=True, max_examples=300)
-@given(st.binary(max_size=80), st.integers(0, 200), st.integers(0, 7))
-def test_no_octets_raise_anything_else(noise: bytes, at: int, bit: int) -> None:
-    wire = Wire("sfpx")
-    assert kind(noise, wire)
-    data = bytearray(wire.write(ENVELOPE))
-    data[at % len(data)] ^= 1 << bit
-    assert kind(bytes(data), wire) in ("garbage", "newer", "foreign", "damaged", "")  # an older version is read
-
-
-def test_what_is_kept_is_whole_or_set_aside(tmp_path: Path) -> None:
-    keeper = Keeper(tmp_path / "state", "e1")
-    assert keeper.read() is None
-    keeper.write(Kept("e1", 4))
-    assert keeper.read() == Kept("e1", 4)
-    whole = keeper.path.read_bytes()
-    for damaged in (b"", whole[:-1], whole.replace(b"4", b"5"), b"9" + whole[1:], b"\xff\n{}", whole + b"\0"):
-        keeper.path.write_bytes(damaged)
-        with pytest.raises(StateUnreadable) as raised:
-            keeper.read()
-        assert "set aside" in str(raised.value)
-        assert not keeper.path.exists()
-        assert keeper.read() is None
-    keeper.write(Kept("e1", 6))
-    (tmp_path / "file").write_text("")
-    with pytest.raises(FolderUnusable):
-        Keeper(tmp_path / "file" / "below", "e1").write(Kept("e1", 1))
-
 
 FLEET: dict[str, Any] = {"name": "sfpx", "bind": "127.0.0.1:7001", "peers": {"e2": "127.0.0.1:7002"}}
 QUOTA: dict[str, Any] = {
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -25,12 +25,12 @@
         if installed is None:
             decisions: Decisions = balancer
             return decisions
-        from puffindeck_fleet import Fleet, Governor
-        from puffindeck_fleet.gateway import new_life
+        from puffindeck_fleet import Fleet, RequestFilter
+        from puffindeck_fleet.gateway import new_process_incarnation
         from puffindeck_quota import Quota
         from puffindeck_quota import Settings as QuotaSettings
 
-        life = new_life(ms(self.deadlines.clock.now()))
+        life = new_process_incarnation(ms(self.deadlines.clock.now()))
         self.fleet = Fleet(
             self.reactor, self.deadlines, self.told.name, installed.fleet, life, self.told.seed, self._usurped
         )
@@ -58,7 +58,7 @@
             )
             balancer = RegionalBalancer(settings, self.told.seed)
             balancer.region_of = self._region_of(books)
-        governor = Governor(
+        governor = RequestFilter(
             balancer,
             settings,
             quota,
@@ -124,12 +124,12 @@
 
     def fleet_view(self) -> str:
         """`GET /_fleet`; empty for a node that is alone."""
-        return msgspec.json.encode(self.fleet.view()).decode() if self.fleet is not None else ""
+        return msgspec.json.encode(self.fleet.status()).decode() if self.fleet is not None else ""
 
     def quotas_view(self) -> str:
         """`GET /_quotas`."""
-        return msgspec.json.encode(self.fleet.quotas()).decode() if self.fleet is not None else ""
+        return msgspec.json.encode(self.fleet.quota_status()).decode() if self.fleet is not None else ""
 
     def residency_view(self) -> str:
         """`GET /_residency`."""
-        return msgspec.json.encode(self.fleet.residency()).decode() if self.fleet is not None else ""
+        return msgspec.json.encode(self.fleet.residency_status()).decode() if self.fleet is not None else ""
--- a/puffindeck/net/parts.py
+++ b/puffindeck/net/parts.py
@@ -51,7 +51,7 @@
         self.named = set(self.classes)  # less those that were dropped just now
         self.connect_patience = span(settings.connect_timeout_ms)
         self.fleet: Any = None  # puffindeck_fleet.Fleet, for a member of one
-        self.governor: Any = None  # puffindeck_fleet.Governor, where there are quotas or rules
+        self.governor: Any = None  # puffindeck_fleet.RequestFilter, where there are quotas or rules
         self.failed: str = ""  # why this process has to end with an error
         balancer = self._governed(balancer_of(told, self.directory))
         self.request_log = RequestLog(log, self.deadlines, self.directory.name)
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -20,10 +20,10 @@
 from puffindeck.interface import Settings
 from puffindeck.net.records import Records
 from puffindeck.net.upgrade import Generation
+from puffindeck_fleet.datagram_codec import DatagramCodec
 from puffindeck_fleet.gateway import Fleet
-from puffindeck_fleet.governor import Governor
-from puffindeck_fleet.keeping import Keeper, Kept
-from puffindeck_fleet.wire import Wire
+from puffindeck_fleet.request_filter import RequestFilter
+from puffindeck_fleet.state_file import MemberState, StateFile
 from puffindeck_quota import Quota
 from puffindeck_residency import Books
 
@@ -52,12 +52,12 @@
 
 def datagram(fleet: str, *fields: Any) -> bytes:
     """A datagram: sender, process, incarnation, number, receiver, milliseconds, body, member updates."""
-    return Wire(fleet).write(membership_messages.Envelope(*fields))
+    return DatagramCodec(fleet).encode(membership_messages.Envelope(*fields))
 
 
 def read_datagram(fleet: str, data: bytes) -> tuple[Any, ...]:
     """The fields of a datagram."""
-    envelope = Wire(fleet).read(data)
+    envelope = DatagramCodec(fleet).decode(data)
     return tuple(getattr(envelope, field) for field in envelope.__struct_fields__)
 
 
@@ -91,13 +91,13 @@
 
 def write_member_state(folder: Path, name: str, incarnation: int) -> None:
     """Store a member's incarnation."""
-    Keeper(folder, name).write(Kept(name, incarnation))
+    StateFile(folder, name).write(MemberState(name, incarnation))
 
 
 def read_member_state(folder: Path, name: str) -> tuple[str, int] | None:
     """The name and incarnation that are stored."""
-    kept = Keeper(folder, name).read()
-    return (kept.name, kept.incarnation) if kept is not None else None
+    state = StateFile(folder, name).read()
+    return (state.name, state.incarnation) if state is not None else None
 
 
 def mark_detached(folder: Path, host: str, detached: bool) -> None:
@@ -183,11 +183,15 @@
     books = Books(name, installed.residency.book, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
     inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
     settings = Settings((), 1, 0, 1, 0.0, 0.0, 1.0, 0.0, 1.0, 0.0)
-    governor = Governor(inner, settings, limits, books=books)
-    gateway.join(None, governor)
+    request_filter = RequestFilter(inner, settings, limits, books=books)
+    gateway.join(None, request_filter)
     for fields in peers:
-        gateway.member.table.put(member_update(*fields), 0.0)
-    documents = {"/_fleet": gateway.view(), "/_quotas": gateway.quotas(), "/_residency": gateway.residency()}
+        gateway.membership.table.put(member_update(*fields), 0.0)
+    documents = {
+        "/_fleet": gateway.status(),
+        "/_quotas": gateway.quota_status(),
+        "/_residency": gateway.residency_status(),
+    }
     return {path: msgspec.json.encode(document) for path, document in documents.items()}
 
 
