--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -1,4 +1,4 @@
-"""A minute of five real processes with faults of all kinds, beside the same minute without any.
+"""A minute of five real processes with faults of all kinds, compared with a minute without any.
 
 `python -m benchmarks.fleet_day`: hosts in three regions, four tenants, relays between all gateways. What is
 counted is what hosts and clients saw.
@@ -16,24 +16,32 @@
 
 from benchmarks.table import table
 from puffindeck_testing.checker import opened, outside, without_one_answer
-from puffindeck_testing.world import World
+from puffindeck_testing.world import Told, World
 
 REGIONS = {"e1": "north", "e2": "north", "e3": "south", "e4": "south", "e5": "east"}
 ZONES = {"atlanta": 2, "memphis": 2, "birmingham": 2}
 TENANTS = {"acme": "a1", "birch": "b2", "cedar": "c3"}
-RULED = {"c3": {"atlanta"}}
-LIMITS, WINDOW = {"acme": 80, "birch": 40}, 4
-RATES = {"a1": 9.0, "b2": 3.0, "c3": 3.0, "0": 4.0}  # at each gateway, a second
+ALLOWED_ZONES = {"c3": {"atlanta"}}  # by group
+LIMITS = {"acme": 80, "birch": 40}  # connections in a window, by tenant
+WINDOW_S = 4
+RATES = {"a1": 9.0, "b2": 3.0, "c3": 3.0, "0": 4.0}  # clients a second at each gateway, by group
+DAY_S = 60.0
+STEP_S = 0.02  # between two decisions whether clients arrive
+CONNECTION_S = 0.2  # how long a client stays connected
+FIRST_ALLOCATION_S = 8.0  # until quotas have been allocated
+LAST_ANSWERS_S = 3.0  # until all clients have their answer
 
 
 def tables() -> dict[str, Any]:
+    """The tables `[quota]` and `[residency]` of all gateways."""
+
     def group(name: str) -> list[list[dict[str, Any]]]:
         return [[{"on": "group", "is": [TENANTS[name]]}]]
 
     return {
         "quota": {
             "tenants": [{"name": name, "when": group(name)} for name in TENANTS],
-            "limits": [{"tenant": name, "opens": n, "window": f"{WINDOW}s"} for name, n in LIMITS.items()],
+            "limits": [{"tenant": name, "opens": n, "window": f"{WINDOW_S}s"} for name, n in LIMITS.items()],
             "skew": "100ms",
             "epoch": "1s",
         },
@@ -47,11 +55,11 @@
     }
 
 
-def faults(world: World, begun: float) -> None:
-    """What happens when."""
+def inject_faults(world: World, start_s: float) -> None:
+    """Inject all faults at their seconds after the start (time.monotonic)."""
 
     def at(second: float) -> None:
-        time.sleep(max(0.0, begun + second - time.monotonic()))
+        time.sleep(max(0.0, start_s + second - time.monotonic()))
 
     at(5)
     for one, other in world.relays:
@@ -79,51 +87,68 @@
     world.start("e2", wait=False)
 
 
-def day(with_faults: bool) -> list[object]:
+def run_day(with_faults: bool) -> list[object]:
+    """Run one day and return its row of the table."""
     world = World(Path(tempfile.mkdtemp(prefix="fleet-day-")), REGIONS, ZONES, seed=3, **tables())
     try:
         for name in REGIONS:
             world.start(name, wait=False)
         world.until(world.all_alive, "all to know each other", 30)
-        time.sleep(8)  # until rights are minted
-        random, begun, told = Random(5), time.monotonic(), len(world.told)
+        time.sleep(FIRST_ALLOCATION_S)
+        random = Random(5)
+        start_s = time.monotonic()
+        first_client = len(world.told)
         with ThreadPoolExecutor() as pool:
-            script = pool.submit(faults, world, begun) if with_faults else None
-            while (passed := time.monotonic() - begun) < 60:
+            script = pool.submit(inject_faults, world, start_s) if with_faults else None
+            while (elapsed_s := time.monotonic() - start_s) < DAY_S:
                 for name in REGIONS:
                     for group, rate in RATES.items():
-                        if random.random() < rate * 0.02:
-                            world.ask(name, group, hold=0.2)
-                time.sleep(max(0.0, begun + passed + 0.02 - time.monotonic()))
+                        if random.random() < rate * STEP_S:
+                            world.ask(name, group, hold=CONNECTION_S)
+                time.sleep(max(0.0, start_s + elapsed_s + STEP_S - time.monotonic()))
             if script is not None:
                 script.result()
-        time.sleep(3)
-        clients = world.told[told:]
-        served = sum(client.answers[:1] != [] and client.answers[0].startswith("UP") for client in clients)
-        excess = max(
-            max(opened(world.ups, TENANTS[name], WINDOW).values()) - most for name, most in LIMITS.items()
-        )
-        strangers = sum(len(outside(world.ups, group, zones)) for group, zones in RULED.items())
-        answered = [c for c in clients if c.answers[:1] != ["no connection"] and c.answers[:1] != ["reset"]]
-        killed = sum(c.answers[:1] in (["reset"], ["closed"]) and c.gateway == "e3" for c in clients)
-        wrong = [c for c in without_one_answer(answered) if c.answers[:1] != ["closed"] or c.gateway != "e3"]
-        return [
-            "faults" if with_faults else "none",
-            len(clients),
-            served,
-            f"{served / len(clients):.3f}",
-            strangers,
-            max(0, excess),
-            len(wrong),
-            killed,
-        ]
+        time.sleep(LAST_ANSWERS_S)
+        return day_row(with_faults, world, world.told[first_client:])
     finally:
         world.close()
 
 
+def day_row(with_faults: bool, world: World, clients: list[Told]) -> list[object]:
+    """The figures of a day, by what hosts and clients saw."""
+    served = sum(has_served(client) for client in clients)
+    excess = max(
+        max(opened(world.ups, TENANTS[name], WINDOW_S).values()) - limit for name, limit in LIMITS.items()
+    )
+    violations = sum(len(outside(world.ups, group, zones)) for group, zones in ALLOWED_ZONES.items())
+    connected = [c for c in clients if c.answers[:1] != ["no connection"] and c.answers[:1] != ["reset"]]
+    killed = sum(c.answers[:1] in (["reset"], ["closed"]) and c.gateway == "e3" for c in clients)
+    unanswered = [
+        client
+        for client in without_one_answer(connected)
+        if client.answers[:1] != ["closed"] or client.gateway != "e3"
+    ]
+    return [
+        "faults" if with_faults else "none",
+        len(clients),
+        served,
+        f"{served / len(clients):.3f}",
+        violations,
+        max(0, excess),
+        len(unanswered),
+        killed,
+    ]
+
+
+def has_served(client: Told) -> bool:
+    """Whether a host has accepted the client."""
+    return client.answers[:1] != [] and client.answers[0].startswith("UP")
+
+
 def main() -> None:
+    """Run a day without faults and one with faults at the same time, and print the table."""
     with ThreadPoolExecutor() as pool:
-        rows = list(pool.map(day, [False, True]))
+        rows = list(pool.map(run_day, [False, True]))
     print(
         table(
             [
