--- a/packages/fleet/src/puffindeck_fleet/incarnation_store.py
+++ b/packages/fleet/src/puffindeck_fleet/incarnation_store.py
@@ -52,7 +52,7 @@
             self._retry = self._timers.after(RETRY_INTERVAL, self._try_again)
         else:
             if self._has_failed:
-                log.info("fleet: incarnation {incarnation} is kept again", incarnation=incarnation)
+                log.info("fleet: incarnation {incarnation} is stored again", incarnation=incarnation)
             self._stored = incarnation
             self._has_failed = False
 
--- a/packages/fleet/src/puffindeck_fleet/request_filter.py
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -43,8 +43,9 @@
 class RequestFilter:
     """The decision module behind quotas and rules of residency.
 
-    `view` gives what a front knows of a request, and `tenant` the tenant by that. With `books` the module has to be
-    a `puffindeck_residency.Regional`.
+    `view` gives what a front knows of a request, and `tenant` the tenant by that. With `books` the decision module
+    has to be a `puffindeck_residency.Regional`. `moved_within_ms`: milliseconds within which connections migrate that
+    are in a region that is no longer allowed.
     """
 
     def __init__(
--- a/packages/fleet/tests/test_gateway_membership.py
+++ b/packages/fleet/tests/test_gateway_membership.py
@@ -1,4 +1,4 @@
-"""Five real processes of the program with relays between them: what staff see when some of them fail."""
+"""Five real processes of the program with relays between them: how operators see the members when some of them fail."""
 
 from __future__ import annotations
 
--- a/packages/membership/src/puffindeck_membership/datagram_sender.py
+++ b/packages/membership/src/puffindeck_membership/datagram_sender.py
@@ -62,8 +62,8 @@
         address = address or self._addresses.address_of(name)
         if not address:
             return
-        room = self._runtime.timing.piggyback_octets if piggyback_octets is None else piggyback_octets
-        all_updates = [*updates, *self._queue.take(room, excluding=name)]
+        octets = self._runtime.timing.piggyback_octets if piggyback_octets is None else piggyback_octets
+        all_updates = [*updates, *self._queue.take(octets, excluding=name)]
         self._last_sequence_number += 1
         envelope = Envelope(
             sender=self._local.name,
--- a/packages/membership/src/puffindeck_membership/dissemination.py
+++ b/packages/membership/src/puffindeck_membership/dissemination.py
@@ -170,5 +170,5 @@
 
 
 def _only_refutes(update: MemberUpdate, previous: MemberUpdate) -> bool:
-    """Whether the only news is a higher incarnation of a member that is alive."""
+    """Whether the only difference is a higher incarnation of a member that is alive."""
     return previous.phase == update.phase == Phase.ALIVE and previous.process_incarnation == update.process_incarnation
--- a/packages/membership/tests/test_gossip_queue.py
+++ b/packages/membership/tests/test_gossip_queue.py
@@ -1,11 +1,11 @@
-"""Each queued update is sent a number of times, least sent first, within the room of a datagram."""
+"""Each queued update is sent a number of times, least sent first, as many as fit into a datagram."""
 
 from __future__ import annotations
 
 from puffindeck_membership import MemberUpdate, Phase
 from puffindeck_membership.gossip_queue import SENDS_PER_DOUBLING, GossipQueue, encoded_size
 
-ROOM = 1000  # octets
+DATAGRAM_OCTETS = 1000
 
 
 def update(name: str, incarnation: int = 1) -> MemberUpdate:
@@ -17,7 +17,7 @@
     for living_members, sends in ((0, SENDS_PER_DOUBLING), (2, 2 * SENDS_PER_DOUBLING), (14, 4 * SENDS_PER_DOUBLING)):
         queue = GossipQueue()
         queue.add(update("e1"), living_members)
-        assert [len(queue.take(ROOM)) for _ in range(sends + 1)] == [1] * sends + [0]
+        assert [len(queue.take(DATAGRAM_OCTETS)) for _ in range(sends + 1)] == [1] * sends + [0]
         assert len(queue) == 0
 
 
@@ -25,16 +25,16 @@
     queue = GossipQueue()
     queue.add(update("e1"), 2)
     queue.add(update("e1", 2), 2)
-    assert queue.take(ROOM) == [update("e1", 2)]
+    assert queue.take(DATAGRAM_OCTETS) == [update("e1", 2)]
 
 
 def test_the_least_sent_updates_go_first_and_none_goes_to_its_own_member() -> None:
     queue = GossipQueue()
     queue.add(update("e1"), 2)
-    queue.take(ROOM)
+    queue.take(DATAGRAM_OCTETS)
     queue.add(update("e2"), 2)
-    room_for_one = encoded_size(update("e2"))
-    assert queue.take(room_for_one) == [update("e2")]
+    octets_of_one = encoded_size(update("e2"))
+    assert queue.take(octets_of_one) == [update("e2")]
     queue.add(update("e3"), 2)
-    assert queue.take(room_for_one, excluding="e3") == [update("e1")]
-    assert queue.take(room_for_one - 1) == []
+    assert queue.take(octets_of_one, excluding="e3") == [update("e1")]
+    assert queue.take(octets_of_one - 1) == []
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""The hard cases of membership on virtual time: each caused, and what every member then holds."""
+"""Faults of processes, machines, links and clocks on virtual time, and how every member then sees the others."""
 
 from __future__ import annotations
 
@@ -155,7 +155,7 @@
         net.run(begun + 22000)
         assert all_alive(net)
         assert incarnation(net, "e1", "e2") == 2
-        assert {name for _, _, name in deaths(net)} == {"e1"}  # and it held nobody else to be dead
+        assert {name for _, _, name in deaths(net)} == {"e1"}  # and it declared no other member dead
         assert not net.hosts["e1"].played.excluded_by_peers
 
 
