--- a/packages/membership/src/puffindeck_membership/gossip_queue.py
+++ b/packages/membership/src/puffindeck_membership/gossip_queue.py
@@ -40,7 +40,7 @@
         self._queued[update.name] = QueuedUpdate(update, sends)
 
     def take(self, octets: int, excluding: str = "") -> list[MemberUpdate]:
-        """The updates that fit into these octets of a datagram; none about the member `excluding`, which receives it."""
+        """The updates that fit into these octets; none about the member `excluding`, which receives the datagram."""
         chosen: list[MemberUpdate] = []
         for queued in sorted(self._queued.values(), key=lambda item: -item.remaining_sends):
             if queued.update.name == excluding:
