--- a/packages/fleet/src/puffindeck_fleet/errors.py
+++ b/packages/fleet/src/puffindeck_fleet/errors.py
@@ -1,23 +1,23 @@
-"""What can go wrong where the fleet meets the machine."""
+"""The errors of a member's sockets and files that an operator can resolve."""
 
 from puffindeck_errors import OperatorError
 
 
 class FleetError(OperatorError):
-    """The root of this package's errors."""
+    """The base class of this package's errors."""
 
     message_template = "the fleet can't be joined"
 
 
 class BindFailed(FleetError):
-    """The address for datagrams can't be had."""
+    """The address for datagrams can't be bound."""
 
     message_template = "{address} can't be bound: {reason}."
     remedy_template = "Give {where} an address of this machine that no other process uses."
 
 
 class FolderUnusable(FleetError):
-    """Nothing can be kept in the folder."""
+    """The state file can't be read from or written to the folder."""
 
     message_template = "nothing can be kept there: {reason}."
     remedy_template = (
@@ -26,7 +26,7 @@
 
 
 class StateUnreadable(FleetError):
-    """A kept file is damaged, or of another version."""
+    """A state file is damaged, or of another version."""
 
     message_template = "the file can't be read: {reason}; it was set aside as {aside}."
     remedy_template = "Nothing has to be done: the member starts as a new one; look at the disk if this comes again."
--- a/packages/membership/src/puffindeck_membership/errors.py
+++ b/packages/membership/src/puffindeck_membership/errors.py
@@ -1,16 +1,16 @@
-"""What can go wrong among members."""
+"""The errors of the membership protocol that an operator has to resolve."""
 
 from puffindeck_errors import OperatorError
 
 
 class MembershipError(OperatorError):
-    """The root of this package's errors."""
+    """The base class of this package's errors."""
 
     message_template = "the fleet's membership failed"
 
 
 class NameTaken(MembershipError):
-    """Another living process has this name, and had it before."""
+    """Another living process had this member's name first."""
 
     message_template = "a living process at {address} had the name before this one."
     remedy_template = (
@@ -19,7 +19,7 @@
 
 
 class PeerMisnamed(MembershipError):
-    """Under a peer's address another instance answers."""
+    """Another member than the configured one answers at a peer's address."""
 
     message_template = "at {address} answers {found}."
     remedy_template = "Correct the address of {where}, or that instance's `name`."
