--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -1,10 +1,10 @@
-"""One attempt of a call at one server: the engine's link, round one call of grpc.aio."""
+"""One attempt of a call at one server: the engine's link, around one call of grpc.aio."""
 
 from __future__ import annotations
 
 import asyncio
 from datetime import timedelta
-from typing import TYPE_CHECKING, Any
+from typing import Any, Final, Protocol
 
 import grpc
 from grpc.aio import AioRpcError, Metadata
@@ -12,206 +12,274 @@
 from puffindeck.core.clock import ZERO, span
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import Outcome
-from puffindeck.rpc import outcomes
-from puffindeck.rpc.status import MOVED, PUSHBACK, Final
+from puffindeck.rpc.method import Method
+from puffindeck.rpc.replay_buffer import END_OF_REQUESTS, ReplayBuffer
+from puffindeck.rpc.shared_state import SharedState
+from puffindeck.rpc.status import MIGRATED_TRAILER, PUSHBACK_TRAILER, FinalStatus
+from puffindeck.rpc.status_outcomes import outcome_of_status
+from puffindeck.rpc.subchannel_pool import Subchannel, SubchannelPool
 
-if TYPE_CHECKING:
-    from puffindeck.rpc.calls import BalancedCall
+TRAILERS_ONLY_WAIT_S = (
+    0.003  # a status without a head comes right behind an empty head: how long to wait for it
+)
+CONSUMER_TURNS = 3  # turns of the loop, from the status to the task that awaits the library's call
+NO_RESPONSE: Final[Any] = object()  # no response has come
 
-SETTLE_S = 0.003  # a status without a head comes right behind an empty one: how long it is waited for
-TURNS = 3  # of the loop, from the status to whoever awaits the library's call
-NOTHING: Any = object()  # no answer has come
+
+class AttemptOwner(Protocol):
+    """What an attempt needs of its call."""
+
+    @property
+    def shared(self) -> SharedState:
+        """The engine, clock and loop of the call's channel."""
+
+    @property
+    def pool(self) -> SubchannelPool:
+        """The channel's connections."""
+
+    @property
+    def method(self) -> Method:
+        """The method that is called."""
+
+    @property
+    def replay_buffer(self) -> ReplayBuffer | None:
+        """The messages to send, where the request is a stream."""
+
+    def start(self, subchannel: Subchannel) -> Any:
+        """Begin grpc.aio's own call on the channel to one server."""
+
+    def is_served_by(self, attempt: Attempt) -> bool:
+        """Has the call begun at this attempt's server?"""
+
+    def on_response(self) -> None:
+        """The one response of the attempt that serves the call is there."""
+
+    def record_status(self, status: FinalStatus) -> None:
+        """Keep a server's status, which does not end the call."""
+
+    def finish(self, status: FinalStatus) -> None:
+        """End the call with its one final status."""
+
+    def release(self) -> None:
+        """Notify the engine that the call waits for nothing any more."""
+
+    def abort(self, error: Exception) -> None:
+        """End the call, as the application's own code has raised."""
 
 
 class Attempt:
-    """Connects, sends, and tells the engine how it went. `inner` is the library's own call, once begun."""
+    """Connects, sends, and reports to the engine how it went. `grpc_call` is the library's own call."""
 
     __slots__ = (
+        "_abandoned",
         "_address",
-        "_broken",
+        "_attempt_id",
         "_call",
+        "_deadline",
+        "_endpoint",
         "_engine",
-        "_gave_up",
-        "_pump",
-        "_server",
-        "_sub",
+        "_sender",
+        "_start_error",
+        "_subchannel",
         "_task",
-        "_ticket",
-        "_until",
-        "inner",
+        "grpc_call",
         "response",
     )
 
     def __init__(
-        self, call: BalancedCall, ticket: AttemptId, endpoint: int, address: tuple[str, int], until: timedelta
+        self,
+        call: AttemptOwner,
+        attempt_id: AttemptId,
+        endpoint: int,
+        address: tuple[str, int],
+        deadline: timedelta,
     ) -> None:
-        self._call, self._ticket, self._server, self._until = call, ticket, endpoint, until
-        self._engine, self._address = call.shared.engine, address
-        self._gave_up = False
-        self._pump: asyncio.Task[None] | None = None
-        self.inner: Any = None
-        self.response: Any = NOTHING
-        self._broken: Exception | None = None
-        self._sub = call.pool.take(address)
-        if self._sub.ready() and self._engine.may_reach(endpoint):
-            self._begin()  # at once: a turn of the loop later would cost a tenth of a call
+        self._call = call
+        self._attempt_id = attempt_id
+        self._endpoint = endpoint
+        self._address = address
+        self._deadline = deadline
+        self._engine = call.shared.engine
+        self._abandoned = False
+        self._sender: asyncio.Task[None] | None = None  # writes the messages of a request stream
+        self.grpc_call: Any = None
+        self.response: Any = NO_RESPONSE
+        self._start_error: Exception | None = None
+        self._subchannel = call.pool.acquire(address)
+        if self._subchannel.ready() and self._engine.may_reach(endpoint):
+            self._start()  # at once: a turn of the loop later would cost a tenth of a call
         self._task: asyncio.Task[None] | None = None
-        if self.inner is not None and not call.method.response_stream and call.replay is None:
-            self.inner.add_done_callback(self._inner_ended)
+        one_request = call.replay_buffer is None
+        if self.grpc_call is not None and one_request and not call.method.response_stream:
+            self.grpc_call.add_done_callback(self._on_grpc_call_done)
         else:
-            self._watch()
-
-    def _watch(self) -> None:
-        self._task = self._call.shared.loop.create_task(self._run())
-        self._task.add_done_callback(self._over)  # also of a task that was cancelled before it began
+            self._start_task()
 
-    def _inner_ended(self, _: Any) -> None:
-        self._look(TURNS)
-
-    def _look(self, turns: int) -> None:
-        """The library's call has ended: unless whoever awaits ours takes the answer, a task sees to it."""
-        if self.response is not NOTHING or self._gave_up:
-            self._over()
-        elif turns:
-            self._call.shared.loop.call_soon(self._look, turns - 1)
-        else:
-            self._watch()
+    # The engine's link
 
     def look(self) -> None:
-        """Nothing waits unread here."""
+        """No response waits unread here."""
 
     def give_up(self) -> None:
-        """End it; nothing more is told of it."""
-        if not self._gave_up:
-            self._gave_up = True
-            if self.inner is not None:
-                self.inner.cancel()
+        """End the attempt; nothing more is reported of it."""
+        if not self._abandoned:
+            self._abandoned = True
+            if self.grpc_call is not None:
+                self.grpc_call.cancel()
             if self._task is not None and self._task is not asyncio.current_task():
                 self._task.cancel()
 
-    def _begin(self) -> None:
+    # The task that drives it
+
+    def _start_task(self) -> None:
+        self._task = self._call.shared.loop.create_task(self._run())
+        self._task.add_done_callback(self._release)  # also of a task that was cancelled before it began
+
+    def _on_grpc_call_done(self, _: object) -> None:
+        self._await_consumer(CONSUMER_TURNS)
+
+    def _await_consumer(self, turns: int) -> None:
+        """The library's call has ended: unless whoever awaits ours takes the response, a task sees to it."""
+        if self.response is not NO_RESPONSE or self._abandoned:
+            self._release()
+        elif turns:
+            self._call.shared.loop.call_soon(self._await_consumer, turns - 1)
+        else:
+            self._start_task()
+
+    def _start(self) -> None:
         try:
-            self.inner = self._call.start(self._sub)
+            self.grpc_call = self._call.start(self._subchannel)
         except Exception as error:  # metadata that gRPC can't read, for one
-            self._broken = error
+            self._start_error = error
+
+    def _release(self, _: object = None) -> None:
+        if self._sender is not None:
+            self._sender.cancel()
+        self._call.pool.release(self._address, self._subchannel)
 
     async def _run(self) -> None:
         try:
-            await self._go()
+            await self._connect_and_call()
         except Exception as error:
-            # what the application's own serializer raises, or a fault here, must not leave the call open
-            if not self._gave_up:
-                self._call.broke(error)
+            self._abort_call(error)
 
-    def _over(self, _: Any = None) -> None:
-        if self._pump is not None:
-            self._pump.cancel()
-        self._call.pool.give_back(self._address, self._sub)
+    def _abort_call(self, error: Exception) -> None:
+        """What the application's own serializer raises, or a fault here, must not leave the call open."""
+        if not self._abandoned:
+            self._call.abort(error)
 
-    async def _go(self) -> None:
+    async def _connect_and_call(self) -> None:
         call = self._call
-        if self.inner is None and self._broken is None:
-            if not await self._connected():
-                self._end(Outcome.CONNECT_FAILED)
+        if self.grpc_call is None and self._start_error is None:
+            if not await self._connect():
+                self._report_end(Outcome.CONNECT_FAILED)
                 return
-            self._begin()
-        if self._broken is not None:
-            raise self._broken
-        if call.replay is not None:
-            call.replay.restart()
-            self._pump = call.shared.loop.create_task(self._send(call.replay))
+            self._start()
+        if self._start_error is not None:
+            raise self._start_error
+        if call.replay_buffer is not None:
+            call.replay_buffer.restart()
+            self._sender = call.shared.loop.create_task(self._send_requests(call.replay_buffer))
         if call.method.response_stream:
-            await self._stream()
+            await self._receive_stream()
         else:
-            await self._unary()
+            await self._receive_one()
 
-    async def _connected(self) -> bool:
-        """Until the connection stands. False also if the server drains, as was told meanwhile."""
-        if not self._sub.ready():
+    async def _connect(self) -> bool:
+        """Wait for the connection. False if there is none, or the endpoint began to drain meanwhile."""
+        if not self._subchannel.ready():
             shared = self._call.shared
-            patience = min(span(self._engine.settings.connect_timeout_ms), self._until - shared.clock.now())
-            if not await self._sub.connect(max(ZERO, patience)):
+            connect_timeout = span(self._engine.settings.connect_timeout_ms)
+            timeout = min(connect_timeout, self._deadline - shared.clock.now())
+            if not await self._subchannel.connect(max(ZERO, timeout)):
                 return False
-        return self._engine.may_reach(self._server)
+        return self._engine.may_reach(self._endpoint)
 
-    async def _send(self, replay: Any) -> None:
+    async def _send_requests(self, buffer: ReplayBuffer) -> None:
         """Write what the application has written, in its order, from the start."""
         try:
-            while True:
-                more, message = await replay.next()
-                if not more:
-                    await self.inner.done_writing()
-                    return
-                await self.inner.write(message)
-                replay.sent()
+            while (message := await buffer.next()) is not END_OF_REQUESTS:
+                await self.grpc_call.write(message)
+                buffer.mark_sent()
+            await self.grpc_call.done_writing()
         except (AioRpcError, asyncio.InvalidStateError, grpc.aio.UsageError):
-            pass  # it has ended, and the status says how
+            pass  # the library's call has ended, and its status says how
         except Exception as error:
-            if not self._gave_up:
-                self._call.broke(error)
+            self._abort_call(error)
+
+    # Responses
 
-    async def _unary(self) -> None:
+    async def _receive_one(self) -> None:
         try:
-            self.served(await self.inner)
+            self.on_response(await self.grpc_call)
         except AioRpcError:
-            await self._judge(heard=self._call.serves(self))
+            await self._on_status(response_started=self._call.is_served_by(self))
         except asyncio.CancelledError:
-            if self._gave_up or not self.inner.done():
+            if self._abandoned or not self.grpc_call.done():
                 raise
-            await self._judge(heard=self._call.serves(self))  # the server's own CANCELLED
+            # the server's own CANCELLED
+            await self._on_status(response_started=self._call.is_served_by(self))
 
-    def served(self, response: Any) -> None:
-        """The one answer is there. Whoever waits for the call may be told of it before we are."""
-        if self.response is not NOTHING or self._gave_up:
+    def on_response(self, response: Any) -> None:
+        """Take the one response. Whoever awaits the call may bring it before this attempt's task does."""
+        if self.response is not NO_RESPONSE or self._abandoned:
             return
         self.response = response
-        if self._call.serves(self):  # committed before, as more was sent than is kept
-            self._call.answered()
-        elif not self._engine.began(self._ticket):
+        if self._call.is_served_by(self):  # committed before, as more was sent than is buffered
+            self._call.on_response()
+        elif not self._engine.began(self._attempt_id):
             return
-        self._end(Outcome.OK)
+        self._report_end(Outcome.OK)
 
-    async def _stream(self) -> None:
-        head = await self.inner.initial_metadata()
+    async def _receive_stream(self) -> None:
+        """Wait for the head of a response stream, which establishes the call, and for its status."""
+        head = await self.grpc_call.initial_metadata()
         if not head:
             try:
-                async with asyncio.timeout(SETTLE_S):
-                    await self.inner.code()
+                async with asyncio.timeout(TRAILERS_ONLY_WAIT_S):
+                    await self.grpc_call.code()
             except TimeoutError:
                 pass
-        if self._gave_up:
+        if self._abandoned:
             return
-        if self.inner.done() and not head:
-            await self._judge(heard=False)
-        elif self._engine.began(self._ticket):
-            await self.inner.code()
-            await self._judge(heard=True)
+        if self.grpc_call.done() and not head:
+            await self._on_status(response_started=False)
+        elif self._engine.began(self._attempt_id):
+            await self.grpc_call.code()
+            await self._on_status(response_started=True)
         else:
             self.give_up()
 
-    async def _judge(self, heard: bool) -> None:
-        """The library's call has ended with a status: what is it to the module, and to the caller?"""
-        inner = self.inner
-        code, details = await inner.code(), await inner.details()
-        trailing: Metadata = await inner.trailing_metadata() or Metadata()
-        initial: Metadata = await inner.initial_metadata() or Metadata()
-        if self._gave_up:
+    async def _on_status(self, response_started: bool) -> None:
+        """The library's call has ended with a status: end the call with it, or report a failed attempt."""
+        status = await self._read_status()
+        if self._abandoned:
             return
-        final = Final(code, details or "", tuple(trailing), tuple(initial))
-        outcome = outcomes.outcome(code.value[0], final.details, heard, trailing.get(MOVED) is not None)
-        if heard or outcome == Outcome.OK:
-            self._engine.began(self._ticket)  # where it has not begun: this status is the call's answer
-            self._call.finish(final)
-            self._end(outcome)
+        trailing = Metadata(*status.trailing)
+        migrated = trailing.get(MIGRATED_TRAILER) is not None
+        outcome = outcome_of_status(status.code.value[0], status.details, response_started, migrated)
+        if response_started or outcome == Outcome.OK:
+            self._engine.began(self._attempt_id)  # where it has not begun: this status is the call's answer
+            self._call.finish(status)
+            self._report_end(outcome)
             return
-        pushback = trailing.get(PUSHBACK)
+        pushback = trailing.get(PUSHBACK_TRAILER)
         if pushback is not None and not str(pushback).isdigit():
-            self._call.finish(final)  # A6: a server may say that the call is not to be tried again
-            self._call.leave()
+            self._call.finish(status)  # A6: a server may forbid retries
+            self._call.release()
             return
-        self._call.last = final
-        self._end(outcome)
+        self._call.record_status(status)
+        self._report_end(outcome)
+
+    async def _read_status(self) -> FinalStatus:
+        grpc_call = self.grpc_call
+        code = await grpc_call.code()
+        details = await grpc_call.details()
+        trailing: Metadata = await grpc_call.trailing_metadata() or Metadata()
+        initial: Metadata = await grpc_call.initial_metadata() or Metadata()
+        return FinalStatus(code, details or "", tuple(trailing), tuple(initial))
 
-    def _end(self, outcome: Outcome) -> None:
-        if not self._gave_up:
-            self._engine.ended(self._ticket, outcome)
+    def _report_end(self, outcome: Outcome) -> None:
+        if not self._abandoned:
+            self._engine.ended(self._attempt_id, outcome)
--- /dev/null
+++ b/puffindeck/rpc/intercepted_calls.py
@@ -0,0 +1,220 @@
+"""The four kinds of calls with interceptors, as grpc.aio's users know them."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import AsyncIterator, Callable, Generator, Sequence
+from typing import Any
+
+import grpc
+from grpc.aio import EOF, AioRpcError, Metadata
+
+from puffindeck.rpc.interceptor_chain import BeginCall, InterceptorChain
+from puffindeck.rpc.method import CallKind, CallOptions, Method
+from puffindeck.rpc.request_stream import FINISHED, HALF_CLOSED, MIXED_STYLES
+from puffindeck.rpc.status import CANCELLED
+
+
+class WrittenMessages:
+    """Messages of `write` as the async iterator that interceptors are handed."""
+
+    def __init__(self) -> None:
+        self._queue: asyncio.Queue[Any] = asyncio.Queue(1)
+
+    async def put(self, message: Any) -> None:
+        """Hand over a message, or EOF as the last; waits while the one before was not read."""
+        await self._queue.put(message)
+
+    async def __aiter__(self) -> AsyncIterator[Any]:
+        while (message := await self._queue.get()) is not EOF:
+            yield message
+
+
+class InterceptedCall:
+    """A call that the interceptors are still making, or have made."""
+
+    def __init__(
+        self,
+        interceptors: Sequence[Any],
+        begin: BeginCall,
+        method: Method,
+        request: Any,
+        options: CallOptions,
+    ) -> None:
+        """`request` is a message, or an iterator of messages, or None where `write` sends them."""
+        self._options = options
+        self._callbacks: list[Callable[[Any], None]] = []
+        self._written = WrittenMessages() if method.request_stream and request is None else None
+        self._done_writing = False
+        self._responses: AsyncIterator[Any] | None = None
+        self._chain = InterceptorChain(interceptors, begin, method, options)
+        first_request = self._written if self._written is not None else request
+        running = self._chain.run(self._chain.call_details(), first_request)
+        self._task = asyncio.get_running_loop().create_task(running)
+        self._task.add_done_callback(self._on_call_made)
+
+    def _on_call_made(self, task: asyncio.Task[Any]) -> None:
+        callbacks, self._callbacks = self._callbacks, []
+        for callback in callbacks:
+            self.add_done_callback(callback)
+
+    def _call(self) -> Any:
+        """The call that the interceptors made; None while they are making it or if they failed."""
+        if self._task.done() and not self._task.cancelled() and self._task.exception() is None:
+            return self._task.result()
+        return None
+
+    async def _from_call(self, getter: str, if_cancelled: Any) -> Any:
+        """What the call's `getter` says; of an interceptor's AioRpcError, what that says."""
+        try:
+            call = await asyncio.shield(self._task)
+        except AioRpcError as error:
+            return getattr(error, getter)()
+        except asyncio.CancelledError:
+            if not self._task.cancelled():
+                raise
+            return if_cancelled
+        return await getattr(call, getter)()
+
+    # grpc.aio.Call
+
+    def cancel(self) -> bool:
+        """Cancel the call, or the interceptors that are making it. False if it had ended."""
+        call = self._call()
+        return bool(call.cancel() if call is not None else self._task.cancel())
+
+    def cancelled(self) -> bool:
+        """Was the call cancelled?"""
+        if self._task.cancelled():
+            return True
+        call = self._call()
+        if call is not None:
+            return bool(call.cancelled())
+        error = self._task.exception() if self._task.done() else None
+        return isinstance(error, AioRpcError) and error.code() is grpc.StatusCode.CANCELLED
+
+    def done(self) -> bool:
+        """Has the call ended, or have the interceptors failed?"""
+        call = self._call()
+        return bool(call.done()) if call is not None else self._task.done()
+
+    def time_remaining(self) -> float | None:
+        """Seconds to the deadline; None without one."""
+        call = self._call() or self._chain.begun_call
+        return self._options.timeout if call is None else call.time_remaining()
+
+    def add_done_callback(self, callback: Callable[[Any], None]) -> None:
+        """Call `callback` with this call once it has ended; at once if it has."""
+        call = self._call()
+        if call is not None:
+            call.add_done_callback(lambda _: callback(self))
+        elif self._task.done():
+            callback(self)
+        else:
+            self._callbacks.append(callback)
+
+    async def initial_metadata(self) -> Any:
+        """The initial metadata, once the call has begun."""
+        return await self._from_call("initial_metadata", Metadata())
+
+    async def trailing_metadata(self) -> Any:
+        """The trailing metadata, once the call has ended."""
+        return await self._from_call("trailing_metadata", Metadata())
+
+    async def code(self) -> Any:
+        """The final status code, once the call has ended."""
+        return await self._from_call("code", CANCELLED.code)
+
+    async def details(self) -> Any:
+        """The final status's text, once the call has ended."""
+        return await self._from_call("details", CANCELLED.details)
+
+    async def debug_error_string(self) -> Any:
+        """The code and text of an error, once the call has ended; empty if all went well."""
+        return await self._from_call("debug_error_string", "")
+
+    async def wait_for_connection(self) -> None:
+        """Wait until the call has begun at a server. Raises what its caller sees if it ends before."""
+        call = await asyncio.shield(self._task)
+        await call.wait_for_connection()
+
+    # Responses
+
+    def __await__(self) -> Generator[Any, None, Any]:
+        return self._await_response().__await__()
+
+    async def _await_response(self) -> Any:
+        return await (await self._task)
+
+    async def _iterate_responses(self) -> AsyncIterator[Any]:
+        async for message in await self._task:
+            yield message
+
+    def __aiter__(self) -> AsyncIterator[Any]:
+        if self._responses is None:
+            self._responses = self._iterate_responses()
+        return self._responses
+
+    async def read(self) -> Any:
+        """The next response, or EOF once all went well. Raises AioRpcError for any other end."""
+        return await anext(aiter(self), EOF)
+
+    # Requests
+
+    async def write(self, message: Any) -> None:
+        """Send a message; waits until it is read.
+
+        Raises grpc.aio.UsageError beside an iterator, asyncio.InvalidStateError after the end of the call or
+        after `done_writing`.
+        """
+        await self._put(message)
+
+    async def done_writing(self) -> None:
+        """No more will be written. Raises as `write` does, but twice is once."""
+        if not self._done_writing:
+            await self._put(EOF)
+            self._done_writing = True
+
+    async def _put(self, message: Any) -> None:
+        """Hand a message to whoever reads the iterator, unless the call ends first."""
+        if self._written is None:
+            raise grpc.aio.UsageError(MIXED_STYLES)
+        if self._done_writing:
+            raise asyncio.InvalidStateError(HALF_CLOSED)
+        if self.done():
+            raise asyncio.InvalidStateError(FINISHED)
+        loop = asyncio.get_running_loop()
+        ended = loop.create_future()
+        self.add_done_callback(lambda _: None if ended.done() else ended.set_result(None))
+        putting = loop.create_task(self._written.put(message))
+        try:
+            await asyncio.wait({ended, putting}, return_when=asyncio.FIRST_COMPLETED)
+        finally:
+            if not putting.done():
+                putting.cancel()
+        if not putting.done() and message is not EOF:
+            raise asyncio.InvalidStateError(FINISHED)
+
+
+class InterceptedUnaryUnary(InterceptedCall, grpc.aio.UnaryUnaryCall[Any, Any]):
+    """One request, one response."""
+
+
+class InterceptedUnaryStream(InterceptedCall, grpc.aio.UnaryStreamCall[Any, Any]):
+    """One request, a stream of responses."""
+
+
+class InterceptedStreamUnary(InterceptedCall, grpc.aio.StreamUnaryCall[Any, Any]):
+    """A stream of requests, one response."""
+
+
+class InterceptedStreamStream(InterceptedCall, grpc.aio.StreamStreamCall[Any, Any]):
+    """Streams both ways."""
+
+
+INTERCEPTED_CALLS: dict[CallKind, type[InterceptedCall]] = {
+    CallKind(request_stream=False, response_stream=False): InterceptedUnaryUnary,
+    CallKind(request_stream=False, response_stream=True): InterceptedUnaryStream,
+    CallKind(request_stream=True, response_stream=False): InterceptedStreamUnary,
+    CallKind(request_stream=True, response_stream=True): InterceptedStreamStream,
+}
--- /dev/null
+++ b/puffindeck/rpc/multicallables.py
@@ -0,0 +1,102 @@
+"""The methods of a stub, as grpc.aio's multicallables: called, they begin a balanced call."""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+from typing import Any, Protocol
+
+import grpc
+
+from puffindeck.rpc.intercepted_calls import INTERCEPTED_CALLS
+from puffindeck.rpc.method import CallKind, CallOptions, Method
+
+
+class CallFactory(Protocol):
+    """The channel that begins a stub's calls."""
+
+    def check_usable(self) -> None:
+        """Raise RuntimeError or grpc.aio.UsageError where the channel can't be used."""
+
+    def call(self, method: Method, request: Any, options: CallOptions) -> Any:
+        """Begin a call. Raises as `check_usable` does."""
+
+
+class Multicallable:
+    """A method of a stub, with the interceptors of its kind."""
+
+    def __init__(self, channel: CallFactory, method: Method, interceptors: Sequence[Any]) -> None:
+        self._channel = channel
+        self._method = method
+        self._interceptors = interceptors
+
+    def begin(
+        self,
+        request: Any,
+        timeout: float | None,
+        metadata: Any,
+        credentials: grpc.CallCredentials | None,
+        wait_for_ready: bool | None,
+        compression: grpc.Compression | None,
+    ) -> Any:
+        """Begin a call with the options that the application gave; `timeout` in seconds."""
+        options = CallOptions(timeout, metadata, credentials, bool(wait_for_ready), compression)
+        if not self._interceptors:
+            return self._channel.call(self._method, request, options)
+        call_type = INTERCEPTED_CALLS[self._method.kind]
+        self._channel.check_usable()  # raises here, as it does without interceptors
+        return call_type(self._interceptors, self._channel.call, self._method, request, options)
+
+
+class OneRequestMulticallable(Multicallable):
+    """A method whose request is one message."""
+
+    def __call__(
+        self,
+        request: Any,
+        *,
+        timeout: float | None = None,
+        metadata: Any = None,
+        credentials: grpc.CallCredentials | None = None,
+        wait_for_ready: bool | None = None,
+        compression: grpc.Compression | None = None,
+    ) -> Any:
+        return self.begin(request, timeout, metadata, credentials, wait_for_ready, compression)
+
+
+class RequestStreamMulticallable(Multicallable):
+    """A method whose request is a stream of messages."""
+
+    def __call__(
+        self,
+        request_iterator: Any = None,
+        timeout: float | None = None,
+        metadata: Any = None,
+        credentials: grpc.CallCredentials | None = None,
+        wait_for_ready: bool | None = None,
+        compression: grpc.Compression | None = None,
+    ) -> Any:
+        return self.begin(request_iterator, timeout, metadata, credentials, wait_for_ready, compression)
+
+
+class UnaryUnary(OneRequestMulticallable, grpc.aio.UnaryUnaryMultiCallable[Any, Any]):
+    """One request, one response."""
+
+
+class UnaryStream(OneRequestMulticallable, grpc.aio.UnaryStreamMultiCallable[Any, Any]):
+    """One request, a stream of responses."""
+
+
+class StreamUnary(RequestStreamMulticallable, grpc.aio.StreamUnaryMultiCallable[Any, Any]):
+    """A stream of requests, one response."""
+
+
+class StreamStream(RequestStreamMulticallable, grpc.aio.StreamStreamMultiCallable[Any, Any]):
+    """Streams both ways."""
+
+
+MULTICALLABLES: dict[CallKind, type[Multicallable]] = {
+    CallKind(request_stream=False, response_stream=False): UnaryUnary,
+    CallKind(request_stream=False, response_stream=True): UnaryStream,
+    CallKind(request_stream=True, response_stream=False): StreamUnary,
+    CallKind(request_stream=True, response_stream=True): StreamStream,
+}
--- a/puffindeck/rpc/resuming.py
+++ b/puffindeck/rpc/resuming.py
@@ -1,4 +1,4 @@
-"""A stream that goes on: asked for again where it ended, when it was moved, refused for a time, or broke."""
+"""A stream that goes on: requested again where it ended, when it was migrated, rejected or broken off."""
 
 from __future__ import annotations
 
@@ -10,10 +10,12 @@
 import grpc
 from grpc.aio import AioRpcError
 
-from puffindeck.rpc.status import comes_back, moved
+from puffindeck.rpc.status import is_migrated, retry_after
 
-PAUSE_S, MOST_S = 0.2, 5.0  # the first pause after a stream that broke, and the longest
-MOVED_S = 0.2  # a moved client comes again within this, spread out: the others may have been moved too
+FIRST_BACKOFF_S = 0.2  # the pause after a stream that broke; doubled with each further one
+MAX_BACKOFF_S = 5.0
+MIGRATION_SPREAD_S = 0.2  # a migrated stream is requested again within this: others may have migrated too
+MAX_RETRY_AFTER_S = 3600.0  # a longer one is "never" by gRPC's A6, or as good as
 
 
 async def resuming(
@@ -24,37 +26,43 @@
 ) -> AsyncGenerator[Any, None]:
     """The messages of a stream, over as many streams as it takes.
 
-    `begin` is called with the last message had (None at first) and returns a call with a stream of answers;
-    it says in its request where to go on. A stream that was moved is asked for again at once, a refused one
-    when the refusal says, a broken one after a pause that grows. After `tries` in a row without any
-    message, or for any other status, the last error is raised. Messages may come twice or be left out where
-    a server can't go on from what `begin` tells it: that is between the two.
+    `begin` is called with the last message received (None at first) and returns a call with a stream of
+    responses; it says in its request where to go on. A stream that was migrated is requested again at once, a
+    rejected one when its Retry-After says, a broken one after a backoff. After `tries` in a row without any
+    message, or for any other status, the last AioRpcError is raised. Messages may come twice or be left out
+    where a server can't go on from what `begin` requests: that is between the two.
     """
-    lot = random or Random()
+    jitter = random or Random()
     last: Any = None
-    failed = 0
+    failures = 0  # in a row
     while True:
         call = begin(last)
         try:
             async for last in call:
-                failed = 0
+                failures = 0
                 yield last
             return
         except AioRpcError as error:
-            wait = comes_back(error)
-            if moved(error):
-                pause = MOVED_S * lot.random()
-            elif error.code() is not grpc.StatusCode.UNAVAILABLE:
+            pause_s = _pause_s(error, failures, jitter)
+            if pause_s is None:
                 raise
-            elif wait is not None:
-                if wait.total_seconds() > 3600:  # "never" by A6, or as good as
-                    raise
-                pause = wait.total_seconds()
-            else:
-                pause = min(MOST_S, PAUSE_S * 2**failed) * (0.5 + lot.random())
-            failed += 1
-            if failed > tries:
+            failures += 1
+            if failures > tries:
                 raise
         finally:
             call.cancel()
-        await asyncio.sleep(pause)
+        await asyncio.sleep(pause_s)
+
+
+def _pause_s(error: AioRpcError, failures: int, jitter: Random) -> float | None:
+    """Seconds to wait before the stream is requested again; None if it must not be."""
+    if is_migrated(error):
+        return MIGRATION_SPREAD_S * jitter.random()
+    if error.code() is not grpc.StatusCode.UNAVAILABLE:
+        return None
+    wait = retry_after(error)
+    if wait is not None:
+        seconds = wait.total_seconds()
+        return seconds if seconds <= MAX_RETRY_AFTER_S else None
+    backoff: float = min(MAX_BACKOFF_S, FIRST_BACKOFF_S * 2**failures)
+    return backoff * (0.5 + jitter.random())
--- /dev/null
+++ b/puffindeck/rpc/shared_state.py
@@ -0,0 +1,133 @@
+"""What the channels of one configuration share in an event loop: endpoint list, decision state, clock."""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+from twisted.logger import STDLibLogObserver, globalLogPublisher
+
+from puffindeck.client_side import Member
+from puffindeck.config.client import Client
+from puffindeck.core.clock import Clock, ms
+from puffindeck.core.engine import Engine
+from puffindeck.core.timer_queue import TimerQueue
+from puffindeck.interface import ListUpdateKind, TimerFired
+from puffindeck.service_discovery.asyncio_watch import EndpointWatch
+from puffindeck.service_discovery.directory import Directory
+
+_OBSERVER: Any = STDLibLogObserver("puffindeck")  # a partner's process logs with the standard library
+
+
+class LoopTimers:
+    """An asyncio event loop as `TimerQueue` wants it."""
+
+    def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
+        self._loop = loop
+
+    def callLater(self, delay: float, callable: Callable[..., Any]) -> asyncio.TimerHandle:
+        """Call it after `delay` seconds."""
+        return self._loop.call_later(delay, callable)
+
+
+class SharedState:
+    """The decision module, its engine and the endpoint list of one event loop."""
+
+    # by event loop and configuration
+    _instances: dict[tuple[int, bytes], SharedState] = {}  # noqa: RUF012
+
+    def __init__(self, config: Client, key: tuple[int, bytes] | None) -> None:
+        """For the running loop. `key` is its place among the instances; None where nobody else gets it."""
+        self.loop = asyncio.get_running_loop()
+        self.config = config
+        self._key = key
+        self._users = 0
+        self.clock = Clock()
+        self.deadlines = TimerQueue(self.clock, LoopTimers(self.loop))
+        self.directory = Directory(config.settings.zones, config.settings.kinds)
+        self.balancer = self._make_balancer()
+        self.engine = Engine(self.balancer, config.settings, self.deadlines, self._watch_endpoints)
+        self._waiters: set[asyncio.Future[None]] = set()
+        self.endpoint_watch: EndpointWatch | None = None
+        if config.discovery:
+            self.endpoint_watch = EndpointWatch(
+                config.discovery, self.directory, self.engine, self._on_discovery_alive
+            )
+        self._load_known_endpoints()
+
+    def _make_balancer(self) -> Any:
+        config = self.config
+        if config.routing is None:
+            return Member(config.settings, config.seed)
+        from puffindeck.client_side.pooled import PooledMember  # only where there are pools
+
+        names = self.directory
+        return PooledMember(config.routing, config.settings, config.seed, names.number, names.name)
+
+    def _load_known_endpoints(self) -> None:
+        """Begin with the list of the configuration, or have the decision module request one."""
+        known = self.config.known
+        if known.targets:
+            kind = ListUpdateKind.CACHED if self.endpoint_watch else ListUpdateKind.FULL
+            self.engine.listed(kind, known.rev, self.directory.entries(known, self.clock.now()))
+        else:
+            self.engine.tell(TimerFired(0))  # the module's first event: it requests the list
+
+    @classmethod
+    def acquire(cls, config: Client, alone: bool = False) -> SharedState:
+        """The running loop's state, made if needed; to be released. `alone`: no other user gets it."""
+        if not globalLogPublisher._observers.count(_OBSERVER):
+            globalLogPublisher.addObserver(_OBSERVER)
+        text = msgspec.json.encode(
+            [config.discovery, config.known, repr(config.settings), repr(config.routing)]
+        )
+        key = (id(asyncio.get_running_loop()), text)
+        shared = None if alone else cls._instances.get(key)
+        if shared is None:
+            shared = cls(config, None if alone else key)
+            if not alone:
+                cls._instances[key] = shared
+        shared._users += 1
+        return shared
+
+    async def release(self) -> None:
+        """Give it back; the last user's release ends it."""
+        self._users -= 1
+        if not self._users:
+            if self._key is not None:
+                self._instances.pop(self._key, None)
+            if self.endpoint_watch is not None:
+                await self.endpoint_watch.stop()
+            self.deadlines.clear()
+            self.notify()
+
+    def _watch_endpoints(self) -> None:
+        if self.endpoint_watch is not None:
+            self.endpoint_watch.start()
+
+    def _on_discovery_alive(self) -> None:
+        self.balancer.heard(ms(self.clock.now()))
+        self.notify()
+
+    @property
+    def list_age_ms(self) -> float:
+        """Milliseconds since discovery last gave a sign of life; infinite before the first."""
+        return float(self.balancer.age_ms(ms(self.clock.now())))
+
+    def notify(self) -> None:
+        """Wake all that wait for a change of the endpoint list."""
+        for waiter in self._waiters:
+            if not waiter.done():
+                waiter.set_result(None)
+        self._waiters.clear()
+
+    async def wait_for_change(self) -> None:
+        """Wait until discovery has given a sign of life, or the state was released."""
+        waiter: asyncio.Future[None] = self.loop.create_future()
+        self._waiters.add(waiter)
+        try:
+            await waiter
+        finally:
+            self._waiters.discard(waiter)
--- a/puffindeck/rpc/status.py
+++ b/puffindeck/rpc/status.py
@@ -1,4 +1,4 @@
-"""Final statuses that are made here rather than by a server, and the time to come back that they carry."""
+"""Final statuses that are made here rather than by a server, and the Retry-After time that they carry."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 from puffindeck.core.clock import ZERO, ms
 
-MOVED = "puffindeck-moved"  # a trailer: the stream ended so that it goes on at another server
-PUSHBACK = "grpc-retry-pushback-ms"  # a trailer of gRPC's A6: when to come again, in milliseconds
-DETAILS = "grpc-status-details-bin"
-ATTEMPTS = "puffindeck-attempts"  # a trailer: at how many servers the call was tried
+MIGRATED_TRAILER = "puffindeck-moved"  # the stream ended so that it goes on at another server
+PUSHBACK_TRAILER = "grpc-retry-pushback-ms"  # gRPC's A6: when to retry, in milliseconds
+STATUS_DETAILS_TRAILER = "grpc-status-details-bin"  # a serialized google.rpc.Status
+ATTEMPTS_TRAILER = "puffindeck-attempts"  # how many servers the call was sent to
 
 
-class Final(NamedTuple):
-    """How a call ended."""
+class FinalStatus(NamedTuple):
+    """How a call ended: its code, its text and the metadata that came with it."""
 
     code: grpc.StatusCode
     details: str = ""
@@ -32,61 +32,81 @@
         return AioRpcError(self.code, Metadata(*self.initial), Metadata(*self.trailing), self.details)
 
 
-SERVED = Final(grpc.StatusCode.OK)
-CANCELLED = Final(grpc.StatusCode.CANCELLED, "Locally cancelled by application!")  # gRPC's own words
-CLOSED = Final(grpc.StatusCode.CANCELLED, "Channel closed.")
-OVERDUE = Final(grpc.StatusCode.DEADLINE_EXCEEDED, "Deadline Exceeded")
-SENT_AWAY = Final(grpc.StatusCode.UNAVAILABLE, "moved: ask again", ((MOVED, "1"),))
+OK = FinalStatus(grpc.StatusCode.OK)
+CANCELLED = FinalStatus(grpc.StatusCode.CANCELLED, "Locally cancelled by application!")  # gRPC's own words
+CHANNEL_CLOSED = FinalStatus(grpc.StatusCode.CANCELLED, "Channel closed.")
+DEADLINE_EXCEEDED = FinalStatus(grpc.StatusCode.DEADLINE_EXCEEDED, "Deadline Exceeded")
+MIGRATED = FinalStatus(grpc.StatusCode.UNAVAILABLE, "moved: ask again", ((MIGRATED_TRAILER, "1"),))
+TOO_MANY_CALLS = FinalStatus(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many calls are open in this process")
 
 
-def refused(wait: timedelta, attempts: int, why: str = "", late: bool = False) -> Final:
-    """Given up, and asking again does no harm: after `wait`, where that is not zero.
+def rejected(
+    retry_after: timedelta, attempts: int, last_details: str = "", deadline_passed: bool = False
+) -> FinalStatus:
+    """A status for a call that was given up on, and that may safely be retried.
 
-    The time stands in gRPC's pushback trailer and, for other libraries, as google.rpc.RetryInfo in the
-    status's details.
+    A `retry_after` over zero stands in gRPC's pushback trailer and, for other libraries, as
+    google.rpc.RetryInfo in the status's details. `last_details` is the text of the last server's status.
     """
-    if late:
-        code, text = grpc.StatusCode.DEADLINE_EXCEEDED, "Deadline Exceeded"
+    if deadline_passed:
+        code = DEADLINE_EXCEEDED.code
+        text = DEADLINE_EXCEEDED.details
     else:
-        code, text = grpc.StatusCode.UNAVAILABLE, "refused: no server may take the call now"
-    if why:
-        text += f"; the last one said: {why}"
-    trailing: list[tuple[str, Any]] = [(ATTEMPTS, str(attempts))]
-    if wait > ZERO:
-        info = error_details_pb2.RetryInfo(retry_delay=Duration())
-        info.retry_delay.FromTimedelta(wait)
-        rich = status_pb2.Status(code=code_pb2.Code.Value(code.name), message=text)
-        rich.details.add().Pack(info)
-        trailing += [(PUSHBACK, f"{ms(wait):.0f}"), (DETAILS, rich.SerializeToString())]
-    return Final(code, text, tuple(trailing))
-
-
-def failed(attempts: int, late: bool, last: Final | None) -> Final:
-    """Given up, and nothing is known of what was done: the last server's own status where there is one."""
-    note = ((ATTEMPTS, str(attempts)),)
-    if late:
-        return Final(OVERDUE.code, OVERDUE.details, note)
+        code = grpc.StatusCode.UNAVAILABLE
+        text = "refused: no server may take the call now"
+    if last_details:
+        text += f"; the last one said: {last_details}"
+    trailing: list[tuple[str, Any]] = [(ATTEMPTS_TRAILER, str(attempts))]
+    if retry_after > ZERO:
+        trailing.append((PUSHBACK_TRAILER, f"{ms(retry_after):.0f}"))
+        trailing.append((STATUS_DETAILS_TRAILER, _retry_info(code, text, retry_after)))
+    return FinalStatus(code, text, tuple(trailing))
+
+
+def _retry_info(code: grpc.StatusCode, text: str, retry_after: timedelta) -> bytes:
+    """A serialized google.rpc.Status with a google.rpc.RetryInfo."""
+    info = error_details_pb2.RetryInfo(retry_delay=Duration())
+    info.retry_delay.FromTimedelta(retry_after)
+    status = status_pb2.Status(code=code_pb2.Code.Value(code.name), message=text)
+    status.details.add().Pack(info)
+    serialized: bytes = status.SerializeToString()
+    return serialized
+
+
+def failed(attempts: int, deadline_passed: bool, last: FinalStatus | None) -> FinalStatus:
+    """A status for a call that a server may have run: the last server's own status where there is one."""
+    note = ((ATTEMPTS_TRAILER, str(attempts)),)
+    if deadline_passed:
+        return FinalStatus(DEADLINE_EXCEEDED.code, DEADLINE_EXCEEDED.details, note)
     if last is not None:
         return last._replace(trailing=last.trailing + note)
-    return Final(grpc.StatusCode.UNAVAILABLE, "failed: a server may have run the call", note)
+    return FinalStatus(grpc.StatusCode.UNAVAILABLE, "failed: a server may have run the call", note)
 
 
-def comes_back(error: AioRpcError) -> timedelta | None:
-    """When an error says to come again: its pushback, else its RetryInfo; None if it says neither.
+def retry_after(error: AioRpcError) -> timedelta | None:
+    """When an error says to retry: its pushback, else its RetryInfo; None if it says neither.
 
     A pushback that is negative or no number means never, by A6: timedelta.max.
     """
     trailing = error.trailing_metadata() or Metadata()
-    text = trailing.get(PUSHBACK)
-    if text is not None:
-        text = text.decode("ascii", "replace") if isinstance(text, bytes) else text
-        return timedelta(milliseconds=int(text)) if text.isascii() and text.isdigit() else timedelta.max
-    rich = trailing.get(DETAILS)
-    if not isinstance(rich, bytes):
-        return None
-    status, info = status_pb2.Status(), error_details_pb2.RetryInfo()
+    pushback = trailing.get(PUSHBACK_TRAILER)
+    if pushback is not None:
+        return _pushback_time(pushback)
+    details = trailing.get(STATUS_DETAILS_TRAILER)
+    return _retry_info_time(details) if isinstance(details, bytes) else None
+
+
+def _pushback_time(pushback: str | bytes) -> timedelta:
+    text = pushback.decode("ascii", "replace") if isinstance(pushback, bytes) else pushback
+    return timedelta(milliseconds=int(text)) if text.isascii() and text.isdigit() else timedelta.max
+
+
+def _retry_info_time(serialized: bytes) -> timedelta | None:
+    """The time in a serialized google.rpc.Status; None where it can't be read or has none."""
+    status = status_pb2.Status()
+    info = error_details_pb2.RetryInfo()
     try:
-        status.ParseFromString(rich)
+        status.ParseFromString(serialized)
     except (DecodeError, ValueError):
         return None
     for detail in status.details:
@@ -96,6 +116,6 @@
     return None
 
 
-def moved(error: AioRpcError) -> bool:
-    """Did the call end so that it goes on elsewhere?"""
-    return MOVED in (error.trailing_metadata() or Metadata())
+def is_migrated(error: AioRpcError) -> bool:
+    """Did the call end so that it goes on at another server?"""
+    return MIGRATED_TRAILER in (error.trailing_metadata() or Metadata())
--- a/puffindeck/service_discovery/watch.py
+++ b/puffindeck/service_discovery/watch.py
@@ -2,7 +2,7 @@
 
 A front brings the HTTP: it asks for `target()`, hands over what comes (`whole` for the whole list, `line` for
 each line of a watch), and tells the engine what the members returned say. Both fronts that speak to discovery
-(Twisted's in `net/discovery.py`, asyncio's in `rpc/roster.py`) read it here.
+(Twisted's in `net/discovery.py`, asyncio's in `service_discovery/asyncio_watch.py`) read it here.
 """
 
 from __future__ import annotations
--- a/tests/rpc/test_grpc.py
+++ b/tests/rpc/test_grpc.py
@@ -380,7 +380,7 @@
             await reading
         self.assertTrue(call.cancelled())
         await self.nothing_left(channel)
-        self.assertEqual(channel._started()[0].member.admission._lost, 0)  # not taken for a lost connection
+        self.assertEqual(channel._started()[0].balancer.admission._lost, 0)  # not taken for a lost connection
 
     async def test_reading_with_a_time_limit_of_ones_own(self) -> None:
         channel, stub = await self.begin("one")
@@ -391,7 +391,7 @@
                 await call.read()
         self.assertTrue(call.cancelled())
         await self.nothing_left(channel)
-        self.assertEqual(channel._started()[0].member.admission._lost, 0)
+        self.assertEqual(channel._started()[0].balancer.admission._lost, 0)
 
 
 class Interceptors(Story):
--- a/tests/rpc/test_outcomes.py
+++ b/tests/rpc/test_outcomes.py
@@ -12,8 +12,8 @@
 from puffindeck.config.client import client
 from puffindeck.core.clock import ZERO
 from puffindeck.interface import NOT_PROCESSED, Outcome
-from puffindeck.rpc.outcomes import outcome
-from puffindeck.rpc.status import Final, comes_back, failed, moved, refused
+from puffindeck.rpc.status import FinalStatus, failed, is_migrated, rejected, retry_after
+from puffindeck.rpc.status_outcomes import outcome_of_status
 
 FILE = """
 discovery = "127.0.0.1:8500"
@@ -63,33 +63,39 @@
 def test_a_status_is_an_outcome(
     code: int, details: str, heard: bool, is_moved: bool, wanted: Outcome
 ) -> None:
-    assert outcome(code, details, heard, is_moved) == wanted
+    assert outcome_of_status(code, details, heard, is_moved) == wanted
 
 
 def test_only_what_never_ran_is_held_to_be_so() -> None:
-    told = {outcome(code, "", heard) for code in range(17) for heard in (False, True)}
+    told = {outcome_of_status(code, "", heard) for code in range(17) for heard in (False, True)}
     assert told & NOT_PROCESSED == {Outcome.FULL}
 
 
 def test_a_refusal_tells_when_to_come_back_in_both_ways() -> None:
-    error = refused(timedelta(milliseconds=730), 2).error()
-    assert comes_back(error) == timedelta(milliseconds=730)
-    rich = Final(
+    error = rejected(timedelta(milliseconds=730), 2).error()
+    assert retry_after(error) == timedelta(milliseconds=730)
+    rich = FinalStatus(
         error.code(), "", tuple((k, v) for k, v in error.trailing_metadata() if k.endswith("-bin"))
     ).error()
-    assert comes_back(rich) == timedelta(milliseconds=730)
-    assert comes_back(refused(ZERO, 0).error()) is None
-    assert comes_back(Final(error.code(), "", (("grpc-retry-pushback-ms", "-1"),)).error()) == timedelta.max
-    assert comes_back(Final(error.code(), "", (("grpc-status-details-bin", b"\xff\xff"),)).error()) is None
+    assert retry_after(rich) == timedelta(milliseconds=730)
+    assert retry_after(rejected(ZERO, 0).error()) is None
+    assert (
+        retry_after(FinalStatus(error.code(), "", (("grpc-retry-pushback-ms", "-1"),)).error())
+        == timedelta.max
+    )
+    assert (
+        retry_after(FinalStatus(error.code(), "", (("grpc-status-details-bin", b"\xff\xff"),)).error())
+        is None
+    )
 
 
 def test_a_failure_is_what_the_last_server_said() -> None:
-    last = Final(grpc.StatusCode.UNAVAILABLE, "box 3 says so", (("a", "b"),))
+    last = FinalStatus(grpc.StatusCode.UNAVAILABLE, "box 3 says so", (("a", "b"),))
     error = failed(3, False, last).error()
     assert error.details() == "box 3 says so"
     assert tuple(error.trailing_metadata()) == (("a", "b"), ("puffindeck-attempts", "3"))
     assert failed(1, True, last).code.name == "DEADLINE_EXCEEDED"
-    assert not moved(error)
+    assert not is_migrated(error)
 
 
 def read(folder: Path, text: str) -> object:
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -101,7 +101,7 @@
         stream.cancel()
         shared, _ = channel._started()
         await until(lambda: not len(shared.engine.held), "the core still holds a call")
-        self.assertFalse(shared.member.places)
+        self.assertFalse(shared.balancer.places)
 
 
 def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
--- a/tests/rpc/test_service_discovery.py
+++ b/tests/rpc/test_service_discovery.py
@@ -69,11 +69,11 @@
         await asyncio.wait_for(channel.channel_ready(), 5)
         await self.world.discovery.stop()
         shared, _ = channel._started()
-        await until(lambda: shared.member.list_fails >= 3, "it was not asked again")
+        await until(lambda: shared.balancer.list_fails >= 3, "it was not asked again")
         self.assertTrue(await stub.status(b"", timeout=2))
         self.world.discovery.tell(self.world.boxes["one"].target("DRAINING"))
         await self.world.discovery.start()
-        await until(lambda: len(shared.member.ready) == 1, "the news did not come")
+        await until(lambda: len(shared.balancer.ready) == 1, "the news did not come")
         for _ in range(8):
             self.assertIn(b"two", await stub.status(b"", timeout=2))
 
@@ -88,7 +88,7 @@
             discovery._chunk(writer, b'{"rev": "x"}\n')
         await until(lambda: discovery.asked >= 3, "no new watch")
         self.assertIn(b"one", await Stub(channel).status(b"", timeout=2))
-        self.assertTrue(shared.member.ready)
+        self.assertTrue(shared.balancer.ready)
 
     async def test_a_drain_is_heeded_at_once_and_standing_streams_stay(self) -> None:
         await self.world.serve("one", "two")
@@ -100,7 +100,7 @@
         self.assertEqual(await stream.read(), b"one")
         self.world.discovery.tell(self.world.boxes["one"].target("DRAINING"))
         shared, _ = channel._started()
-        await until(lambda: len(shared.member.ready) == 1, "the drain was not heard")
+        await until(lambda: len(shared.balancer.ready) == 1, "the drain was not heard")
         before = len(self.world.boxes["one"].calls)
         for _ in range(10):
             self.assertIn(b"two", await stub.status(b"", metadata=keyed(key)))
@@ -120,9 +120,9 @@
         # a watch begins with the whole list, which names it as fit: that has come once a later change has
         await until(lambda: len(self.world.discovery._watches) == 1, "no watch")
         self.world.discovery.tell(self.world.boxes["two"].target("SERVING"))
-        roster = shared.roster
-        assert roster is not None
-        await until(lambda: roster.version == self.world.discovery.rev, "the change was not heard")
+        watch = shared.endpoint_watch
+        assert watch is not None
+        await until(lambda: watch.version == self.world.discovery.rev, "the change was not heard")
         # told so long ago that its grace is over
         shared.engine.reachability.unfit_since[number] = shared.clock.now() - shared.engine.reachability.grace
         self.assertIn(b"two", await stub.status(b"", metadata=keyed(key)))
@@ -155,13 +155,15 @@
         self.world.discovery.tell(*gone, boxes["b2"].target())
         await self.world.discovery.start()
         for channel in channels:
-            member = channel._started()[0].member
+            member = channel._started()[0].balancer
             await until(lambda m=member: len(m.ready) == 10 and m._cold_now(), "the news did not come")  # type: ignore[misc]
         for i, channel in enumerate(channels):
             self.assertTrue(await Stub(channel).status(b"", timeout=2, metadata=keyed(f"desk {i}")))
         cold_keys = sum(
             member.home(_request(f"desk {i}")) is member.endpoints[shared.directory.number("b2")]
-            for i, (shared, member) in enumerate((c._started()[0], c._started()[0].member) for c in channels)
+            for i, (shared, member) in enumerate(
+                (c._started()[0], c._started()[0].balancer) for c in channels
+            )
         )
         self.assertGreater(cold_keys, 0)
         self.assertLessEqual(len(boxes["b2"].calls), max(1, cold_keys // 2))  # not by all of them together
@@ -186,7 +188,7 @@
         self.world.discovery.tell(old.target())
         await until(lambda: sum(task.done() for task in reading.values()) == held["one"], "not all were told")
         for channel in channels:
-            member = channel._started()[0].member
+            member = channel._started()[0].balancer
             await until(lambda m=member: m._cold_now(), "the news did not come")  # type: ignore[misc]
         old.calls.clear()
         for i, task in reading.items():
