--- a/puffindeck/quic/__init__.py
+++ b/puffindeck/quic/__init__.py
@@ -1,1 +1,1 @@
-"""The QUIC front: datagrams passed on undecrypted, by connection id."""
+"""The QUIC front: datagrams passed on undecrypted, by connection id. docs/quic.md describes it."""
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -1,273 +1,44 @@
-"""Datagrams between clients and boxes, by connection id, on the same core as the lines of text.
-
-A client's first Initial is a request; the module places it. The box's first valid answer means up. Each
-client address of a connection has a flow with a socket of its own towards the box, so the box sees a client
-that changes its address do so, and checks the new path itself before it uses it; nobody's answers can be
-drawn elsewhere by a forged address, as the old flow stays what it is. Later packets find their flow by
-address and id, and else their box by the id alone: a phone that comes from a new network, with an id never
-seen here, goes on where it was, also while that box drains and also when another node had it before.
+"""The socket that QUIC clients send to: datagrams passed on by connection id, on the core of all fronts.
+
+A client's first Initial is a request; the module places it. The endpoint's first valid response means that
+the connection is established. Each client address of a connection has a flow with a socket of its own towards
+the endpoint, so the endpoint sees a client that changes its address do so, and validates the new path itself
+before it uses it; nobody's responses can be drawn elsewhere by a forged address, as the old flow stays as it
+was. Later packets find their flow by address and id, and else their endpoint by the id alone: a phone that
+comes from a new network, with an id never seen here, goes on where it was, also while that endpoint drains
+and also when another node had it before.
 """
 
 from __future__ import annotations
 
-from collections import Counter
 from collections.abc import Callable
 from datetime import timedelta
 from typing import Any
 
-from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
-from twisted.logger import Logger
 
 from puffindeck.config import Quic
-from puffindeck.core.clock import ZERO, ms, span
-from puffindeck.core.datagram_port import listen_datagrams
+from puffindeck.core.clock import ZERO, span
 from puffindeck.core.engine import Engine
-from puffindeck.core.generational_arena import GenerationalArena
-from puffindeck.core.requests import AttemptId, Link, Request
+from puffindeck.core.requests import Request
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.quic import packets
-from puffindeck.quic.ids import Ids
-from puffindeck.quic.packets import Kind, Packet
+from puffindeck.quic.connection_ids import ConnectionIds
+from puffindeck.quic.dropped_datagrams import DroppedDatagrams
+from puffindeck.quic.flow import Flow, FlowContext
+from puffindeck.quic.flow_table import Address, FlowTable
+from puffindeck.quic.packets import Packet, PacketKind
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.keys import number
 
-log = Logger("puffindeck")
-
-Address = tuple[str, int]
-
-SWEEP = span(500)
-UNPROVEN = span(3000)  # how long a flow taken over may be without a word from its box
-FIRST_FLIGHT = 4  # datagrams of a client's first flight that are kept for another attempt
-UNANSWERED = 4  # datagrams: fewer may be acknowledgements, which no answer is due to
-IDS = 8  # ids that lead to a flow at once: the client's first, then those its box and it go on to
-AMPLIFY = 3  # times the octets that came from an address are sent to it, until it has shown to receive
-REPORT = span(10000)  # how often dropped datagrams are logged
-
-
-class Upstream(DatagramProtocol):
-    """A flow's socket towards a box."""
-
-    noisy = False
-    transport: Any = None
-
-    def __init__(self, link: BoxLink, address: Address) -> None:
-        self.link, self.address = link, address
-
-    def startProtocol(self) -> None:
-        self.transport.connect(*self.address)
-
-    def datagramReceived(self, datagram: bytes, addr: Address) -> None:
-        self.link.answered(datagram)
-
-    def connectionRefused(self) -> None:
-        """No process has the box's port."""
-        self.link.refused()
-
-    def stopProtocol(self) -> None:
-        """The reactor closes a socket with an error on it, an ICMP refusal say, and tells nothing more."""
-        self.link.refused()
-
-
-class BoxLink:
-    """A flow's way to a box: an attempt first, then what its datagrams pass over."""
-
-    def __init__(self, flow: Flow, ticket: AttemptId, endpoint: int) -> None:
-        self.flow, self.ticket, self.endpoint = flow, ticket, endpoint
-        self.done = False
-        self._port: Any = None
-
-    def open(self, address: Address) -> bool:
-        """Bind a socket; False where there is none to be had."""
-        front = self.flow.front
-        upstream = Upstream(self, address)
-        try:
-            self._port = listen_datagrams(front.reactor, 0, upstream, "::" if ":" in address[0] else "")
-        except CannotListenError as error:
-            log.warn(
-                "quic: no socket towards {host}: {error}",
-                host=front.directory.name(self.endpoint),
-                error=error,
-            )
-            return False
-        return True
-
-    def send(self, datagram: bytes) -> None:
-        if not self.done and self._port is not None:
-            try:
-                self._port.write(datagram)
-            except OSError as error:  # a full buffer loses a datagram as any network may
-                self.flow.front.drop("not sent", error)
-
-    def answered(self, datagram: bytes) -> None:
-        if not self.done:
-            self.flow.from_box(self, datagram)
-
-    def refused(self) -> None:
-        self.finish(Outcome.RESET if self.flow.up else Outcome.CONNECT_FAILED)
-
-    def finish(self, outcome: Outcome) -> None:
-        if not self.done:
-            self.give_up()
-            self.flow.link = None
-            if self.flow.up:
-                self.flow.end()
-            self.flow.front.engine.ended(self.ticket, outcome)
-
-    def look(self) -> None:
-        """Nothing waits unread here."""
-
-    def give_up(self) -> None:
-        if not self.done:
-            self.done = True
-            if self._port is not None:
-                self._port.stopListening()
-
-
-class Flow:
-    """One connection from one client address."""
-
-    def __init__(self, front: QuicFront, address: Address, first: Packet | None) -> None:
-        self.front, self.address, self.first = front, address, first
-        self.slot = front.flows.add(self)
-        self.request = 0
-        self.link: BoxLink | None = None
-        self.up = self.proven = False  # its box has answered; its client has shown to receive what is sent
-        self._over = False
-        self._kept: list[bytes] = []
-        self._came = self._went = 0  # octets from and to an address that has not shown to receive any
-        self.heard = self.spoke = front.now()  # when the box, and the client, was last heard of
-        self.asked, self.unanswered = self.heard, 0  # the client's that no word of the box came after
-        self.box: int | None = None  # by whose ids it is found, besides those that it was seen with
-        self._answer = b""
-        self.ids: list[bytes] = []
-
-    # The engine's client
-
-    def waits(self) -> bool:
-        """Is it still there to be served?"""
-        return not self._over
-
-    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
-        link = BoxLink(self, ticket, endpoint)
-        address = self.front.directory.addresses.get(endpoint)
-        if address is None or not self.front.engine.may_reach(endpoint):
-            link.finish(Outcome.CONNECT_FAILED)
-            return None
-        if not link.open(address):
-            link.finish(Outcome.NO_RESOURCE)
-            return None
-        self.link = link
-        for datagram in self._kept:
-            link.send(datagram)
-        return link
-
-    def began(self, link: Link) -> None:
-        self.up = True
-        self.front.reached(self)
-        self._to_client(self._answer)
-        self._kept, self._answer = [], b""
-
-    def refuse(self, wait: timedelta) -> None:
-        reason = f"busy, come back in {ms(wait):.0f} ms" if wait > ZERO else "busy"
-        self._close(packets.REFUSED, reason)
-
-    def fail(self) -> None:
-        self._close(packets.INTERNAL, "failed")
-
-    def move(self) -> bool:
-        """Only an endpoint can tell a QUIC client to move; docs/quic.md says what stands in."""
-        return False
-
-    def _close(self, error: int, reason: str) -> None:
-        if self.first is not None and not self._over:
-            self._to_client(packets.refusal(self.first, error, reason))
-        self.end()
-
-    # Datagrams
-
-    def from_client(self, packet: Packet, datagram: bytes) -> None:
-        """Pass on what the client sends. Its first flight is kept too, in case another box must be tried."""
-        self.spoke = self.front.now()
-        if not self.unanswered:
-            self.asked = self.spoke
-        self.unanswered += 1
-        self._came += len(datagram)
-        if self.first is None or (packet.to != self.first.to and self.up):
-            self.proven = self.proven or self._went > 0  # it uses an id that only what was sent there names
-        link = self.link
-        if not self.up and self.first is not None:
-            if len(self._kept) < FIRST_FLIGHT:
-                self._kept.append(datagram)
-            if link is not None and not self.front.engine.may_reach(link.endpoint):
-                link.finish(Outcome.RESET)  # its drain is older than the grace: nothing more begins there
-                return
-        if link is not None:
-            link.send(datagram)
-
-    def from_box(self, link: BoxLink, datagram: bytes) -> None:
-        """Pass on what the box sends. Its first valid answer is what an attempt waits for."""
-        self.heard, self.unanswered = self.front.now(), 0
-        if self.up:
-            self._to_client(datagram)
-            return
-        packet = packets.read(datagram, self.front.ids.length)
-        if self.first is None:  # taken over from its id alone: any word from its box will do
-            self.up = True
-            self.front.unproven -= 1
-            self._to_client(datagram)
-        elif packet is None or packet.to != self.first.source or packet.kind in (Kind.SHORT, Kind.UNKNOWN):
-            self.front.drop("no answer to what was asked")
-        elif packet.kind == Kind.NEGOTIATION:
-            link.finish(Outcome.ERROR)
-        elif packet.kind == Kind.RETRY:  # the client comes again with the box's token: not up yet
-            self.front.name(self, packet.source)
-            self._kept = []
-            self._to_client(datagram)
-        else:
-            self.front.name(self, packet.source)
-            self._answer = datagram
-            if not self.front.engine.began(link.ticket):
-                link.give_up()
-
-    def _to_client(self, datagram: bytes) -> None:
-        """An address that has not shown to receive gets no more than a few times what came from it."""
-        if not self.proven and self._went + len(datagram) > AMPLIFY * self._came:
-            self.front.drop("would amplify")
-            return
-        self._went += len(datagram)
-        self.front.write(datagram, self.address)
-
-    # Its end
-
-    def look(self, now: timedelta) -> None:
-        """Has it gone idle, or its box silent?"""
-        if not self.up:
-            if self.first is None and now - self.spoke > UNPROVEN:
-                self._leave(Outcome.RESET)
-        elif now - max(self.heard, self.spoke) > self.front.idle:
-            self._leave(Outcome.OK)
-        elif self.unanswered >= UNANSWERED and self.spoke - self.asked > self.front.silent:
-            host = self.front.directory.name(self.link.endpoint) if self.link is not None else "?"
-            log.warn("quic: box {host} silent, its flow is dropped", host=host)
-            self._leave(Outcome.RESET)
-
-    def _leave(self, outcome: Outcome) -> None:
-        link = self.link
-        self.end()
-        if link is not None:
-            link.finish(outcome)
-
-    def end(self) -> None:
-        """Forget it; what still comes is found by its id alone."""
-        if not self._over:
-            self._over = True
-            self.front.forget(self)
+SWEEP_INTERVAL = span(500)  # how often flows are checked for time-outs
+REPORT_INTERVAL = span(10000)  # how often dropped datagrams are logged
+LATER_PACKETS = (PacketKind.SHORT, PacketKind.HANDSHAKE)  # of a connection that an endpoint has
 
 
 class QuicFront(DatagramProtocol):
-    """The socket that clients send to, and the tables behind it, all of them bounded."""
+    """The socket that clients send to. It finds a datagram's flow, or begins one."""
 
     noisy = False
     transport: Any = None
@@ -275,170 +46,149 @@
     def __init__(
         self,
         reactor: Any,
-        told: Quic,
+        config: Quic,
         engine: Engine,
         deadlines: TimerQueue,
         directory: Directory,
         stopping: Callable[[], bool],
     ) -> None:
-        self.reactor, self.told, self.engine, self.deadlines = reactor, told, engine, deadlines
-        self.directory, self._stopping = directory, stopping
-        self.ids = Ids(told.config_id, told.server_id_length, told.nonce_length, told.key)
-        self.flows: GenerationalArena[Flow] = GenerationalArena()
-        self.idle, self.silent = told.idle, told.silent
-        self.dropped: Counter[str] = Counter()
-        self._reported = 0
-        self._by_id: dict[tuple[Address, bytes], int] = {}
-        self._by_box: dict[tuple[Address, int], int] = {}
-        self.unproven = 0  # flows taken over whose box has not said a word
-        self._boxes = dict(told.boxes)  # server id -> a host's name
-        deadlines.after(SWEEP, self._sweep)
-        deadlines.after(REPORT, self._report)
+        """`stopping` says whether the node shuts down, so that nothing new may begin."""
+        self._config = config
+        self._engine = engine
+        self._deadlines = deadlines
+        self._directory = directory
+        self._stopping = stopping
+        self._ids = ConnectionIds(config.config_id, config.server_id_length, config.nonce_length, config.key)
+        self._host_by_server_id = dict(config.boxes)
+        self.flows: FlowTable[Flow] = FlowTable(config.connections)
+        self.dropped = DroppedDatagrams()
+        self._context = FlowContext(
+            reactor=reactor,
+            engine=engine,
+            clock=deadlines.clock,
+            directory=directory,
+            table=self.flows,
+            dropped=self.dropped,
+            write=self._write,
+            idle_timeout=config.idle,
+            silent_timeout=config.silent,
+            short_id_octets=self._ids.length,
+        )
+        deadlines.after(SWEEP_INTERVAL, self._sweep)
+        deadlines.after(REPORT_INTERVAL, self._report)
 
-    def now(self) -> timedelta:
-        return self.deadlines.clock.now()
+    def _sweep(self) -> None:
+        now = self._deadlines.clock.now()
+        for flow in self.flows:
+            flow.check_timeouts(now)
+        self._deadlines.after(SWEEP_INTERVAL, self._sweep)
 
-    def endpoint(self, cid: bytes) -> int | None:
-        """The box that a connection id names, if the list has it."""
-        octets = self.ids.server(cid)
-        if octets is None:
-            return None
-        uid = self._boxes.get(octets)
-        if uid is None:
-            return None
-        endpoint = self.directory.number(uid)
-        return endpoint if endpoint in self.directory.addresses and self.engine.known(endpoint) else None
+    def _report(self) -> None:
+        self.dropped.report(len(self.flows))
+        self._deadlines.after(REPORT_INTERVAL, self._report)
 
-    def write(self, datagram: bytes, address: Address) -> None:
+    def _write(self, datagram: bytes, address: Address) -> None:
         try:
             self.transport.write(datagram, address)
-        except OSError as error:
-            self.drop("not sent", error)
-
-    def drop(self, why: str, error: object = None) -> None:
-        """Junk costs a count, never a line each."""
-        self.dropped[why] += 1
+        except OSError:
+            self.dropped.count("not sent")
 
-    def _report(self) -> None:
-        total = sum(self.dropped.values())
-        if total != self._reported:
-            self._reported = total
-            counts = ", ".join(f"{why}: {count}" for why, count in sorted(self.dropped.items()))
-            log.info(
-                "quic: {flows} flows; datagrams dropped since the start: {counts}",
-                flows=len(self.flows),
-                counts=counts,
-            )
-        self.deadlines.after(REPORT, self._report)
-
-    def _sweep(self) -> None:
-        now = self.now()
-        for flow in self.flows:
-            flow.look(now)
-        self.deadlines.after(SWEEP, self._sweep)
+    def _endpoint_of(self, connection_id: bytes) -> int | None:
+        """The endpoint that a connection id names, if the endpoint list has it."""
+        server_id = self._ids.server_id(connection_id)
+        if server_id is None:
+            return None
+        host = self._host_by_server_id.get(server_id)
+        if host is None:
+            return None
+        endpoint = self._directory.number(host)
+        is_listed = endpoint in self._directory.addresses and self._engine.known(endpoint)
+        return endpoint if is_listed else None
 
-    # Finding the flow
+    # Datagrams of clients
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
+        """Pass a datagram to its flow, begin one, or drop it."""
         address: Address = addr[:2]
-        packet = packets.read(datagram, self.ids.length)
+        packet = packets.parse_packet(datagram, self._ids.length)
         if packet is None:
-            self.drop("not QUIC")
+            self.dropped.count("not QUIC")
             return
-        flow = self._find(address, packet)
+        flow = self._find_flow(address, packet)
         if flow is not None:
-            flow.from_client(packet, datagram)
-        elif packet.kind == Kind.UNKNOWN:
-            if len(datagram) >= packets.LEAST_INITIAL:  # one that is shorter than the answer may be forged
-                self.write(packets.negotiation(packet), address)
-            else:
-                self.drop("version not known")
-        elif packet.kind == Kind.INITIAL:
-            self._initial(address, packet, datagram)
-        elif packet.kind in (Kind.SHORT, Kind.HANDSHAKE):
+            flow.on_client_datagram(packet, datagram)
+        elif packet.kind == PacketKind.UNKNOWN_VERSION:
+            self._negotiate_version(address, packet, datagram)
+        elif packet.kind == PacketKind.INITIAL:
+            self._begin_flow(address, packet, datagram)
+        elif packet.kind in LATER_PACKETS:
             self._take_over(address, packet, datagram)
         else:
-            self.drop("no connection")
+            self.dropped.count("no connection")
 
-    def _find(self, address: Address, packet: Packet) -> Flow | None:
-        slot = self._by_id.get((address, packet.to))
-        if slot is None and packet.kind in (Kind.SHORT, Kind.HANDSHAKE):
-            endpoint = self.endpoint(packet.to)
-            slot = self._by_box.get((address, endpoint)) if endpoint is not None else None
-            flow = self.flows.get(slot) if slot is not None else None
-            if flow is not None:
-                self.name(flow, packet.to)
-        return self.flows.get(slot) if slot is not None else None
+    def _find_flow(self, address: Address, packet: Packet) -> Flow | None:
+        flow = self.flows.find(address, packet.destination_id)
+        if flow is not None or packet.kind not in LATER_PACKETS:
+            return flow
+        endpoint = self._endpoint_of(packet.destination_id)
+        if endpoint is None:
+            return None
+        flow = self.flows.find_by_endpoint(address, endpoint)
+        if flow is not None:
+            self.flows.add_id(flow, packet.destination_id)
+        return flow
+
+    def _negotiate_version(self, address: Address, packet: Packet, datagram: bytes) -> None:
+        if len(datagram) >= packets.MIN_INITIAL_OCTETS:  # a shorter one than the response may be forged
+            self._write(packets.version_negotiation(packet), address)
+        else:
+            self.dropped.count("version not known")
 
-    def _initial(self, address: Address, packet: Packet, datagram: bytes) -> None:
-        """A new connection, whatever box its id may name: the module places it."""
-        if len(datagram) < packets.LEAST_INITIAL or len(packet.to) < packets.LEAST_FIRST_ID:
-            self.drop("no valid Initial")
+    def _begin_flow(self, address: Address, packet: Packet, datagram: bytes) -> None:
+        """A new connection, whatever endpoint its id may name: the module places it."""
+        id_octets = len(packet.destination_id)
+        if len(datagram) < packets.MIN_INITIAL_OCTETS or id_octets < packets.MIN_FIRST_ID_OCTETS:
+            self.dropped.count("no valid Initial")
             return
-        if self._stopping() or len(self.flows) >= self.told.connections or self.engine.held.full():
-            self.write(packets.refusal(packet, packets.REFUSED, "busy"), address)
-            self.drop("refused: no room")
+        if self._stopping() or self.flows.is_full() or self._engine.held.full():
+            self._write(packets.connection_close(packet, packets.CONNECTION_REFUSED, "busy"), address)
+            self.dropped.count("refused: no room")
             return
-        flow = Flow(self, address, packet)
-        self.name(flow, packet.to)
-        flow.from_client(packet, datagram)
-        flow.request = self.engine.request(flow, self._asked(address, self.told.deadline))
+        flow = Flow(self._context, address, packet)
+        self.flows.add_id(flow, packet.destination_id)
+        flow.on_client_datagram(packet, datagram)
+        flow.request = self._engine.request(flow, self._request(address, self._config.deadline))
 
-    def _asked(self, address: Address, left: timedelta) -> Request:
-        """The key is the client's host: it comes back to the box that may know it."""
-        facts = ConnectionInfo(address[0], address[1], self.told.listen[1], "quic")
-        return Request(self.told.cls, number(address[0].encode()), left, facts=facts)
+    def _request(self, address: Address, time_to_answer: timedelta) -> Request:
+        """The key is the client's host: it comes back to the endpoint that may know it."""
+        facts = ConnectionInfo(address[0], address[1], self._config.listen[1], "quic")
+        key = number(address[0].encode())
+        return Request(self._config.cls, key, time_to_answer, facts=facts)
 
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
-        """A connection set up at another address, or through another node, with an id that names its box.
+        """A connection set up at another address or through another node; its id names its endpoint.
 
-        Nothing new begins: the box has the connection, and it may drain. If it does not, it answers with a
-        reset or not at all, and the flow is gone soon; so such flows may fill a part of the table only.
+        Nothing new begins: the endpoint has the connection, and it may drain. If it does not have it, it
+        answers with a reset or not at all, and the flow is gone soon; so such flows may fill only a part of
+        the table.
         """
-        endpoint = self.endpoint(packet.to)
+        endpoint = self._endpoint_of(packet.destination_id)
         if endpoint is None:
-            self.drop("names no box")
+            self.dropped.count("names no box")
             return
-        if len(self.flows) >= self.told.connections or 4 * self.unproven >= self.told.connections:
-            self.drop("no room")
+        if self.flows.is_full_for_unconfirmed():
+            self.dropped.count("no room")
             return
-        flow = Flow(self, address, None)
-        self.unproven += 1
-        ticket = self.engine.opened(flow, self._asked(address, ZERO), endpoint)
-        flow.request = ticket.request
-        link = BoxLink(flow, ticket, endpoint)
-        if not link.open(self.directory.addresses[endpoint]):
+        flow = Flow(self._context, address, None)
+        attempt_id = self._engine.opened(flow, self._request(address, ZERO), endpoint)
+        flow.request = attempt_id.request
+        link = flow.new_link(attempt_id, endpoint)
+        if not link.open(self._context.reactor, self._directory):
             flow.end()
             link.finish(Outcome.RESET)
             return
         flow.link = link
-        self.engine.linked(ticket, link)
-        self.name(flow, packet.to)
-        self.reached(flow)
-        flow.from_client(packet, datagram)
-
-    # The tables
-
-    def name(self, flow: Flow, cid: bytes) -> None:
-        """Let an id lead to a flow from its address; the oldest of too many is let go."""
-        if (flow.address, cid) not in self._by_id:
-            flow.ids.append(cid)
-            if len(flow.ids) > IDS:
-                self._by_id.pop((flow.address, flow.ids.pop(0)), None)
-        self._by_id[flow.address, cid] = flow.slot
-
-    def reached(self, flow: Flow) -> None:
-        """Further ids of its box from its address lead to it too."""
-        if flow.link is not None:
-            flow.box = flow.link.endpoint
-            self._by_box[flow.address, flow.box] = flow.slot
-
-    def forget(self, flow: Flow) -> None:
-        self.flows.drop(flow.slot)
-        for cid in flow.ids:
-            if self._by_id.get((flow.address, cid)) == flow.slot:
-                del self._by_id[flow.address, cid]
-        if flow.box is not None and self._by_box.get((flow.address, flow.box)) == flow.slot:
-            del self._by_box[flow.address, flow.box]
-        if flow.first is None and not flow.up:
-            self.unproven -= 1
+        self._engine.linked(attempt_id, link)
+        self.flows.add_id(flow, packet.destination_id)
+        flow.index_by_endpoint()
+        flow.on_client_datagram(packet, datagram)
