--- a/benchmarks/rpc_cost.py
+++ b/benchmarks/rpc_cost.py
@@ -2,7 +2,7 @@
 
     python -m benchmarks.rpc_cost [--calls 3000] [--rounds 5]
 
-The box is a process of its own. The two take turns call by call, so that the machine's drift meets both.
+The server is a process of its own. The two take turns call by call, so that the machine's drift meets both.
 """
 
 from __future__ import annotations
@@ -15,20 +15,20 @@
 
 import grpc
 
-from benchmarks.rpc_side_by_side import Part
+from benchmarks.rpc_side_by_side import Process
 from benchmarks.table import table
 from puffindeck.config.members import Target
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_world import Stub, keyed, told
+from tests.support.rpc_world import Stub, client_config, key_metadata
 
 
 async def measure(calls: int, rounds: int) -> None:
-    box = await Part.start("benchmarks.rpc_parts", "boxes", "--names", "one,two,three")
-    ports = await box.hear()
+    servers = await Process.start("benchmarks.rpc_parts", "servers", "--names", "one,two,three")
+    ports = await servers.read()
     targets = [Target(name, "SERVING", f"127.0.0.1:{both[0]}", "a", "m") for name, both in ports.items()]
     rows = []
-    async with BalancedChannel(told(None, *targets)) as balanced:
-        key = keyed("desk 7")
+    async with BalancedChannel(client_config(None, *targets)) as balanced:
+        key = key_metadata("desk 7")
         name = (await Stub(balanced).status(b"x", metadata=key)).split(b":")[0].decode()
         async with grpc.aio.insecure_channel(f"127.0.0.1:{ports[name][0]}") as bare:
             stubs = {"bare": Stub(bare), "balanced": Stub(balanced)}
@@ -50,7 +50,7 @@
                             middle["balanced"] / middle["bare"],
                         ]
                     )
-    await box.end()
+    await servers.end()
     print(f"unary calls, one at a time, {calls} of each kind a round; medians in microseconds\n")
     print(table(["round", "bare grpc.aio", "BalancedChannel", "ratio"], rows))
 
@@ -59,8 +59,8 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--calls", type=int, default=3000)
     parser.add_argument("--rounds", type=int, default=5)
-    given = parser.parse_args()
-    asyncio.run(measure(given.calls, given.rounds))
+    options = parser.parse_args()
+    asyncio.run(measure(options.calls, options.rounds))
 
 
 if __name__ == "__main__":
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -1,11 +1,11 @@
-"""The plug-in's clients and the daemon side by side on this machine: the same roster, boxes and keys.
+"""The plug-in's clients and the daemon side by side on this machine: same endpoint list, servers and keys.
 
-    python -m benchmarks.rpc_side_by_side [--clients 600] [--boxes 15] [--seed 1]
+    python -m benchmarks.rpc_side_by_side [--clients 600] [--servers 15] [--seed 1]
 
-Three days for each, with real sockets: a calm one; one on which three boxes have just started when all
-clients connect, over three seconds; and one on which three boxes die under standing connections and come
-back cold eight seconds later, while each client begins a connection anew every six seconds. What a cold box
-can do is what fills it over its warm-up, times its warmth; more than three times that within a second
+Three days for each, with real sockets: a calm one; one on which three servers have just started when all
+clients connect, over three seconds; and one on which three servers die under standing connections and come
+back cold eight seconds later, while each client begins a connection anew every six seconds. What a cold
+server can do is what fills it over its warm-up, times its warmth; more than three times that within a second
 breaks the rule.
 """
 
@@ -64,14 +64,14 @@
     }
 
 
-class Part:
+class Process:
     """A process of the measurement."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
 
     @classmethod
-    async def start(cls, *words: str, env: dict[str, str] | None = None) -> Part:
+    async def start(cls, *words: str, env: dict[str, str] | None = None) -> Process:
         return cls(
             await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -85,7 +85,7 @@
             )
         )
 
-    async def hear(self) -> Any:
+    async def read(self) -> Any:
         assert self.process.stdout is not None
         line = await self.process.stdout.readline()
         if not line:
@@ -97,9 +97,9 @@
         self.process.stdin.write(text.encode() + b"\n")
         await self.process.stdin.drain()
 
-    async def say(self, text: str) -> Any:
+    async def request(self, text: str) -> Any:
         await self.write(text)
-        return await self.hear()
+        return await self.read()
 
     async def end(self) -> None:
         if self.process.returncode is None:
@@ -108,38 +108,39 @@
 
 
 class Side:
-    """A front, its clients and the boxes."""
+    """A front, its clients and the servers."""
 
-    def __init__(self, told: argparse.Namespace, front: str, folder: Path) -> None:
+    def __init__(self, options: argparse.Namespace, front: str, folder: Path) -> None:
         """`front` is the plug-in, the daemon as it is, or the daemon on an evened ring."""
-        self.told, self.folder = told, folder
+        self.options = options
+        self.folder = folder
         self.front = "plugin" if front == "plugin" else "lines"
         self.evenness = EVENNESS if front == "even" else 0.0
-        self.names = [f"b{i}" for i in range(told.boxes)]
+        self.names = [f"b{i}" for i in range(options.servers)]
         self.discovery = Discovery()
-        self.parts: list[Part] = []
-        self.of: dict[str, Part] = {}
+        self.parts: list[Process] = []
+        self.of: dict[str, Process] = {}
         self.targets: dict[str, Target] = {}
         self.port = 0
 
     async def start(self) -> None:
         for i in range(3):
             names = self.names[i::3]
-            part = await Part.start("benchmarks.rpc_parts", "boxes", "--names", ",".join(names))
+            part = await Process.start("benchmarks.rpc_parts", "servers", "--names", ",".join(names))
             self.parts.append(part)
-            for name, ports in (await part.hear()).items():
+            for name, ports in (await part.read()).items():
                 self.of[name] = part
                 port = ports[0 if self.front == "plugin" else 1]
                 self.targets[name] = Target(name, "SERVING", f"127.0.0.1:{port}", "a", "m", 1, 1.0, 0.0)
         await self.discovery.start()
-        self.discovery.tell(*self.targets.values())
+        self.discovery.update(*self.targets.values())
         if self.front == "lines":
             await self.daemon()
         else:
             config = {
                 "discovery": f"127.0.0.1:{self.discovery.port}",
                 "rpc": {"class": "status", "methods": METHODS},
-                "settings": settings(self.told.clients, EVENNESS),
+                "settings": settings(self.options.clients, EVENNESS),
             }
             (self.folder / "client.toml").write_text(tomli_w.dumps(config))
 
@@ -156,7 +157,7 @@
         }
         (self.folder / "node.json").write_text(json.dumps(config))
         env = {"EDGE_CONFIG": str(self.folder / "node.json"), "TMPDIR": str(self.folder)}
-        self.parts.append(await Part.start("puffindeck", env=env))
+        self.parts.append(await Process.start("puffindeck", env=env))
         while True:
             try:
                 reader, writer = await asyncio.open_connection("127.0.0.1", self.port)
@@ -167,11 +168,11 @@
                 pass
             await asyncio.sleep(0.05)
 
-    async def clients(self, spread: float, churn: float, *more: str) -> list[Part]:
-        made, each = [], -(-self.told.clients // self.told.processes)
-        for first in range(0, self.told.clients, each):
-            count = min(each, self.told.clients - first)
-            part = await Part.start(
+    async def clients(self, spread: float, churn: float, *more: str) -> list[Process]:
+        made, each = [], -(-self.options.clients // self.options.processes)
+        for first in range(0, self.options.clients, each):
+            count = min(each, self.options.clients - first)
+            part = await Process.start(
                 "benchmarks.rpc_parts",
                 self.front,
                 "--config",
@@ -179,7 +180,7 @@
                 "--port",
                 str(self.port),
                 "--seed",
-                str(self.told.seed),
+                str(self.options.seed),
                 "--first",
                 str(first),
                 "--count",
@@ -193,25 +194,25 @@
             made.append(part)
             self.parts.append(part)
         for part in made:
-            await part.hear()
+            await part.read()
         return made
 
     @staticmethod
-    async def go(fleets: list[Part]) -> None:
+    async def go(fleets: list[Process]) -> None:
         """Let the clients connect, and wait until each has been served."""
         for fleet in fleets:
             await fleet.write("go")
         for fleet in fleets:
-            await fleet.hear()
+            await fleet.read()
 
     @staticmethod
-    async def reports(fleets: list[Part]) -> dict[str, Any]:
-        found: dict[str, Any] = {"first": {}, "open": {}, "refused": 0, "longest_ms": 0.0}
+    async def reports(fleets: list[Process]) -> dict[str, Any]:
+        found: dict[str, Any] = {"first": {}, "open": {}, "rejected": 0, "longest_ms": 0.0}
         for fleet in fleets:
-            report = await fleet.say("report")
+            report = await fleet.request("report")
             found["first"].update(report["first"])
             found["open"].update(report["open"])
-            found["refused"] += report["refused"]
+            found["rejected"] += report["rejected"]
             found["longest_ms"] = max(found["longest_ms"], report["longest_ms"])
         return found
 
@@ -220,12 +221,15 @@
             await part.end()
         await self.discovery.stop()
 
-    def fullest(self, held: dict[str, str]) -> float:
-        return max(Counter(held.values()).values()) / (len(held) / len(self.names))
+    def fullest(self, placed: dict[str, str]) -> float:
+        return max(Counter(placed.values()).values()) / (len(placed) / len(self.names))
 
-    def over(self, came: list[tuple[float, str]], since: float) -> int:
-        """Seconds, beginning with any arrival, in which a cold box got over 3 times what it could do."""
-        usual, times = self.told.clients / self.told.boxes, sorted(at for at, _ in came if at >= since)
+    def over(self, arrivals: list[tuple[float, str]], since: float) -> int:
+        """Seconds, beginning with any arrival, in which a cold server got over 3 times what it could do."""
+        usual, times = (
+            self.options.clients / self.options.servers,
+            sorted(at for at, _ in arrivals if at >= since),
+        )
         broken = 0
         for at in times:
             if at - since > 9.0:
@@ -245,38 +249,38 @@
         return {
             "first": report["first"],
             "fullest": self.fullest(report["first"]),
-            "refused": report["refused"],
+            "rejected": report["rejected"],
             "longest_ms": report["longest_ms"],
         }
 
     async def short(self) -> dict[str, Any]:
-        """Each key once, for 20 ms: what is placed on an empty ledger."""
+        """Each key once, for 20 ms: what is placed with no load counted."""
         await self.start()
         fleets = await self.clients(6.0, 0.0, "--once")
         await self.go(fleets)
         return {"first": (await self.reports(fleets))["first"]}
 
     async def chilled(self) -> dict[str, Any]:
-        """Three boxes start as the clients do: they are told with the start of the first client."""
+        """Three servers start as the clients do: discovery lists them at the start of the first client."""
         await self.start()
         fleets = await self.clients(3.0, 0.0)
         since = time.time()
-        self.discovery.tell(*(replace(self.targets[name], boot_ms=since * 1000) for name in self.names[:3]))
+        self.discovery.update(*(replace(self.targets[name], boot_ms=since * 1000) for name in self.names[:3]))
         await self.go(fleets)
         report = await self.reports(fleets)
-        came = await self.came()
+        arrivals = await self.arrivals()
         return {
             "fullest": self.fullest(report["first"]),
-            "refused": report["refused"],
+            "rejected": report["rejected"],
             "longest_ms": report["longest_ms"],
-            "cold": [len([at for at, _ in came[name]]) for name in self.names[:3]],
-            "over": sum(self.over(came[name], since) for name in self.names[:3]),
+            "cold": [len([at for at, _ in arrivals[name]]) for name in self.names[:3]],
+            "over": sum(self.over(arrivals[name], since) for name in self.names[:3]),
         }
 
-    async def came(self) -> dict[str, list[tuple[float, str]]]:
+    async def arrivals(self) -> dict[str, list[tuple[float, str]]]:
         found: dict[str, list[tuple[float, str]]] = {}
         for part in {id(part): part for part in self.of.values()}.values():
-            found.update(await part.say("report"))
+            found.update(await part.request("report"))
         return found
 
     async def back(self) -> dict[str, Any]:
@@ -286,30 +290,30 @@
         await asyncio.sleep(3.0)
         lost = self.names[:3]
         for name in lost:
-            await self.of[name].say(f"stop {name}")
+            await self.of[name].request(f"stop {name}")
         await asyncio.sleep(3.0)  # discovery notices late
-        self.discovery.tell(*(replace(self.targets[name], state="DELETED") for name in lost))
+        self.discovery.update(*(replace(self.targets[name], state="DELETED") for name in lost))
         await asyncio.sleep(5.0)
         for name in lost:
-            await self.of[name].say(f"start {name}")
+            await self.of[name].request(f"start {name}")
         since = time.time()
-        self.discovery.tell(*(replace(self.targets[name], boot_ms=since * 1000) for name in lost))
+        self.discovery.update(*(replace(self.targets[name], boot_ms=since * 1000) for name in lost))
         await asyncio.sleep(12.0)
-        report, came = await self.reports(fleets), await self.came()
-        after = {name: [c for c in came[name] if c[0] >= since] for name in lost}
+        report, arrivals = await self.reports(fleets), await self.arrivals()
+        after = {name: [c for c in arrivals[name] if c[0] >= since] for name in lost}
         return {
             "first_use": max((after[name][0][0] - since) if after[name] else 99.0 for name in lost),
             "over": sum(self.over(after[name], since) for name in lost),
             "in 9 s": [sum(at - since < 9 for at, _ in after[name]) for name in lost],
-            "refused": report["refused"],
+            "rejected": report["rejected"],
             "longest_ms": report["longest_ms"],
             "fullest": self.fullest(report["open"]),
         }
 
 
-async def play(told: argparse.Namespace, front: str, day: str) -> dict[str, Any]:
+async def run(options: argparse.Namespace, front: str, day: str) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as folder:
-        side = Side(told, front, Path(folder))
+        side = Side(options, front, Path(folder))
         try:
             found: dict[str, Any] = await asyncio.wait_for(getattr(side, day)(), 120)
             return found
@@ -318,7 +322,7 @@
 
 
 def alike(one: dict[str, Any], other: dict[str, Any]) -> float:
-    """The share of keys that two fronts have placed on the same box."""
+    """The share of keys that two fronts have placed on the same server."""
     both = one["first"].keys() & other["first"].keys()
     same = sum(bool(one["first"][key] == other["first"][key]) for key in both)
     return same / max(1, len(both))
@@ -327,13 +331,13 @@
 FRONTS = {"plugin": "plug-in", "lines": "daemon", "even": "daemon, its ring evened"}
 
 
-async def measure(told: argparse.Namespace) -> None:
+async def measure(options: argparse.Namespace) -> None:
     found = {
-        (front, day): await play(told, front, day)
+        (front, day): await run(options, front, day)
         for day in ("short", "calm", "chilled", "back")
         for front in FRONTS
     }
-    print(f"{told.clients} clients, {told.boxes} boxes, seed {told.seed}\n")
+    print(f"{options.clients} clients, {options.servers} servers, seed {options.seed}\n")
     rows = []
     for front, label in FRONTS.items():
         calm, chilled, back = (found[front, day] for day in ("calm", "chilled", "back"))
@@ -348,7 +352,7 @@
                 back["first_use"],
                 str(back["in 9 s"]),
                 back["over"],
-                "/".join(str(day["refused"]) for day in (calm, chilled, back)),
+                "/".join(str(day["rejected"]) for day in (calm, chilled, back)),
                 "/".join(f"{day['longest_ms']:.0f}" for day in (calm, chilled, back)),
             ]
         )
@@ -376,7 +380,7 @@
 def main() -> None:
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--clients", type=int, default=600)
-    parser.add_argument("--boxes", type=int, default=15)
+    parser.add_argument("--servers", type=int, default=15)
     parser.add_argument("--processes", type=int, default=6, help="that the plug-in's clients are spread over")
     parser.add_argument("--seed", type=int, default=1)
     asyncio.run(measure(parser.parse_args()))
--- a/puffindeck/rpc/subchannel_pool.py
+++ b/puffindeck/rpc/subchannel_pool.py
@@ -123,10 +123,6 @@
     def __len__(self) -> int:
         return len(self._open)
 
-    def in_use(self) -> bool:
-        """Does any call use a connection?"""
-        return any(subchannel.users for subchannel in self._open.values())
-
     def _make(self, address: tuple[str, int]) -> grpc.aio.Channel:
         host, port = address
         target = f"ipv6:[{host}]:{port}" if ":" in host else f"ipv4:{host}:{port}"
--- /dev/null
+++ b/tests/rpc/test_calls.py
@@ -0,0 +1,112 @@
+"""Calls of the four kinds, as grpc.aio has them."""
+
+from __future__ import annotations
+
+import asyncio
+from typing import Any
+
+import grpc
+from grpc.aio import EOF, AioRpcError, Metadata
+
+from puffindeck.rpc.grpc import moved
+from tests.support.rpc_story import ChannelStory
+from tests.support.rpc_world import key_metadata, wait_until
+
+
+class CallStories(ChannelStory):
+    """Responses, metadata, callbacks, cancellation and migration of one call."""
+
+    async def test_one_answer_with_its_metadata(self) -> None:
+        channel, stub = await self.begin()
+        call = stub.status(b"hi", timeout=2, metadata=key_metadata("desk 7"))
+        answer = await call
+        name = answer.split(b":")[0].decode()
+        self.assertEqual(answer, name.encode() + b":hi")
+        self.assertEqual((await call.trailing_metadata()).get("served-by"), name)
+        self.assertEqual((await call.initial_metadata()), Metadata())
+        self.assertIs(await call.code(), grpc.StatusCode.OK)
+        self.assertEqual((await call.details(), await call.debug_error_string()), ("", ""))
+        self.assertTrue(call.done())
+        self.assertFalse(call.cancel())
+        self.assertLess(call.time_remaining(), 2)
+        self.assertEqual(await call, answer)  # awaited twice
+        self.assertEqual(self.world.servers[name].metadata[0]["puffindeck-key"], "desk 7")
+        await self.nothing_left(channel)
+
+    async def test_calls_of_a_key_go_to_one_box_and_those_without_one_spread(self) -> None:
+        _, stub = await self.begin()
+        self.assertEqual(len({await stub.status(b"", metadata=key_metadata("desk 7")) for _ in range(12)}), 1)
+        self.assertEqual(len({await stub.status(b"") for _ in range(30)}), 3)
+
+    async def test_a_stream_of_answers_read_and_iterated(self) -> None:
+        channel, stub = await self.begin()
+        call = stub.watch(b"", metadata=key_metadata("desk 7"))
+        await call.wait_for_connection()
+        name = (await call.initial_metadata()).get("served-by")
+        self.assertEqual(await call.read(), name.encode())
+        self.world.servers[name].open_streams.pop().set()
+        self.assertEqual([message async for message in call], [b"last"])
+        self.assertIs(await call.read(), EOF)
+        self.assertIs(await call.code(), grpc.StatusCode.OK)
+        await self.nothing_left(channel)
+
+    async def test_streams_both_ways(self) -> None:
+        channel, stub = await self.begin("one")
+        call = stub.talk()
+        for message in (b"a", b"b"):
+            await call.write(message)
+            self.assertEqual(await call.read(), b"one:" + message)
+        await call.done_writing()
+        self.assertIs(await call.read(), EOF)
+        self.assertEqual([m async for m in stub.talk(iter([b"c", b"d"]))], [b"one:c", b"one:d"])
+        given = stub.talk(iter([b"c"]))
+        with self.assertRaises(grpc.aio.UsageError):
+            await given.write(b"d")
+        given.cancel()
+        await self.nothing_left(channel)
+
+    async def test_done_callbacks_are_called_once(self) -> None:
+        _, stub = await self.begin("one")
+        called_with: list[Any] = []
+        call = stub.status(b"")
+        call.add_done_callback(called_with.append)
+        await call
+        await wait_until(lambda: called_with, "no callback")
+        call.add_done_callback(called_with.append)
+        self.assertEqual(called_with, [call, call])
+
+    async def test_a_moved_stream_says_so(self) -> None:
+        channel, stub = await self.begin("one")
+        call = stub.watch(b"")
+        await call.read()
+        shared, _ = channel._started()
+        shared.engine.detach(shared.directory.number("one"))
+        with self.assertRaises(AioRpcError) as caught:
+            await call.read()
+        self.assertIs(self.error(caught).code(), grpc.StatusCode.UNAVAILABLE)
+        self.assertTrue(moved(self.error(caught)))
+        await self.nothing_left(channel)
+
+    async def test_a_reader_that_is_cancelled_cancels_the_stream(self) -> None:
+        channel, stub = await self.begin("one")
+        call = stub.watch(b"")
+        await call.read()
+        reading = asyncio.ensure_future(call.read())
+        await asyncio.sleep(0)
+        reading.cancel()
+        with self.assertRaises(asyncio.CancelledError):
+            await reading
+        self.assertTrue(call.cancelled())
+        await self.nothing_left(channel)
+        self.assertEqual(channel._started()[0].balancer.admission._lost, 0)  # not taken for a lost connection
+
+    async def test_reading_with_a_time_limit_of_ones_own(self) -> None:
+        channel, stub = await self.begin("one")
+        call = stub.watch(b"")
+        await call.read()
+        with self.assertRaises(TimeoutError):
+            async with asyncio.timeout(0.01):
+                await call.read()
+        self.assertTrue(call.cancelled())
+        await self.nothing_left(channel)
+        self.assertEqual(channel._started()[0].balancer.admission._lost, 0)
--- a/tests/rpc/test_endpoint.py
+++ b/tests/rpc/test_endpoint.py
@@ -129,21 +129,21 @@
         self.balancing = Balancing(reactor, replace(SETTINGS, connect_timeout_ms=100), 7)
         self.addCleanup(self.balancing.stop)
         self.serve("one")
-        asked: list[int] = []
+        requests: list[int] = []
 
         def ask() -> None:
-            asked.append(1)
-            reactor.callLater(0, self.balancing.unlisted if len(asked) == 1 else self.list)
+            requests.append(1)
+            reactor.callLater(0, self.balancing.unlisted if len(requests) == 1 else self.list)
 
         self.balancing.on_ask(ask)
         self.assertEqual((await self.call(self.balancing.endpoint()))[1], "one")
-        self.assertEqual(len(asked), 2)
+        self.assertEqual(len(requests), 2)
         await self.gone()
 
     async def test_a_connect_given_up_by_its_caller_leaves_nothing(self) -> None:
-        mute = Listener()
-        self.addCleanup(mute.port.stopListening)
-        self.ports["mute"] = mute.port
+        silent = Listener()
+        self.addCleanup(silent.port.stopListening)
+        self.ports["silent"] = silent.port
         self.list()
         connecting = self.balancing.endpoint().connect(AMP)
         connecting.cancel()
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -17,7 +17,7 @@
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
 from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
-from tests.support.rpc_world import Stub, World, keyed, told, until
+from tests.support.rpc_world import Stub, World, client_config, key_metadata, wait_until
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
 POOL = Pool("main", (("1", "2", "3"), ("4", "5")), server_limits={"1": 1})
@@ -70,7 +70,7 @@
 
 
 class ChannelStories(IsolatedAsyncioTestCase):
-    """A channel over pools, with boxes on loopback."""
+    """A channel over pools, with servers on loopback."""
 
     async def asyncSetUp(self) -> None:
         self.world = World()
@@ -86,27 +86,27 @@
                 Pool("streams", (("two",),)),
             ),
         )
-        with_pools = msgspec.structs.replace(told(self.world.discovery.port), routing=routing)
-        channel = self.world.channel(told=with_pools)
+        with_pools = msgspec.structs.replace(client_config(self.world.discovery.port), routing=routing)
+        channel = self.world.channel(config=with_pools)
         await asyncio.wait_for(channel.channel_ready(), 5)
         stub = Stub(channel)
         for i in range(6):
-            self.assertIn(b"one", await stub.status(b"", timeout=5, metadata=keyed(f"desk {i}")))
-        stream = stub.watch(b"", metadata=keyed("desk 1"))
+            self.assertIn(b"one", await stub.status(b"", timeout=5, metadata=key_metadata(f"desk {i}")))
+        stream = stub.watch(b"", metadata=key_metadata("desk 1"))
         self.assertIn(b"two", await stream.read())
-        await self.world.boxes["one"].stop()
+        await self.world.servers["one"].stop()
         for i in range(6):
-            self.assertIn(b"three", await stub.status(b"", timeout=5, metadata=keyed(f"desk {i}")))
-        self.assertEqual(self.world.count()["two"], 1)
+            self.assertIn(b"three", await stub.status(b"", timeout=5, metadata=key_metadata(f"desk {i}")))
+        self.assertEqual(self.world.call_counts()["two"], 1)
         stream.cancel()
         shared, _ = channel._started()
-        await until(lambda: not len(shared.engine.held), "the core still holds a call")
+        await wait_until(lambda: not len(shared.engine.held), "the core still holds a call")
         self.assertFalse(shared.balancer.places)
 
 
 def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
     text = (Path(__file__).parents[2] / "deploy/client-grpc.toml").read_text()
-    pools = '\n[routing]\ndefault = "all"\n[routing.pools.all]\nmembers = ["box-*"]\n'
+    pools = '\n[routing]\ndefault = "all"\n[routing.pools.all]\nmembers = ["server-*"]\n'
     (tmp_path / "c.toml").write_text(text + pools)
     assert client(tmp_path / "c.toml").routing.table.default == "all"
     (tmp_path / "c.toml").write_text(text + pools + '[routing.listeners]\nx = "127.0.0.1:1"\n')
--- /dev/null
+++ b/tests/rpc/test_status_outcomes.py
@@ -0,0 +1,44 @@
+"""The table of gRPC statuses and the outcomes that they stand for."""
+
+from __future__ import annotations
+
+import pytest
+
+from puffindeck.interface import NOT_PROCESSED, Outcome
+from puffindeck.rpc.status_outcomes import outcome_of_status
+
+
+@pytest.mark.parametrize(
+    ("code", "details", "response_started", "migrated", "expected"),
+    [
+        (0, "", True, False, Outcome.OK),
+        (3, "bad request", False, False, Outcome.OK),
+        (16, "who are you", False, False, Outcome.OK),
+        (14, "no", False, False, Outcome.ERROR),
+        (14, "Socket closed", True, False, Outcome.RESET),
+        (14, "", True, True, Outcome.CANCELLED),
+        (14, "", False, True, Outcome.CANCELLED),
+        (8, "full", False, False, Outcome.FULL),
+        (8, "quota", True, False, Outcome.RESET),
+        (8, "CLIENT: Received message larger than max (9 vs. 4)", False, False, Outcome.OK),
+        (4, "Deadline Exceeded", False, False, Outcome.TIMEOUT),
+        (1, "the server gave up", False, False, Outcome.RESET),
+        (13, "Received RST_STREAM with error code 2", False, False, Outcome.RESET),
+        (13, "a fault of the application", False, False, Outcome.OK),
+        (2, "Stream removed", True, False, Outcome.RESET),
+        (2, "an exception", False, False, Outcome.OK),
+    ],
+)
+def test_a_status_is_an_outcome(
+    code: int, details: str, response_started: bool, migrated: bool, expected: Outcome
+) -> None:
+    assert outcome_of_status(code, details, response_started, migrated) == expected
+
+
+def test_only_what_never_ran_is_held_to_be_so() -> None:
+    outcomes = {
+        outcome_of_status(code, "", response_started)
+        for code in range(17)
+        for response_started in (False, True)
+    }
+    assert outcomes & NOT_PROCESSED == {Outcome.FULL}
--- /dev/null
+++ b/tests/rpc/test_subchannel_pool.py
@@ -0,0 +1,55 @@
+"""The connections of a channel: opened anew, bounded, closed when idle."""
+
+from __future__ import annotations
+
+import asyncio
+
+import grpc
+from grpc.aio import AioRpcError
+
+from puffindeck.rpc.grpc import come_back
+from tests.support.rpc_story import ChannelStory
+from tests.support.rpc_world import key_metadata, wait_until
+
+
+class SubchannelPoolStories(ChannelStory):
+    """Connects to servers that are gone or back."""
+
+    async def test_many_calls_at_once_find_a_box_that_is_back(self) -> None:
+        """No one of them may open its connection anew, as the others use it, too."""
+        channel, stub = await self.begin("one")
+        server = self.world.servers["one"]
+        await stub.status(b"")
+        await server.stop()
+        codes = await asyncio.gather(*(stub.status(b"", timeout=1).code() for _ in range(5)))
+        self.assertNotIn(grpc.StatusCode.OK, codes)
+        await server.start()
+
+        async def served() -> bool:
+            codes = await asyncio.gather(*(stub.status(b"", timeout=1).code() for _ in range(5)))
+            return codes == [grpc.StatusCode.OK] * 5
+
+        async with asyncio.timeout(8):
+            while not await served():
+                await asyncio.sleep(0.1)
+        await self.nothing_left(channel)
+
+    async def test_boxes_that_are_gone_cost_connects_only(self) -> None:
+        channel, stub = await self.begin("one", "two")
+        key = self.world.key_of(channel, "one")
+        await self.world.servers["one"].stop()
+        for _ in range(3):
+            self.assertIn(b"two", await stub.claim(b"", metadata=key_metadata(key)))
+        await self.world.servers["two"].stop()
+        with self.assertRaises(AioRpcError) as caught:
+            await stub.claim(b"", timeout=1)
+        self.assertIsNotNone(come_back(self.error(caught)))
+        await self.nothing_left(channel)
+
+    async def test_connections_are_bounded_and_closed_when_idle(self) -> None:
+        channel, stub = await self.begin("one", "two", "three", "four", rpc={"subchannels": 2, "idle_s": 0.3})
+        for name in self.world.servers:
+            await stub.status(b"", metadata=key_metadata(self.world.key_of(channel, name)))
+            self.assertLessEqual(len(channel._started()[1]), 2)
+        await wait_until(lambda: not len(channel._started()[1]), "idle connections stay")
+        self.assertTrue(await stub.status(b""))
--- a/tests/rpc/test_service_discovery.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -1,4 +1,4 @@
-"""The roster as a client sees it: late, stale, out of reach, with drains and cold servers in it."""
+"""The endpoint list as a client watches it: late, stale, out of reach, with drains and cold servers in it."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 from puffindeck.config.members import Target
 from puffindeck.policy.records import Request
-from puffindeck.rpc.grpc import BalancedChannel, come_back
-from tests.support.rpc_world import Stub, World, keyed, told, until
+from puffindeck.rpc.grpc import come_back
+from tests.support.rpc_world import Stub, World, client_config, key_metadata, wait_until
 
 
 def now_ms() -> float:
     return time.time() * 1000.0
 
 
-class RosterStories(IsolatedAsyncioTestCase):
-    """Channels whose roster is not as it should be."""
+class EndpointListStories(IsolatedAsyncioTestCase):
+    """Channels whose endpoint list is not as it should be."""
 
     async def asyncSetUp(self) -> None:
         self.world = World()
@@ -58,8 +58,8 @@
     async def test_out_of_reach_the_list_of_the_file_serves(self) -> None:
         await self.world.serve("one")
         await self.world.discovery.stop()
-        client = told(self.world.discovery.port, self.world.boxes["one"].target())
-        channel = self.world.channel(told=client)
+        client = client_config(self.world.discovery.port, self.world.servers["one"].target())
+        channel = self.world.channel(config=client)
         self.assertIn(b"one", await Stub(channel).status(b"", timeout=5))
 
     async def test_out_of_reach_for_long_what_is_known_holds_and_news_come_after(self) -> None:
@@ -69,11 +69,11 @@
         await asyncio.wait_for(channel.channel_ready(), 5)
         await self.world.discovery.stop()
         shared, _ = channel._started()
-        await until(lambda: shared.balancer.list_fails >= 3, "it was not asked again")
+        await wait_until(lambda: shared.balancer.list_fails >= 3, "it was not asked again")
         self.assertTrue(await stub.status(b"", timeout=2))
-        self.world.discovery.tell(self.world.boxes["one"].target("DRAINING"))
+        self.world.discovery.update(self.world.servers["one"].target("DRAINING"))
         await self.world.discovery.start()
-        await until(lambda: len(shared.balancer.ready) == 1, "the news did not come")
+        await wait_until(lambda: len(shared.balancer.ready) == 1, "the change did not come")
         for _ in range(8):
             self.assertIn(b"two", await stub.status(b"", timeout=2))
 
@@ -83,10 +83,10 @@
         await asyncio.wait_for(channel.channel_ready(), 5)
         shared, _ = channel._started()
         discovery = self.world.discovery
-        await until(lambda: discovery._watches, "no watch")
-        for writer in discovery._watches:
+        await wait_until(lambda: discovery._watchers, "no watch")
+        for writer in discovery._watchers:
             discovery._chunk(writer, b'{"rev": "x"}\n')
-        await until(lambda: discovery.asked >= 3, "no new watch")
+        await wait_until(lambda: discovery.requests >= 3, "no new watch")
         self.assertIn(b"one", await Stub(channel).status(b"", timeout=2))
         self.assertTrue(shared.balancer.ready)
 
@@ -96,16 +96,16 @@
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
         key = self.world.key_of(channel, "one")
-        stream = stub.watch(b"", metadata=keyed(key))
+        stream = stub.watch(b"", metadata=key_metadata(key))
         self.assertEqual(await stream.read(), b"one")
-        self.world.discovery.tell(self.world.boxes["one"].target("DRAINING"))
+        self.world.discovery.update(self.world.servers["one"].target("DRAINING"))
         shared, _ = channel._started()
-        await until(lambda: len(shared.balancer.ready) == 1, "the drain was not heard")
-        before = len(self.world.boxes["one"].calls)
+        await wait_until(lambda: len(shared.balancer.ready) == 1, "the drain was not applied")
+        before = len(self.world.servers["one"].calls)
         for _ in range(10):
-            self.assertIn(b"two", await stub.status(b"", metadata=keyed(key)))
-        self.assertEqual(len(self.world.boxes["one"].calls), before)
-        self.world.boxes["one"].open.pop().set()
+            self.assertIn(b"two", await stub.status(b"", metadata=key_metadata(key)))
+        self.assertEqual(len(self.world.servers["one"].calls), before)
+        self.world.servers["one"].open_streams.pop().set()
         self.assertEqual(await stream.read(), b"last")
 
     async def test_nothing_is_sent_once_a_drains_grace_is_over(self) -> None:
@@ -118,89 +118,96 @@
         shared, _ = channel._started()
         number = shared.directory.number("one")
         # a watch begins with the whole list, which names it as fit: that has come once a later change has
-        await until(lambda: len(self.world.discovery._watches) == 1, "no watch")
-        self.world.discovery.tell(self.world.boxes["two"].target("SERVING"))
+        await wait_until(lambda: len(self.world.discovery._watchers) == 1, "no watch")
+        self.world.discovery.update(self.world.servers["two"].target("SERVING"))
         watch = shared.endpoint_watch
         assert watch is not None
-        await until(lambda: watch.version == self.world.discovery.rev, "the change was not heard")
-        # told so long ago that its grace is over
+        await wait_until(lambda: watch.version == self.world.discovery.version, "the change was not applied")
+        # known for so long that its grace is over
         shared.engine.reachability.unfit_since[number] = shared.clock.now() - shared.engine.reachability.grace
-        self.assertIn(b"two", await stub.status(b"", metadata=keyed(key)))
-        self.assertEqual(len(self.world.boxes["one"].calls), 0)
+        self.assertIn(b"two", await stub.status(b"", metadata=key_metadata(key)))
+        self.assertEqual(len(self.world.servers["one"].calls), 0)
 
     async def test_twenty_seconds_stale_two_gone_and_one_back_cold_at_another_address(self) -> None:
         names = [f"b{i}" for i in range(12)]
         await self.world.serve(*names)
         channels = [
-            self.world.channel(alone=True, told=told(self.world.discovery.port, seed=i)) for i in range(20)
+            self.world.channel(alone=True, config=client_config(self.world.discovery.port, seed=i))
+            for i in range(20)
         ]
         for channel in channels:
             await asyncio.wait_for(channel.channel_ready(), 5)
         await self.world.discovery.stop()  # from now on the clients' list is old
-        boxes = self.world.boxes
+        servers = self.world.servers
         for name in ("b0", "b1", "b2"):
-            await boxes[name].stop()
-        boxes["b2"].port = 0  # back under another address, which nobody knows
-        await boxes["b2"].start()
-        boxes["b2"].boot_ms = now_ms()
+            await servers[name].stop()
+        servers["b2"].port = 0  # back under another address, which nobody knows
+        await servers["b2"].start()
+        servers["b2"].started_ms = now_ms()
         answers = [
-            await Stub(channel).status(b"", timeout=2, metadata=keyed(f"desk {i}"))
+            await Stub(channel).status(b"", timeout=2, metadata=key_metadata(f"desk {i}"))
             for i, channel in enumerate(channels)
             for _ in range(2)
         ]
         self.assertEqual(len(answers), 40)  # all were served, though three of twelve could not be reached
-        self.assertEqual(sum(self.world.count().values()), 40)  # and nothing ran twice
-        self.assertEqual(len(boxes["b2"].calls), 0)
+        self.assertEqual(sum(self.world.call_counts().values()), 40)  # and nothing ran twice
+        self.assertEqual(len(servers["b2"].calls), 0)
         gone = Target("b0", "DELETED"), Target("b1", "DELETED")
-        self.world.discovery.tell(*gone, boxes["b2"].target())
+        self.world.discovery.update(*gone, servers["b2"].target())
         await self.world.discovery.start()
         for channel in channels:
-            member = channel._started()[0].balancer
-            await until(lambda m=member: len(m.ready) == 10 and m._cold_now(), "the news did not come")  # type: ignore[misc]
+            balancer = channel._started()[0].balancer
+            await wait_until(
+                lambda m=balancer: len(m.ready) == 10 and m._cold_now(),  # type: ignore[misc]
+                "the change did not come",
+            )
         for i, channel in enumerate(channels):
-            self.assertTrue(await Stub(channel).status(b"", timeout=2, metadata=keyed(f"desk {i}")))
+            self.assertTrue(await Stub(channel).status(b"", timeout=2, metadata=key_metadata(f"desk {i}")))
         cold_keys = sum(
-            member.home(_request(f"desk {i}")) is member.endpoints[shared.directory.number("b2")]
-            for i, (shared, member) in enumerate(
+            balancer.home(_request(f"desk {i}")) is balancer.endpoints[shared.directory.number("b2")]
+            for i, (shared, balancer) in enumerate(
                 (c._started()[0], c._started()[0].balancer) for c in channels
             )
         )
         self.assertGreater(cold_keys, 0)
-        self.assertLessEqual(len(boxes["b2"].calls), max(1, cold_keys // 2))  # not by all of them together
+        self.assertLessEqual(len(servers["b2"].calls), max(1, cold_keys // 2))  # not by all of them together
 
     async def test_a_box_back_cold_while_two_hundred_clients_hold_streams(self) -> None:
         names = ("one", "two", "three", "four")
         await self.world.serve(*names)
-        boxes = self.world.boxes
+        servers = self.world.servers
         streams = {}
         channels = [
-            self.world.channel(alone=True, told=told(self.world.discovery.port, seed=i)) for i in range(200)
+            self.world.channel(alone=True, config=client_config(self.world.discovery.port, seed=i))
+            for i in range(200)
         ]
         for i, channel in enumerate(channels):
-            streams[i] = Stub(channel).watch(b"", metadata=keyed(f"desk {i}"))
+            streams[i] = Stub(channel).watch(b"", metadata=key_metadata(f"desk {i}"))
             await streams[i].read()
-        held = {name: len(box.open) for name, box in boxes.items()}
+        held = {name: len(server.open_streams) for name, server in servers.items()}
         self.assertLessEqual(max(held.values()), 1.4 * 50)  # real sockets: 68 was seen once
         self.assertEqual(sum(held.values()), 200)
-        old = boxes["one"]
+        old = servers["one"]
         reading = {i: asyncio.ensure_future(stream.read()) for i, stream in streams.items()}
         await old.restart()
-        self.world.discovery.tell(old.target())
-        await until(lambda: sum(task.done() for task in reading.values()) == held["one"], "not all were told")
+        self.world.discovery.update(old.target())
+        await wait_until(
+            lambda: sum(task.done() for task in reading.values()) == held["one"], "not all were migrated"
+        )
         for channel in channels:
-            member = channel._started()[0].balancer
-            await until(lambda m=member: m._cold_now(), "the news did not come")  # type: ignore[misc]
+            balancer = channel._started()[0].balancer
+            await wait_until(lambda m=balancer: m._cold_now(), "the change did not come")  # type: ignore[misc]
         old.calls.clear()
         for i, task in reading.items():
             if task.done():
                 self.assertIsInstance(task.exception(), AioRpcError)
-                streams[i] = Stub(channels[i]).watch(b"", metadata=keyed(f"desk {i}"))
+                streams[i] = Stub(channels[i]).watch(b"", metadata=key_metadata(f"desk {i}"))
                 await streams[i].read()
         # N is what 3 times its present capacity takes in a second, of the 50 that fill it over 9 s. Clients
         # draw lots anew in each window of the clock; chance excuses the rule's own 2 x root N + 2
         n = 3 * 0.31 * 50 / 9
         self.assertLessEqual(len(old.calls), n + 2 * math.sqrt(n) + 2)
-        self.assertEqual(sum(len(box.open) for box in boxes.values()), 200)
+        self.assertEqual(sum(len(server.open_streams) for server in servers.values()), 200)
         for task in reading.values():
             task.cancel()
 
@@ -211,7 +218,7 @@
         await asyncio.wait_for(channel.channel_ready(), 5)
         shared, _ = channel._started()
         shared.engine.detach(shared.directory.number("one"))
-        self.world.discovery.tell(self.world.boxes["one"].target())
+        self.world.discovery.update(self.world.servers["one"].target())
         for _ in range(8):
             self.assertIn(b"two", await stub.status(b""))
 
@@ -222,19 +229,3 @@
     from tests.support.rpc_world import SETTINGS
 
     return Request(RequestArrived(1, 0, 0, number(key.encode()), 1200, 0.0, 0), SETTINGS, 1.0, 0.0)
-
-
-def test_a_channel_without_a_loop_says_nothing_until_it_is_used() -> None:
-    """from_config may be called before the loop runs; the loop is the one that first uses the channel."""
-    client = told(None, Target("one", "SERVING", "127.0.0.1:1"))
-
-    async def use() -> grpc.ChannelConnectivity:
-        channel = BalancedChannel(client)
-        idle = channel.get_state()
-        assert idle is grpc.ChannelConnectivity.IDLE
-        await channel.channel_ready()
-        state = channel.get_state()
-        await channel.close()
-        return state
-
-    assert asyncio.run(use()) is grpc.ChannelConnectivity.READY
--- a/tests/support/quic_peers.py
+++ b/tests/support/quic_peers.py
@@ -97,7 +97,7 @@
 
     @contextmanager
     def issuing_own_ids(self) -> Iterator[None]:
-        """Let aioquic make up no ids but this box's."""
+        """Let aioquic make up no ids but this server's."""
 
         def urandom(size: int) -> bytes:
             return IDS.issue(self.server_id) if size == IDS.length else os.urandom(size)
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the RPC plug-in's stories on loopback: boxes that speak gRPC, and discovery over HTTP."""
+"""Stand-ins for the RPC plug-in's stories on loopback: servers that speak gRPC, and discovery over HTTP."""
 
 from __future__ import annotations
 
@@ -47,29 +47,29 @@
 METHODS = {f"/{SERVICE}/Watch": "watch", f"/{SERVICE}/Talk": "watch", f"/{SERVICE}/Claim": "claim"}
 
 
-def told(discovery: int | None, *targets: Target, seed: int = 7, **more: Any) -> Client:
-    """A checked configuration for a roster at a port of loopback, or for a list of its own."""
-    checked: Rpc = rpc(RpcTable(methods=METHODS, **more), SETTINGS, Path())
-    where = ("127.0.0.1", discovery) if discovery else None
-    return Client("client", where, seed, Members(1, True, list(targets)), SETTINGS, checked)
+def client_config(discovery_port: int | None, *targets: Target, seed: int = 7, **rpc_options: Any) -> Client:
+    """A checked configuration for discovery at a port of loopback, or for a list of its own."""
+    checked: Rpc = rpc(RpcTable(methods=METHODS, **rpc_options), SETTINGS, Path())
+    address = ("127.0.0.1", discovery_port) if discovery_port else None
+    return Client("client", address, seed, Members(1, True, list(targets)), SETTINGS, checked)
 
 
-class Box:
-    """A server of the feed. What it does with a call is told by `mode`; what came is counted."""
+class FeedServer:
+    """A server of the feed. `mode` says what it does with a call; the calls that came are recorded."""
 
     def __init__(self, name: str) -> None:
-        self.name, self.port = name, 0
+        self.name = name
+        self.port = 0
         self.mode = "serve"
         self.calls: list[str] = []  # the methods that were called, in their order
         self.metadata: list[dict[str, Any]] = []
-        self.open: set[asyncio.Event] = set()  # one for each stream that stands: set, it ends
-        self.given_up = 0
-        self.standing = asyncio.Event()
-        self.boot_ms = 0.0
-        self.told: Callable[[], None] = lambda: None  # of each call that comes
+        self.open_streams: set[asyncio.Event] = set()  # one for each open stream: set, it ends
+        self.abandoned_calls = 0  # cancelled by the client while `mode` is "silent"
+        self.started_ms = 0.0  # since 1970
+        self.on_call: Callable[[], None] = lambda: None
         self._server: grpc.aio.Server | None = None
 
-    async def start(self, credentials: grpc.ServerCredentials | None = None) -> Box:
+    async def start(self, credentials: grpc.ServerCredentials | None = None) -> FeedServer:
         self._server = server = grpc.aio.server(options=(("grpc.so_reuseport", 0),))
         handlers: dict[str, Any] = {
             "Status": grpc.unary_unary_rpc_method_handler(self._one),
@@ -95,72 +95,72 @@
             await server.stop(0)
 
     async def restart(self) -> None:
-        """Come back at the same port, cold from now on."""
+        """Start anew at the same port, in slow start from now on."""
         await self.stop()
-        self.boot_ms = time.time() * 1000.0
+        self.started_ms = time.time() * 1000.0
         await self.start()
 
     def target(self, state: str = "SERVING") -> Target:
-        return Target(self.name, state, f"127.0.0.1:{self.port}", "a", "m", 1, 1.0, self.boot_ms)
+        return Target(self.name, state, f"127.0.0.1:{self.port}", "a", "m", 1, 1.0, self.started_ms)
 
-    async def _came(self, context: Any, what: str) -> None:
-        self.calls.append(what)
-        self.told()
+    async def _on_call(self, context: Any, method: str) -> None:
+        self.calls.append(method)
+        self.on_call()
         self.metadata.append(dict(context.invocation_metadata()))
-        if self.mode == "mute":
+        if self.mode == "silent":
             try:
                 await asyncio.Event().wait()
             except asyncio.CancelledError:
-                self.given_up += 1
+                self.abandoned_calls += 1
                 raise
         if self.mode == "full":
             await context.abort(grpc.StatusCode.RESOURCE_EXHAUSTED, "full")
-        if self.mode == "moving":
+        if self.mode == "migrating":
             await context.abort(grpc.StatusCode.UNAVAILABLE, "go away", (("puffindeck-moved", "1"),))
-        if self.mode == "never":
+        if self.mode == "no-retry":
             await context.abort(grpc.StatusCode.UNAVAILABLE, "no", (("grpc-retry-pushback-ms", "-1"),))
         if self.mode != "serve":  # what it did is done, and then it answers with this
             await context.abort(getattr(grpc.StatusCode, self.mode), f"{self.name} says {self.mode}")
 
     async def _one(self, request: bytes, context: Any) -> bytes:
-        await self._came(context, "one")
+        await self._on_call(context, "one")
         context.set_trailing_metadata((("served-by", self.name),))
         return self.name.encode() + b":" + request
 
     async def _watch(self, request: bytes, context: Any) -> AsyncIterator[bytes]:
-        await self._came(context, "watch")
+        await self._on_call(context, "watch")
         await context.send_initial_metadata((("served-by", self.name),))
         ended = asyncio.Event()
-        self.open.add(ended)
-        self.standing.set()
+        self.open_streams.add(ended)
         try:
             yield self.name.encode()
             await ended.wait()
             yield b"last"
         finally:
-            self.open.discard(ended)
+            self.open_streams.discard(ended)
 
     async def _upload(self, requests: AsyncIterator[bytes], context: Any) -> bytes:
-        await self._came(context, "upload")
+        await self._on_call(context, "upload")
         return self.name.encode() + b":" + b",".join([message async for message in requests])
 
     async def _talk(self, requests: AsyncIterator[bytes], context: Any) -> AsyncIterator[bytes]:
-        await self._came(context, "talk")
+        await self._on_call(context, "talk")
         await context.send_initial_metadata((("served-by", self.name),))
         async for message in requests:
             yield self.name.encode() + b":" + message
 
 
 class Discovery:
-    """The list of boxes and the watches on it, as PROTOCOL has them."""
+    """The endpoint list and the watches on it, as discovery's protocol has them."""
 
     def __init__(self) -> None:
-        self.rev, self.targets = 1, dict[str, Target]()
-        self.port = self.asked = 0
-        self.silent = False  # keeps watches open and says nothing
+        self.version = 1
+        self.targets: dict[str, Target] = {}
+        self.port = 0
+        self.requests = 0
         self._server: asyncio.Server | None = None
-        self._watches: set[asyncio.StreamWriter] = set()
-        self._beats: set[asyncio.Task[None]] = set()
+        self._watchers: set[asyncio.StreamWriter] = set()
+        self._heartbeats: set[asyncio.Task[None]] = set()
 
     async def start(self) -> Discovery:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port)
@@ -168,28 +168,28 @@
         return self
 
     async def stop(self) -> None:
-        """Out of reach: watches end, calls are refused."""
+        """Out of reach: watches end, connects fail."""
         if self._server is not None:
             self._server.close()
             self._server = None
-        for writer in list(self._watches):
+        for writer in list(self._watchers):
             writer.close()
-        self._watches.clear()
-        for beat in self._beats:
-            beat.cancel()
+        self._watchers.clear()
+        for heartbeat in self._heartbeats:
+            heartbeat.cancel()
 
-    def tell(self, *targets: Target) -> None:
-        """Change these entries and tell all watches."""
-        self.rev += 1
+    def update(self, *targets: Target) -> None:
+        """Change these entries and notify all watches."""
+        self.version += 1
         for target in targets:
             self.targets[target.uid] = target
         line = self._text(False, targets)
-        for writer in self._watches:
+        for writer in self._watchers:
             self._chunk(writer, line)
 
     def _text(self, full: bool, targets: Any) -> bytes:
         listed = [to_builtins(t) for t in targets if not (full and t.state == "DELETED")]
-        return json.dumps({"rev": self.rev, "all": full, "targets": listed}).encode() + b"\n"
+        return json.dumps({"rev": self.version, "all": full, "targets": listed}).encode() + b"\n"
 
     @staticmethod
     def _chunk(writer: asyncio.StreamWriter, text: bytes) -> None:
@@ -201,14 +201,14 @@
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
             return
-        self.asked += 1
+        self.requests += 1
         if b"watch=1" in head.split(b"\r\n")[0]:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self._chunk(writer, self._text(True, self.targets.values()))
-            self._watches.add(writer)
-            beat = asyncio.get_running_loop().create_task(self._beat(writer))
-            self._beats.add(beat)
-            beat.add_done_callback(self._beats.discard)
+            self._watchers.add(writer)
+            heartbeat = asyncio.get_running_loop().create_task(self._heartbeat(writer))
+            self._heartbeats.add(heartbeat)
+            heartbeat.add_done_callback(self._heartbeats.discard)
         else:
             text = self._text(True, self.targets.values())
             writer.write(
@@ -216,11 +216,10 @@
             )
             writer.close()
 
-    async def _beat(self, writer: asyncio.StreamWriter) -> None:
+    async def _heartbeat(self, writer: asyncio.StreamWriter) -> None:
         while True:
             await asyncio.sleep(2.0)
-            if not self.silent:
-                self._chunk(writer, b"\n")
+            self._chunk(writer, b"\n")
 
 
 class Stub:
@@ -234,38 +233,42 @@
         self.talk: Any = channel.stream_stream(f"/{SERVICE}/Talk")
 
 
-def keyed(key: str) -> Metadata:
+def key_metadata(key: str) -> Metadata:
+    """Metadata that names a call's key."""
     return Metadata(("puffindeck-key", key))
 
 
-async def until(true: Callable[[], Any], why: str, seconds: float = 10.0) -> None:
-    """Wait for something to become true; a story that waits in vain fails with the reason."""
+async def wait_until(condition: Callable[[], Any], failure: str, seconds: float = 10.0) -> None:
+    """Wait for a condition; a story that waits in vain fails with the message."""
     end = time.monotonic() + seconds
-    while not true():
+    while not condition():
         if time.monotonic() > end:
-            raise AssertionError(why)
+            raise AssertionError(failure)
         await asyncio.sleep(0.005)
 
 
 class World:
-    """Boxes, a roster and a channel, all ended when the story ends."""
+    """Servers, discovery and channels, all ended when the story ends."""
 
     def __init__(self) -> None:
-        self.boxes: dict[str, Box] = {}
+        self.servers: dict[str, FeedServer] = {}
         self.discovery = Discovery()
         self._endings: list[Callable[[], Awaitable[Any]]] = []
 
     async def serve(self, *names: str) -> None:
         for name in names:
-            box = self.boxes[name] = await Box(name).start()
-            self._endings.append(box.stop)
+            server = await FeedServer(name).start()
+            self.servers[name] = server
+            self._endings.append(server.stop)
         await self.discovery.start()
         self._endings.append(self.discovery.stop)
-        self.discovery.tell(*(box.target() for box in self.boxes.values()))
+        self.discovery.update(*(server.target() for server in self.servers.values()))
 
     def channel(self, **keywords: Any) -> BalancedChannel:
-        client = keywords.pop("told", None) or told(self.discovery.port, **keywords.pop("rpc", {}))
-        channel = BalancedChannel(client, **keywords)
+        """A channel; keywords are BalancedChannel's, `config` in place of a configuration, `rpc` options."""
+        config = keywords.pop("config", None)
+        rpc_options = keywords.pop("rpc", {})
+        channel = BalancedChannel(config or client_config(self.discovery.port, **rpc_options), **keywords)
         self._endings.append(channel.close)
         return channel
 
@@ -273,14 +276,15 @@
         for ending in reversed(self._endings):
             await ending()
 
-    def count(self) -> dict[str, int]:
-        return {name: len(box.calls) for name, box in self.boxes.items()}
+    def call_counts(self) -> dict[str, int]:
+        """How many calls each server got."""
+        return {name: len(server.calls) for name, server in self.servers.items()}
 
-    def key_of(self, channel: BalancedChannel, box: str) -> str:
-        """A key whose home is this box, as the channel's own decisions have it."""
+    def key_of(self, channel: BalancedChannel, server: str) -> str:
+        """A key whose home is this server, by the channel's own decisions."""
         shared = channel._started()[0]
         ring = shared.balancer.whole(None)
-        wanted = shared.directory.number(box)
+        wanted = shared.directory.number(server)
         return next(
             key
             for key in (f"desk {i}" for i in range(10000))
