--- a/examples/rpc.py
+++ b/examples/rpc.py
@@ -1,7 +1,7 @@
 """The gRPC plug-in against a toy feed, all on loopback.
 
-python examples/rpc.py world        three boxes and discovery at 8501; reads: drain h1, serve h1
-python examples/rpc.py client KEY   asks once a second, and holds a stream that goes on when it is moved
+python examples/rpc.py world        three servers and discovery at 8501; reads: drain h1, serve h1
+python examples/rpc.py client KEY   asks once a second, and holds a stream that goes on when it is migrated
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 async def feed(name: str) -> int:
-    """A box: Status says who it is, Watch says so each two seconds. Its port."""
+    """Start a server: Status responds with its name, Watch does so each two seconds. Returns its port."""
 
     async def status(request: bytes, context: Any) -> bytes:
         return name.encode()
@@ -80,7 +80,7 @@
                 chunk(writer, b"\n")
 
     await asyncio.start_server(discovery, "127.0.0.1", 8501)
-    print("three boxes and discovery are there", flush=True)
+    print("three servers and discovery are there", flush=True)
     while line := await asyncio.to_thread(sys.stdin.readline):
         word, _, name = line.strip().partition(" ")
         if word in ("drain", "serve") and name in STATES:
@@ -108,7 +108,7 @@
                 await asyncio.sleep(1)
             except AioRpcError as error:
                 wait = come_back(error)
-                print(f"{error.code().name}: {error.details()}; come back in {wait}", flush=True)
+                print(f"{error.code().name}: {error.details()}; retry after {wait}", flush=True)
                 await asyncio.sleep(wait.total_seconds() if wait else 1)
         await following
 
