--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -12,6 +12,7 @@
 from puffindeck.core.clock import ZERO, span
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import Outcome
+from puffindeck.rpc.library_call import LibraryCall
 from puffindeck.rpc.method import Method
 from puffindeck.rpc.replay_buffer import END_OF_REQUESTS, ReplayBuffer
 from puffindeck.rpc.shared_state import SharedState
@@ -45,7 +46,7 @@
     def replay_buffer(self) -> ReplayBuffer | None:
         """The messages to send, where the request is a stream."""
 
-    def start(self, subchannel: Subchannel) -> Any:
+    def start(self, subchannel: Subchannel) -> LibraryCall:
         """Begin grpc.aio's own call on the channel to one server."""
 
     def is_served_by(self, attempt: Attempt) -> bool:
@@ -68,7 +69,7 @@
 
 
 class Attempt:
-    """Connects, sends, and reports to the engine how it went. `grpc_call` is the library's own call."""
+    """Connects, sends, and reports to the engine how it went. `library_call` is grpc.aio's own call."""
 
     __slots__ = (
         "_abandoned",
@@ -82,7 +83,7 @@
         "_start_error",
         "_subchannel",
         "_task",
-        "grpc_call",
+        "library_call",
         "response",
     )
 
@@ -102,7 +103,7 @@
         self._engine = call.shared.engine
         self._abandoned = False
         self._sender: asyncio.Task[None] | None = None  # writes the messages of a request stream
-        self.grpc_call: Any = None
+        self.library_call: LibraryCall | None = None  # once begun
         self.response: Any = NO_RESPONSE
         self._start_error: Exception | None = None
         self._subchannel = call.pool.acquire(address)
@@ -110,11 +111,16 @@
             self._start()  # at once: a turn of the loop later would cost a tenth of a call
         self._task: asyncio.Task[None] | None = None
         one_request = call.replay_buffer is None
-        if self.grpc_call is not None and one_request and not call.method.response_stream:
-            self.grpc_call.add_done_callback(self._on_grpc_call_done)
+        if self.library_call is not None and one_request and not call.method.response_stream:
+            self.library_call.add_done_callback(self._on_library_call_done)
         else:
             self._start_task()
 
+    def begun_call(self) -> LibraryCall:
+        """The library's call, which must have begun."""
+        assert self.library_call is not None
+        return self.library_call
+
     # The engine's link
 
     def look(self) -> None:
@@ -124,8 +130,8 @@
         """End the attempt; nothing more is reported of it."""
         if not self._abandoned:
             self._abandoned = True
-            if self.grpc_call is not None:
-                self.grpc_call.cancel()
+            if self.library_call is not None:
+                self.library_call.cancel()
             if self._task is not None and self._task is not asyncio.current_task():
                 self._task.cancel()
 
@@ -135,7 +141,7 @@
         self._task = self._call.shared.loop.create_task(self._run())
         self._task.add_done_callback(self._release)  # also of a task that was cancelled before it began
 
-    def _on_grpc_call_done(self, _: object) -> None:
+    def _on_library_call_done(self, _: object) -> None:
         self._await_consumer(CONSUMER_TURNS)
 
     def _await_consumer(self, turns: int) -> None:
@@ -149,7 +155,7 @@
 
     def _start(self) -> None:
         try:
-            self.grpc_call = self._call.start(self._subchannel)
+            self.library_call = self._call.start(self._subchannel)
         except Exception as error:  # metadata that gRPC can't read, for one
             self._start_error = error
 
@@ -171,20 +177,21 @@
 
     async def _connect_and_call(self) -> None:
         call = self._call
-        if self.grpc_call is None and self._start_error is None:
+        if self.library_call is None and self._start_error is None:
             if not await self._connect():
                 self._report_end(Outcome.CONNECT_FAILED)
                 return
             self._start()
         if self._start_error is not None:
             raise self._start_error
+        library_call = self.begun_call()
         if call.replay_buffer is not None:
             call.replay_buffer.restart()
-            self._sender = call.shared.loop.create_task(self._send_requests(call.replay_buffer))
+            self._sender = call.shared.loop.create_task(self._send_requests(library_call, call.replay_buffer))
         if call.method.response_stream:
-            await self._receive_stream()
+            await self._receive_stream(library_call)
         else:
-            await self._receive_one()
+            await self._receive_one(library_call)
 
     async def _connect(self) -> bool:
         """Wait for the connection. False if there is none, or the endpoint began to drain meanwhile."""
@@ -196,13 +203,13 @@
                 return False
         return self._engine.may_reach(self._endpoint)
 
-    async def _send_requests(self, buffer: ReplayBuffer) -> None:
+    async def _send_requests(self, library_call: LibraryCall, buffer: ReplayBuffer) -> None:
         """Write what the application has written, in its order, from the start."""
         try:
             while (message := await buffer.next()) is not END_OF_REQUESTS:
-                await self.grpc_call.write(message)
+                await library_call.write(message)
                 buffer.mark_sent()
-            await self.grpc_call.done_writing()
+            await library_call.done_writing()
         except (AioRpcError, asyncio.InvalidStateError, grpc.aio.UsageError):
             pass  # the library's call has ended, and its status says how
         except Exception as error:
@@ -210,16 +217,16 @@
 
     # Responses
 
-    async def _receive_one(self) -> None:
+    async def _receive_one(self, library_call: LibraryCall) -> None:
         try:
-            self.on_response(await self.grpc_call)
+            self.on_response(await library_call)
         except AioRpcError:
-            await self._on_status(response_started=self._call.is_served_by(self))
+            await self._on_status(library_call, response_started=self._call.is_served_by(self))
         except asyncio.CancelledError:
-            if self._abandoned or not self.grpc_call.done():
+            if self._abandoned or not library_call.done():
                 raise
             # the server's own CANCELLED
-            await self._on_status(response_started=self._call.is_served_by(self))
+            await self._on_status(library_call, response_started=self._call.is_served_by(self))
 
     def on_response(self, response: Any) -> None:
         """Take the one response. Whoever awaits the call may bring it before this attempt's task does."""
@@ -232,28 +239,28 @@
             return
         self._report_end(Outcome.OK)
 
-    async def _receive_stream(self) -> None:
+    async def _receive_stream(self, library_call: LibraryCall) -> None:
         """Wait for the head of a response stream, which establishes the call, and for its status."""
-        head = await self.grpc_call.initial_metadata()
+        head = await library_call.initial_metadata()
         if not head:
             try:
                 async with asyncio.timeout(TRAILERS_ONLY_WAIT_S):
-                    await self.grpc_call.code()
+                    await library_call.code()
             except TimeoutError:
                 pass
         if self._abandoned:
             return
-        if self.grpc_call.done() and not head:
-            await self._on_status(response_started=False)
+        if library_call.done() and not head:
+            await self._on_status(library_call, response_started=False)
         elif self._engine.began(self._attempt_id):
-            await self.grpc_call.code()
-            await self._on_status(response_started=True)
+            await library_call.code()
+            await self._on_status(library_call, response_started=True)
         else:
             self.give_up()
 
-    async def _on_status(self, response_started: bool) -> None:
+    async def _on_status(self, library_call: LibraryCall, response_started: bool) -> None:
         """The library's call has ended with a status: end the call with it, or report a failed attempt."""
-        status = await self._read_status()
+        status = await _read_status(library_call)
         if self._abandoned:
             return
         trailing = Metadata(*status.trailing)
@@ -272,14 +279,14 @@
         self._call.record_status(status)
         self._report_end(outcome)
 
-    async def _read_status(self) -> FinalStatus:
-        grpc_call = self.grpc_call
-        code = await grpc_call.code()
-        details = await grpc_call.details()
-        trailing: Metadata = await grpc_call.trailing_metadata() or Metadata()
-        initial: Metadata = await grpc_call.initial_metadata() or Metadata()
-        return FinalStatus(code, details or "", tuple(trailing), tuple(initial))
-
     def _report_end(self, outcome: Outcome) -> None:
         if not self._abandoned:
             self._engine.ended(self._attempt_id, outcome)
+
+
+async def _read_status(library_call: LibraryCall) -> FinalStatus:
+    code = await library_call.code()
+    details = await library_call.details()
+    trailing = await library_call.trailing_metadata() or Metadata()
+    initial = await library_call.initial_metadata() or Metadata()
+    return FinalStatus(code, details or "", tuple(trailing), tuple(initial))
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -15,6 +15,7 @@
 from puffindeck.rpc.attempt import NO_RESPONSE, Attempt
 from puffindeck.rpc.call_completion import CallCompletion
 from puffindeck.rpc.call_deadline import CallDeadline
+from puffindeck.rpc.library_call import LibraryCall
 from puffindeck.rpc.method import CallOptions, Method
 from puffindeck.rpc.replay_buffer import ReplayBuffer
 from puffindeck.rpc.request_stream import RequestStream
@@ -148,7 +149,7 @@
         """The messages to send, where the request is a stream."""
         return self.request_stream.buffer if self.request_stream is not None else None
 
-    def start(self, subchannel: Subchannel) -> Any:
+    def start(self, subchannel: Subchannel) -> LibraryCall:
         """Begin grpc.aio's own call on the channel to one server."""
         method = self.method
         options = self._options
@@ -159,9 +160,12 @@
             "compression": options.compression,
         }
         multicallable = subchannel.callable(method)
-        return (
-            multicallable(**keywords) if method.request_stream else multicallable(self._request, **keywords)
-        )
+        library_call: LibraryCall
+        if method.request_stream:
+            library_call = multicallable(**keywords)
+        else:
+            library_call = multicallable(self._request, **keywords)
+        return library_call
 
     def is_served_by(self, attempt: Attempt) -> bool:
         """Has the call begun at this attempt's server?"""
@@ -258,8 +262,7 @@
         """The serving server's initial metadata, once the call has begun or ended."""
         await self.wait_until_established()
         if self.serving is not None:
-            metadata: Metadata = await self.serving.grpc_call.initial_metadata()
-            return metadata
+            return await self.serving.begun_call().initial_metadata()
         assert self.completion.status is not None
         return Metadata(*self.completion.status.initial)
 
@@ -267,8 +270,7 @@
         """The trailing metadata, once the call has ended."""
         status = await self.completion.wait_for_status()
         if status.code is grpc.StatusCode.OK and self.serving is not None:
-            metadata: Metadata = await self.serving.grpc_call.trailing_metadata()
-            return metadata
+            return await self.serving.begun_call().trailing_metadata()
         return Metadata(*status.trailing)
 
     async def code(self) -> grpc.StatusCode:
--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -18,11 +18,11 @@
     """The one response. Raises AioRpcError, CancelledError or the application's own error."""
     try:
         attempt = call.attempt
-        if not call.done() and attempt is not None and attempt.grpc_call is not None:
+        if not call.done() and attempt is not None and attempt.library_call is not None:
             # most calls are served by the first server: its response is taken where it is awaited, which
             # saves two turns of the loop
             with suppress(AioRpcError):  # the decision module is notified of it, and decides what comes next
-                attempt.on_response(await attempt.grpc_call)
+                attempt.on_response(await attempt.library_call)
         await call.completion.wait_for_status()
     except asyncio.CancelledError:
         if _current_task_is_cancelled():
@@ -40,7 +40,7 @@
         await call.wait_until_established()
         status = call.completion.status
         if call.serving is not None and (status is None or status.code is grpc.StatusCode.OK):
-            message = await call.serving.grpc_call.read()
+            message = await call.serving.begun_call().read()
             if message is not EOF:
                 return message
     except AioRpcError:
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -14,7 +14,7 @@
 from collections.abc import Sequence
 from datetime import timedelta
 from pathlib import Path
-from typing import Any, Self
+from typing import Any, NamedTuple, Self
 
 import grpc
 from grpc.aio import AioRpcError
@@ -46,6 +46,13 @@
     return is_migrated(error)
 
 
+class ChannelParts(NamedTuple):
+    """What a channel uses once its event loop is known."""
+
+    shared: SharedState
+    pool: SubchannelPool
+
+
 class BalancedChannel(grpc.aio.Channel):
     """A `grpc.aio.Channel` over all servers of the endpoint list. For the event loop that first uses it."""
 
@@ -70,8 +77,7 @@
         self._alone = alone
         self._interceptors = sort_by_kind(interceptors)
         self._pid = os.getpid()
-        self._shared: SharedState | None = None
-        self._pool: SubchannelPool | None = None
+        self._parts: ChannelParts | None = None  # made when first used
         self._calls: set[BalancedCall] = set()
         self._closed = False
 
@@ -90,7 +96,7 @@
         target_name = (("grpc.ssl_target_name_override", tls.server_name),) if tls.server_name else ()
         return ChannelSecurity(credentials, (*self._options, *target_name), self._compression)
 
-    def _started(self) -> tuple[SharedState, SubchannelPool]:
+    def _started(self) -> ChannelParts:
         """The parts. RuntimeError or grpc.aio.UsageError if this is not where they may be used."""
         if self._closed:
             raise grpc.aio.UsageError("Channel is closed.")
@@ -99,13 +105,15 @@
                 f"this channel belongs to process {self._pid}: after a fork, make one in the new process"
             )
         loop = asyncio.get_running_loop()
-        if self._shared is None or self._pool is None:
-            self._shared = SharedState.acquire(self._config, self._alone)
+        if self._parts is None:
             rpc = self._config.rpc
-            self._pool = SubchannelPool(self._shared.deadlines, rpc.subchannels, rpc.idle, self._security())
-        elif self._shared.loop is not loop:
+            security = self._security()
+            shared = SharedState.acquire(self._config, self._alone)
+            pool = SubchannelPool(shared.deadlines, rpc.subchannels, rpc.idle, security)
+            self._parts = ChannelParts(shared, pool)
+        elif self._parts.shared.loop is not loop:
             raise RuntimeError("this channel belongs to another event loop: make one in this loop")
-        return self._shared, self._pool
+        return self._parts
 
     def check_usable(self) -> None:
         """Raise RuntimeError or grpc.aio.UsageError if the channel can't be used here."""
@@ -123,14 +131,14 @@
         if self._closed:
             return
         self._closed = True
-        if self._shared is None or self._pool is None:
+        if self._parts is None:
             return
         if grace and self._calls:
             await self._wait_for_calls(grace)
         for call in list(self._calls):
             call.end(CHANNEL_CLOSED)
-        await self._pool.close()
-        await self._shared.release()
+        await self._parts.pool.close()
+        await self._parts.shared.release()
 
     async def _wait_for_calls(self, grace: float) -> None:
         done = asyncio.Event()
@@ -148,9 +156,9 @@
         """READY while the endpoint list names a server that may be sent to."""
         if self._closed:
             return grpc.ChannelConnectivity.SHUTDOWN
-        if self._shared is None and not try_to_connect:
+        if self._parts is None and not try_to_connect:
             return grpc.ChannelConnectivity.IDLE
-        shared, _ = self._started()
+        shared = self._started().shared
         if shared.balancer.ready:
             return grpc.ChannelConnectivity.READY
         if shared.balancer.list_fails or shared.balancer.version >= 0:
@@ -159,7 +167,7 @@
 
     async def wait_for_state_change(self, last_observed_state: grpc.ChannelConnectivity) -> None:
         """Wait until the state is another than `last_observed_state`."""
-        shared, _ = self._started()
+        shared = self._started().shared
         while self.get_state() is last_observed_state:
             await shared.wait_for_change()
 
@@ -171,7 +179,7 @@
     @property
     def roster_age(self) -> float:
         """Seconds since discovery last gave a sign of life; infinite before the first."""
-        return self._started()[0].list_age_ms / MS_PER_S
+        return self._started().shared.list_age_ms / MS_PER_S
 
     # Methods
 
--- a/puffindeck/rpc/shared_state.py
+++ b/puffindeck/rpc/shared_state.py
@@ -4,7 +4,8 @@
 
 import asyncio
 from collections.abc import Callable
-from typing import Any
+from random import Random
+from typing import Any, NamedTuple, Protocol
 
 import msgspec
 from twisted.logger import STDLibLogObserver, globalLogPublisher
@@ -12,7 +13,7 @@
 from puffindeck.client_side import Member
 from puffindeck.config.client import Client
 from puffindeck.core.clock import Clock, ms
-from puffindeck.core.engine import Engine
+from puffindeck.core.engine import Decisions, Engine
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ListUpdateKind, TimerFired
 from puffindeck.service_discovery.asyncio_watch import EndpointWatch
@@ -21,6 +22,32 @@
 _OBSERVER: Any = STDLibLogObserver("puffindeck")  # a partner's process logs with the standard library
 
 
+class ClientDecisions(Decisions, Protocol):
+    """The decision module of one client, or one for each pool."""
+
+    @property
+    def random(self) -> Random:
+        """The module's seeded generator."""
+
+    @property
+    def ready(self) -> object:
+        """True where the endpoint list names a server that may be sent to."""
+
+    @property
+    def version(self) -> int:
+        """The version of the endpoint list; under 0 before the first."""
+
+    @property
+    def list_fails(self) -> int:
+        """How often in a row the list could not be had."""
+
+    def heard(self, now_ms: float) -> None:
+        """Discovery has given a sign of life."""
+
+    def age_ms(self, now_ms: float) -> float:
+        """Milliseconds since the last sign of life; infinite before the first."""
+
+
 class LoopTimers:
     """An asyncio event loop as `TimerQueue` wants it."""
 
@@ -32,13 +59,17 @@
         return self._loop.call_later(delay, callable)
 
 
+class _InstanceKey(NamedTuple):
+    loop_id: int  # id() of the event loop
+    configuration: bytes  # what instances may share
+
+
 class SharedState:
     """The decision module, its engine and the endpoint list of one event loop."""
 
-    # by event loop and configuration
-    _instances: dict[tuple[int, bytes], SharedState] = {}  # noqa: RUF012
+    _instances: dict[_InstanceKey, SharedState] = {}  # noqa: RUF012
 
-    def __init__(self, config: Client, key: tuple[int, bytes] | None) -> None:
+    def __init__(self, config: Client, key: _InstanceKey | None) -> None:
         """For the running loop. `key` is its place among the instances; None where nobody else gets it."""
         self.loop = asyncio.get_running_loop()
         self.config = config
@@ -47,7 +78,7 @@
         self.clock = Clock()
         self.deadlines = TimerQueue(self.clock, LoopTimers(self.loop))
         self.directory = Directory(config.settings.zones, config.settings.kinds)
-        self.balancer = self._make_balancer()
+        self.balancer: ClientDecisions = self._make_balancer()
         self.engine = Engine(self.balancer, config.settings, self.deadlines, self._watch_endpoints)
         self._waiters: set[asyncio.Future[None]] = set()
         self.endpoint_watch: EndpointWatch | None = None
@@ -57,7 +88,7 @@
             )
         self._load_known_endpoints()
 
-    def _make_balancer(self) -> Any:
+    def _make_balancer(self) -> ClientDecisions:
         config = self.config
         if config.routing is None:
             return Member(config.settings, config.seed)
@@ -83,7 +114,7 @@
         text = msgspec.json.encode(
             [config.discovery, config.known, repr(config.settings), repr(config.routing)]
         )
-        key = (id(asyncio.get_running_loop()), text)
+        key = _InstanceKey(id(asyncio.get_running_loop()), text)
         shared = None if alone else cls._instances.get(key)
         if shared is None:
             shared = cls(config, None if alone else key)
@@ -114,7 +145,7 @@
     @property
     def list_age_ms(self) -> float:
         """Milliseconds since discovery last gave a sign of life; infinite before the first."""
-        return float(self.balancer.age_ms(ms(self.clock.now())))
+        return self.balancer.age_ms(ms(self.clock.now()))
 
     def notify(self) -> None:
         """Wake all that wait for a change of the endpoint list."""
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -10,7 +10,7 @@
 
 from puffindeck.rpc.grpc import moved
 from tests.support.rpc_story import ChannelStory
-from tests.support.rpc_world import key_metadata, wait_until
+from tests.support.rpc_world import decisions, key_metadata, wait_until
 
 
 class CallStories(ChannelStory):
@@ -98,7 +98,7 @@
             await reading
         self.assertTrue(call.cancelled())
         await self.nothing_left(channel)
-        self.assertEqual(channel._started()[0].balancer.admission._lost, 0)  # not taken for a lost connection
+        self.assertEqual(decisions(channel).admission._lost, 0)  # not taken for a lost connection
 
     async def test_reading_with_a_time_limit_of_ones_own(self) -> None:
         channel, stub = await self.begin("one")
@@ -109,4 +109,4 @@
                 await call.read()
         self.assertTrue(call.cancelled())
         await self.nothing_left(channel)
-        self.assertEqual(channel._started()[0].balancer.admission._lost, 0)
+        self.assertEqual(decisions(channel).admission._lost, 0)
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -17,7 +17,7 @@
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
 from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
-from tests.support.rpc_world import Stub, World, client_config, key_metadata, wait_until
+from tests.support.rpc_world import Stub, World, client_config, decisions, key_metadata, wait_until
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
 POOL = Pool("main", (("1", "2", "3"), ("4", "5")), server_limits={"1": 1})
@@ -101,7 +101,7 @@
         stream.cancel()
         shared, _ = channel._started()
         await wait_until(lambda: not len(shared.engine.held), "the core still holds a call")
-        self.assertFalse(shared.balancer.places)
+        self.assertFalse(decisions(channel).places)
 
 
 def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
--- a/tests/service_discovery/test_asyncio_watch.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -13,7 +13,7 @@
 from puffindeck.config.members import Target
 from puffindeck.policy.records import Request
 from puffindeck.rpc.grpc import come_back
-from tests.support.rpc_world import Stub, World, client_config, key_metadata, wait_until
+from tests.support.rpc_world import Stub, World, client_config, decisions, key_metadata, wait_until
 
 
 def now_ms() -> float:
@@ -68,12 +68,11 @@
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
         await self.world.discovery.stop()
-        shared, _ = channel._started()
-        await wait_until(lambda: shared.balancer.list_fails >= 3, "it was not asked again")
+        await wait_until(lambda: decisions(channel).list_fails >= 3, "it was not asked again")
         self.assertTrue(await stub.status(b"", timeout=2))
         self.world.discovery.update(self.world.servers["one"].target("DRAINING"))
         await self.world.discovery.start()
-        await wait_until(lambda: len(shared.balancer.ready) == 1, "the change did not come")
+        await wait_until(lambda: len(decisions(channel).ready) == 1, "the change did not come")
         for _ in range(8):
             self.assertIn(b"two", await stub.status(b"", timeout=2))
 
@@ -81,14 +80,13 @@
         await self.world.serve("one")
         channel = self.world.channel()
         await asyncio.wait_for(channel.channel_ready(), 5)
-        shared, _ = channel._started()
         discovery = self.world.discovery
         await wait_until(lambda: discovery._watchers, "no watch")
         for writer in discovery._watchers:
             discovery._chunk(writer, b'{"rev": "x"}\n')
         await wait_until(lambda: discovery.requests >= 3, "no new watch")
         self.assertIn(b"one", await Stub(channel).status(b"", timeout=2))
-        self.assertTrue(shared.balancer.ready)
+        self.assertTrue(decisions(channel).ready)
 
     async def test_a_drain_is_heeded_at_once_and_standing_streams_stay(self) -> None:
         await self.world.serve("one", "two")
@@ -99,8 +97,7 @@
         stream = stub.watch(b"", metadata=key_metadata(key))
         self.assertEqual(await stream.read(), b"one")
         self.world.discovery.update(self.world.servers["one"].target("DRAINING"))
-        shared, _ = channel._started()
-        await wait_until(lambda: len(shared.balancer.ready) == 1, "the drain was not applied")
+        await wait_until(lambda: len(decisions(channel).ready) == 1, "the drain was not applied")
         before = len(self.world.servers["one"].calls)
         for _ in range(10):
             self.assertIn(b"two", await stub.status(b"", metadata=key_metadata(key)))
@@ -156,7 +153,7 @@
         self.world.discovery.update(*gone, servers["b2"].target())
         await self.world.discovery.start()
         for channel in channels:
-            balancer = channel._started()[0].balancer
+            balancer = decisions(channel)
             await wait_until(
                 lambda m=balancer: len(m.ready) == 10 and m._cold_now(),  # type: ignore[misc]
                 "the change did not come",
@@ -165,9 +162,7 @@
             self.assertTrue(await Stub(channel).status(b"", timeout=2, metadata=key_metadata(f"desk {i}")))
         cold_keys = sum(
             balancer.home(_request(f"desk {i}")) is balancer.endpoints[shared.directory.number("b2")]
-            for i, (shared, balancer) in enumerate(
-                (c._started()[0], c._started()[0].balancer) for c in channels
-            )
+            for i, (shared, balancer) in enumerate((c._started()[0], decisions(c)) for c in channels)
         )
         self.assertGreater(cold_keys, 0)
         self.assertLessEqual(len(servers["b2"].calls), max(1, cold_keys // 2))  # not by all of them together
@@ -195,7 +190,7 @@
             lambda: sum(task.done() for task in reading.values()) == held["one"], "not all were migrated"
         )
         for channel in channels:
-            balancer = channel._started()[0].balancer
+            balancer = decisions(channel)
             await wait_until(lambda m=balancer: m._cold_now(), "the change did not come")  # type: ignore[misc]
         old.calls.clear()
         for i, task in reading.items():
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -247,6 +247,11 @@
         await asyncio.sleep(0.005)
 
 
+def decisions(channel: BalancedChannel) -> Any:
+    """The decision module of a channel, with all that its type has."""
+    return channel._started()[0].balancer
+
+
 class World:
     """Servers, discovery and channels, all ended when the story ends."""
 
@@ -283,7 +288,7 @@
     def key_of(self, channel: BalancedChannel, server: str) -> str:
         """A key whose home is this server, by the channel's own decisions."""
         shared = channel._started()[0]
-        ring = shared.balancer.whole(None)
+        ring = decisions(channel).whole(None)
         wanted = shared.directory.number(server)
         return next(
             key
