--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -11,7 +11,7 @@
 from grpc.aio import EOF, AioRpcError
 
 from puffindeck.rpc.balanced_call import BalancedCall
-from puffindeck.rpc.method import CallKind
+from puffindeck.rpc.method import STREAM_STREAM, STREAM_UNARY, UNARY_STREAM, UNARY_UNARY, CallKind
 
 
 async def await_response(call: BalancedCall) -> Any:
@@ -132,8 +132,8 @@
 
 
 CALLS: dict[CallKind, type[BalancedCall]] = {
-    CallKind(request_stream=False, response_stream=False): UnaryUnary,
-    CallKind(request_stream=False, response_stream=True): UnaryStream,
-    CallKind(request_stream=True, response_stream=False): StreamUnary,
-    CallKind(request_stream=True, response_stream=True): StreamStream,
+    UNARY_UNARY: UnaryUnary,
+    UNARY_STREAM: UnaryStream,
+    STREAM_UNARY: StreamUnary,
+    STREAM_STREAM: StreamStream,
 }
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -24,7 +24,15 @@
 from puffindeck.rpc.balanced_call import BalancedCall
 from puffindeck.rpc.calls import CALLS
 from puffindeck.rpc.interceptor_chain import sort_by_kind
-from puffindeck.rpc.method import CallKind, CallOptions, Method
+from puffindeck.rpc.method import (
+    STREAM_STREAM,
+    STREAM_UNARY,
+    UNARY_STREAM,
+    UNARY_UNARY,
+    CallKind,
+    CallOptions,
+    Method,
+)
 from puffindeck.rpc.multicallables import MULTICALLABLES
 from puffindeck.rpc.resuming import resuming
 from puffindeck.rpc.shared_state import SharedState
@@ -200,8 +208,7 @@
         _registered_method: bool | None = False,
     ) -> Any:
         """The method of this path, with one request and one response."""
-        kind = CallKind(request_stream=False, response_stream=False)
-        return self._multicallable(method, kind, request_serializer, response_deserializer)
+        return self._multicallable(method, UNARY_UNARY, request_serializer, response_deserializer)
 
     def unary_stream(
         self,
@@ -211,8 +218,7 @@
         _registered_method: bool | None = False,
     ) -> Any:
         """The method of this path, with one request and a stream of responses."""
-        kind = CallKind(request_stream=False, response_stream=True)
-        return self._multicallable(method, kind, request_serializer, response_deserializer)
+        return self._multicallable(method, UNARY_STREAM, request_serializer, response_deserializer)
 
     def stream_unary(
         self,
@@ -222,8 +228,7 @@
         _registered_method: bool | None = False,
     ) -> Any:
         """The method of this path, with a stream of requests and one response."""
-        kind = CallKind(request_stream=True, response_stream=False)
-        return self._multicallable(method, kind, request_serializer, response_deserializer)
+        return self._multicallable(method, STREAM_UNARY, request_serializer, response_deserializer)
 
     def stream_stream(
         self,
@@ -233,8 +238,7 @@
         _registered_method: bool | None = False,
     ) -> Any:
         """The method of this path, with streams both ways."""
-        kind = CallKind(request_stream=True, response_stream=True)
-        return self._multicallable(method, kind, request_serializer, response_deserializer)
+        return self._multicallable(method, STREAM_STREAM, request_serializer, response_deserializer)
 
     def call(self, method: Method, request: Any, options: CallOptions) -> BalancedCall:
         """Begin a call. RuntimeError or grpc.aio.UsageError if the channel can't be used here."""
--- a/puffindeck/rpc/intercepted_calls.py
+++ b/puffindeck/rpc/intercepted_calls.py
@@ -10,7 +10,15 @@
 from grpc.aio import EOF, AioRpcError, Metadata
 
 from puffindeck.rpc.interceptor_chain import BeginCall, InterceptorChain
-from puffindeck.rpc.method import CallKind, CallOptions, Method
+from puffindeck.rpc.method import (
+    STREAM_STREAM,
+    STREAM_UNARY,
+    UNARY_STREAM,
+    UNARY_UNARY,
+    CallKind,
+    CallOptions,
+    Method,
+)
 from puffindeck.rpc.request_stream import FINISHED, HALF_CLOSED, MIXED_STYLES
 from puffindeck.rpc.status import CANCELLED
 
@@ -213,8 +221,8 @@
 
 
 INTERCEPTED_CALLS: dict[CallKind, type[InterceptedCall]] = {
-    CallKind(request_stream=False, response_stream=False): InterceptedUnaryUnary,
-    CallKind(request_stream=False, response_stream=True): InterceptedUnaryStream,
-    CallKind(request_stream=True, response_stream=False): InterceptedStreamUnary,
-    CallKind(request_stream=True, response_stream=True): InterceptedStreamStream,
+    UNARY_UNARY: InterceptedUnaryUnary,
+    UNARY_STREAM: InterceptedUnaryStream,
+    STREAM_UNARY: InterceptedStreamUnary,
+    STREAM_STREAM: InterceptedStreamStream,
 }
--- a/puffindeck/rpc/interceptor_chain.py
+++ b/puffindeck/rpc/interceptor_chain.py
@@ -9,7 +9,15 @@
 from grpc.aio import ClientCallDetails, Metadata
 
 from puffindeck.rpc.interceptor_response import InterceptorResponse
-from puffindeck.rpc.method import CallKind, CallOptions, Method
+from puffindeck.rpc.method import (
+    STREAM_STREAM,
+    STREAM_UNARY,
+    UNARY_STREAM,
+    UNARY_UNARY,
+    CallKind,
+    CallOptions,
+    Method,
+)
 
 BeginCall = Callable[[Method, Any, CallOptions], grpc.aio.Call]
 
@@ -22,18 +30,10 @@
 
 
 INTERCEPTOR_KINDS: dict[CallKind, InterceptorKind] = {
-    CallKind(request_stream=False, response_stream=False): InterceptorKind(
-        grpc.aio.UnaryUnaryClientInterceptor, "intercept_unary_unary"
-    ),
-    CallKind(request_stream=False, response_stream=True): InterceptorKind(
-        grpc.aio.UnaryStreamClientInterceptor, "intercept_unary_stream"
-    ),
-    CallKind(request_stream=True, response_stream=False): InterceptorKind(
-        grpc.aio.StreamUnaryClientInterceptor, "intercept_stream_unary"
-    ),
-    CallKind(request_stream=True, response_stream=True): InterceptorKind(
-        grpc.aio.StreamStreamClientInterceptor, "intercept_stream_stream"
-    ),
+    UNARY_UNARY: InterceptorKind(grpc.aio.UnaryUnaryClientInterceptor, "intercept_unary_unary"),
+    UNARY_STREAM: InterceptorKind(grpc.aio.UnaryStreamClientInterceptor, "intercept_unary_stream"),
+    STREAM_UNARY: InterceptorKind(grpc.aio.StreamUnaryClientInterceptor, "intercept_stream_unary"),
+    STREAM_STREAM: InterceptorKind(grpc.aio.StreamStreamClientInterceptor, "intercept_stream_stream"),
 }
 
 
--- a/puffindeck/rpc/method.py
+++ b/puffindeck/rpc/method.py
@@ -15,6 +15,12 @@
     response_stream: bool
 
 
+UNARY_UNARY = CallKind(request_stream=False, response_stream=False)
+UNARY_STREAM = CallKind(request_stream=False, response_stream=True)
+STREAM_UNARY = CallKind(request_stream=True, response_stream=False)
+STREAM_STREAM = CallKind(request_stream=True, response_stream=True)
+
+
 class Method(NamedTuple):
     """A method as a stub names it, and its class of request."""
 
--- a/puffindeck/rpc/multicallables.py
+++ b/puffindeck/rpc/multicallables.py
@@ -8,7 +8,15 @@
 import grpc
 
 from puffindeck.rpc.intercepted_calls import INTERCEPTED_CALLS
-from puffindeck.rpc.method import CallKind, CallOptions, Method
+from puffindeck.rpc.method import (
+    STREAM_STREAM,
+    STREAM_UNARY,
+    UNARY_STREAM,
+    UNARY_UNARY,
+    CallKind,
+    CallOptions,
+    Method,
+)
 
 
 class CallFactory(Protocol):
@@ -95,8 +103,8 @@
 
 
 MULTICALLABLES: dict[CallKind, type[Multicallable]] = {
-    CallKind(request_stream=False, response_stream=False): UnaryUnary,
-    CallKind(request_stream=False, response_stream=True): UnaryStream,
-    CallKind(request_stream=True, response_stream=False): StreamUnary,
-    CallKind(request_stream=True, response_stream=True): StreamStream,
+    UNARY_UNARY: UnaryUnary,
+    UNARY_STREAM: UnaryStream,
+    STREAM_UNARY: StreamUnary,
+    STREAM_STREAM: StreamStream,
 }
