--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -10,7 +10,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck_errors import OperatorError, described
 from puffindeck_fleet.datagrams import Datagrams
@@ -42,8 +42,8 @@
 
 log = Logger("puffindeck")
 
-TURN = span(50)  # how often quotas move rights
-KEEP_AGAIN = span(1000)  # how soon a folder that failed is tried again: what is owed is kept
+TURN = milliseconds(50)  # how often quotas move rights
+KEEP_AGAIN = milliseconds(1000)  # how soon a folder that failed is tried again: what is owed is kept
 STATES = {Phase.ALIVE: "alive", Phase.SUSPECT: "suspect", Phase.DEAD: "dead", Phase.LEFT: "left"}
 
 
@@ -149,7 +149,7 @@
     # Datagrams and timers
 
     def _now(self) -> float:
-        return ms(self.deadlines.clock.now())
+        return to_ms(self.deadlines.clock.now())
 
     def _came(self, data: bytes, source: str) -> None:
         try:
@@ -195,7 +195,7 @@
 
     def _wake_at(self, at_ms: float) -> None:
         self.deadlines.cancel(self._wake)
-        self._wake = self.deadlines.after(span(max(0.0, at_ms - self._now())), self._do_member, Tick())
+        self._wake = self.deadlines.after(milliseconds(max(0.0, at_ms - self._now())), self._do_member, Tick())
 
     def _changed(self, action: Changed) -> None:
         news = action.news
--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -14,13 +14,13 @@
 from twisted.logger import FileLogObserver, globalLogBeginner
 
 from puffindeck import config
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.core.reactor_clock import use_monotonic_clock
 from puffindeck.net.logs import json_line, line
 from puffindeck.net.node import Node
 
 reactor: Any = default_reactor
-FIRST_TURN = span(5)
+FIRST_TURN = milliseconds(5)
 
 
 def main(given: list[str] | None = None) -> int:
--- a/puffindeck/core/clock.py
+++ b/puffindeck/core/clock.py
@@ -9,26 +9,30 @@
 ZERO = timedelta()
 
 
-def ms(span: timedelta) -> float:
-    """A span, or a time since 1970, as the decision module counts it."""
-    return span / MILLISECOND
+def to_ms(duration: timedelta) -> float:
+    """Convert a duration, or a time since 1970, to the decision module's milliseconds."""
+    return duration / MILLISECOND
 
 
-def span(milliseconds: float) -> timedelta:
-    """What the decision module, the settings or a line of text gives in milliseconds."""
-    return timedelta(milliseconds=milliseconds)
+def milliseconds(count: float) -> timedelta:
+    """Convert milliseconds from the decision module, the settings or a line of text to a duration."""
+    return timedelta(milliseconds=count)
 
 
 def monotonic_ms() -> float:
-    """The machine's monotonic clock in milliseconds: one for all its processes (clock_gettime(2))."""
+    """Read the machine's monotonic clock, common to all its processes (clock_gettime(2)), in milliseconds."""
     return time.monotonic() * 1000.0
 
 
 class Clock:
-    """Time since 1970 by the wall clock at this process's start; it never steps, whatever is done to that."""
+    """Time since 1970, from the wall clock at the start of the process and the monotonic clock since then.
+
+    It never steps, even if the wall clock is set.
+    """
 
     def __init__(self) -> None:
         self._start = timedelta(seconds=time.time()) - timedelta(seconds=time.monotonic())
 
     def now(self) -> timedelta:
+        """Return the time since 1970."""
         return self._start + timedelta(seconds=time.monotonic())
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -14,7 +14,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.core.generational_arena import GenerationalArena
 from puffindeck.core.reachability import Reachability
 from puffindeck.core.request_observer import Answer, Reason, RequestObserver, Unobserved
@@ -52,7 +52,7 @@
 
 log = Logger("puffindeck")
 
-LATE = span(15)  # how long after its deadline a request that the module has not answered is failed
+LATE = milliseconds(15)  # how long after its deadline a request that the module has not answered is failed
 
 
 class Decisions(Protocol):
@@ -112,7 +112,7 @@
 
     def _decide(self, batch: Iterable[Event]) -> list[Action]:
         try:
-            actions: list[Action] = self.balancer.handle(ms(self.clock.now()), batch)
+            actions: list[Action] = self.balancer.handle(to_ms(self.clock.now()), batch)
             return actions
         except Exception:  # each request's guard still answers it in time
             log.failure("decision failed")
@@ -179,7 +179,7 @@
                 asked.cls,
                 0,
                 asked.key,
-                ms(asked.left),
+                to_ms(asked.left),
                 asked.hint,
                 asked.group,
                 returning=asked.returning,
@@ -247,7 +247,7 @@
         self.deadlines.cancel(held.guard)
         held.client.began(held.link)
         self.observer.answered(held.id, Answer.UP, Reason.SERVED)
-        took = ms(self.clock.now() - held.sent)
+        took = to_ms(self.clock.now() - held.sent)
         self.tell(AttemptEstablished(ticket.request, held.endpoint, took, ticket.attempt))
         return True
 
@@ -267,7 +267,7 @@
             self.observer.attempt_ended(held.id, held.endpoint, ticket.attempt, outcome, took)
         self._settle(held)
         self.tell(
-            AttemptEnded(ticket.request, outcome, held.endpoint, ticket.attempt, held.answered, ms(took))
+            AttemptEnded(ticket.request, outcome, held.endpoint, ticket.attempt, held.answered, to_ms(took))
         )
 
     def noted(self, ticket: AttemptId, figure: float) -> None:
@@ -299,8 +299,10 @@
             self.client_left(action.request)
             return
         now = self.clock.now()
-        until = min(held.deadline, now + span(action.timeout_ms)) if action.timeout_ms else held.deadline
-        begin = min(until, now + span(action.start_within_ms)) if action.start_within_ms else until
+        until = (
+            min(held.deadline, now + milliseconds(action.timeout_ms)) if action.timeout_ms else held.deadline
+        )
+        begin = min(until, now + milliseconds(action.start_within_ms)) if action.start_within_ms else until
         held.attempts += 1
         held.out, held.endpoint, held.sent = True, action.endpoint, now
         if until <= now:
@@ -349,7 +351,7 @@
         held = self._unanswered(action.request)
         if held is not None:
             self.observer.answered(held.id, Answer.REFUSED, Reason.DECISION)
-            held.client.refuse(span(action.retry_after_ms))
+            held.client.refuse(milliseconds(action.retry_after_ms))
             self._settle(held)
 
     def _fail(self, action: Fail) -> None:
@@ -387,7 +389,7 @@
             self.ended(AttemptId(held.number, held.attempts - 1), Outcome.CANCELLED)
 
     def _wake(self, action: ScheduleTimer) -> None:
-        self.deadlines.after(span(action.delay_ms), self.tell, TimerFired(action.token))
+        self.deadlines.after(milliseconds(action.delay_ms), self.tell, TimerFired(action.token))
 
     def _log(self, action: Log) -> None:
         log.info("module: {text}", text=action.text)
--- a/puffindeck/core/reachability.py
+++ b/puffindeck/core/reachability.py
@@ -5,10 +5,10 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from puffindeck.core.clock import ZERO, Clock, span
+from puffindeck.core.clock import ZERO, Clock, milliseconds
 from puffindeck.interface import EndpointEntry, EndpointStatus, ListUpdateKind, Settings
 
-DRAIN_MARGIN = span(100)  # how long before the end of a drain's grace nothing more is begun
+DRAIN_MARGIN = milliseconds(100)  # how long before the end of a drain's grace nothing more is begun
 
 
 class Reachability:
@@ -24,7 +24,7 @@
 
     def retune(self, settings: Settings) -> None:
         """Another grace from now on."""
-        self.grace = max(ZERO, span(settings.drain_grace_ms) - DRAIN_MARGIN)
+        self.grace = max(ZERO, milliseconds(settings.drain_grace_ms) - DRAIN_MARGIN)
 
     def listed(self, kind: ListUpdateKind, entries: Iterable[EndpointEntry]) -> None:
         """News of the list; of one that could not be had there are no entries."""
--- a/puffindeck/core/timer_queue.py
+++ b/puffindeck/core/timer_queue.py
@@ -9,11 +9,11 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ZERO, Clock, ms, span
+from puffindeck.core.clock import ZERO, Clock, milliseconds, to_ms
 
 log = Logger("puffindeck")
 
-LATE = span(250)  # the timer that runs later than this is logged
+LATE = milliseconds(250)  # the timer that runs later than this is logged
 
 
 class Timer(Protocol):
@@ -100,7 +100,7 @@
         if late > LATE:
             log.warn(
                 "timers: {late_ms} ms late: nothing that waits for time was done meanwhile",
-                late_ms=round(ms(late)),
+                late_ms=round(to_ms(late)),
             )
 
     def run(self) -> None:
--- a/puffindeck/net/admin.py
+++ b/puffindeck/net/admin.py
@@ -8,12 +8,12 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.net.parts import Parts
 
 log = Logger("puffindeck")
 
-POLL = span(100)  # how often it is looked for what staff told another process
+POLL = milliseconds(100)  # how often it is looked for what staff told another process
 
 
 class Admin(Parts):
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -8,7 +8,7 @@
 
 from twisted.protocols.basic import LineReceiver
 
-from puffindeck.core.clock import ZERO, ms, span
+from puffindeck.core.clock import ZERO, milliseconds, to_ms
 from puffindeck.core.request_observer import Reason
 from puffindeck.core.timer_queue import Deadline
 from puffindeck.net.closing import LINGER, drain_receive_buffer, end_sending, peer_has_closed
@@ -18,10 +18,10 @@
 if TYPE_CHECKING:
     from puffindeck.net.parts import Parts
 
-FIRST_LINE = span(2750)  # how long a connection may be without a first line
+FIRST_LINE = milliseconds(2750)  # how long a connection may be without a first line
 # A close over input that was not read resets the connection, and what was said last may be lost with it. So
 # what a client still sends is taken in, this much at a time, until it closes too or has had its time.
-DRAIN, DRAIN_PAUSE = 1 << 18, span(50)
+DRAIN, DRAIN_PAUSE = 1 << 18, milliseconds(50)
 
 
 class ConnectionState(Enum):
@@ -164,7 +164,7 @@
     # Answers, each the last word of ours
 
     def refuse(self, wait: timedelta) -> None:
-        self._answer(b"BUSY %d" % ms(wait) if wait > ZERO else b"BUSY")
+        self._answer(b"BUSY %d" % to_ms(wait) if wait > ZERO else b"BUSY")
 
     def fail(self) -> None:
         self._answer(b"ERR")
--- a/puffindeck/net/closing.py
+++ b/puffindeck/net/closing.py
@@ -13,11 +13,11 @@
 from twisted.internet.interfaces import IPullProducer
 from zope.interface import implementer
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.machine_errors import NOT_NOW
 from puffindeck.core.timer_queue import TimerQueue
 
-LINGER = span(600)  # how long a connection that is to end may take to send what it still holds
+LINGER = milliseconds(600)  # how long a connection that is to end may take to send what it still holds
 
 
 def flush(transport: Any) -> None:
--- a/puffindeck/net/graceful_shutdown.py
+++ b/puffindeck/net/graceful_shutdown.py
@@ -6,19 +6,19 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING, NamedTuple
 
-from puffindeck.core.clock import ZERO, span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.core.timer_queue import Deadline
 from puffindeck.net.relay import HALF_LINE
 
 if TYPE_CHECKING:
     from puffindeck.net.parts import Parts
 
-LOOK = span(50)  # how often it is looked for late-comers
+LOOK = milliseconds(50)  # how often it is looked for late-comers
 
 
 # A stopping process is killed no sooner than the longest deadline, counted as LONGEST where it is longer, and
 # AFTER it. All must be over MARGIN before.
-LONGEST, AFTER, MARGIN = span(3000), span(700), span(400)
+LONGEST, AFTER, MARGIN = milliseconds(3000), milliseconds(700), milliseconds(400)
 
 
 class DrainSchedule(NamedTuple):
@@ -38,9 +38,24 @@
 
 # A connection is served until it is sent away, and other nodes may be stopping too or not be back yet: so at
 # a restart MOVEs go out as late as leaves time for the end. A lame duck's front has the other nodes.
-RESTART = DrainSchedule(accept=span(450), send_from=span(1800), send_over=span(1300), end=span(3300))
-UPGRADE = DrainSchedule(accept=span(1500), send_from=span(150), send_over=span(2900), end=span(3300))
-DRAIN = DrainSchedule(accept=span(450), send_from=span(500), send_over=span(2500), end=span(3250))
+RESTART = DrainSchedule(
+    accept=milliseconds(450),
+    send_from=milliseconds(1800),
+    send_over=milliseconds(1300),
+    end=milliseconds(3300),
+)
+UPGRADE = DrainSchedule(
+    accept=milliseconds(1500),
+    send_from=milliseconds(150),
+    send_over=milliseconds(2900),
+    end=milliseconds(3300),
+)
+DRAIN = DrainSchedule(
+    accept=milliseconds(450),
+    send_from=milliseconds(500),
+    send_over=milliseconds(2500),
+    end=milliseconds(3250),
+)
 
 
 class GracefulShutdown:
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ms
+from puffindeck.core.clock import to_ms
 from puffindeck.core.engine import Decisions
 from puffindeck.interface import ConnectionInfo, RequestArrived
 from puffindeck.net.parts import Parts
@@ -30,7 +30,7 @@
         from puffindeck_quota import Quota
         from puffindeck_quota import Settings as QuotaSettings
 
-        life = new_life(ms(self.deadlines.clock.now()))
+        life = new_life(to_ms(self.deadlines.clock.now()))
         self.fleet = Fleet(
             self.reactor, self.deadlines, self.told.name, installed.fleet, life, self.told.seed, self._usurped
         )
--- a/puffindeck/net/logs.py
+++ b/puffindeck/net/logs.py
@@ -8,10 +8,10 @@
 import msgspec
 from twisted.logger import LogEvent, Logger, LogLevel, eventAsText
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.timer_queue import TimerQueue
 
-PERIOD = span(5000)
+PERIOD = milliseconds(5000)
 LINES = 20  # of one kind in a period
 
 
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -12,7 +12,7 @@
 
 from puffindeck.config import ConfigError, ConfigUnreadable, Quic
 from puffindeck.config import Node as Told
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.datagram_port import listen_datagrams
 from puffindeck.interface import ListUpdateKind, Settings
 from puffindeck.net.admin import Admin
@@ -32,12 +32,12 @@
 BACKLOG = 1024  # a storm's connections, all within one turn of the reactor
 # A connection that has gone silent has to end within 7 s. Clients send a line every 2 s, so the first without
 # an answer may come 2 s after; another one has gone unanswered since when it has waited this long.
-SWEEP = span(250)  # how often open connections are looked over
-SILENT = span(3250)
-RETRY_AFTER = span(150)  # when a client refused by a node without room may come again
+SWEEP = milliseconds(250)  # how often open connections are looked over
+SILENT = milliseconds(3250)
+RETRY_AFTER = milliseconds(150)  # when a client refused by a node without room may come again
 LARGEST_DATAGRAM = 65535  # bytes
-READ_AGAIN = span(500)  # how soon a file that the system could not read at a reload is tried again
-DROPPED = span(5000)  # how long a class that is dropped is served: its clients learn of it later
+READ_AGAIN = milliseconds(500)  # how soon a file that the system could not read at a reload is tried again
+DROPPED = milliseconds(5000)  # how long a class that is dropped is served: its clients learn of it later
 
 
 class ClientFactory(Factory):
@@ -191,7 +191,7 @@
             new = replace(new, zone=self.directory.zone(new.zones[new.zone]))
         quic = [self.told.quic.cls] if self.told.quic is not None else []
         self.engine.retune(new, [*self.classes.values(), *quic])
-        self.connect_patience = span(new.connect_timeout_ms)
+        self.connect_patience = milliseconds(new.connect_timeout_ms)
         numbers = {c.name: i for i, c in enumerate(self.engine.settings.classes)}
         self.named = {c.name for c in new.classes}
         dropped = self.classes.keys() - self.named
@@ -300,7 +300,7 @@
         )
         if self.fleet is not None:
             self.fleet.leave()
-        longest = span(max(c.deadline_ms for c in self.told.settings.classes))
+        longest = milliseconds(max(c.deadline_ms for c in self.told.settings.classes))
         self.leaving = GracefulShutdown(self, pace.before_kill(longest), self._stopped)
         self._tell_waiting()
 
@@ -336,7 +336,7 @@
         if self.fleet is not None:
             self.fleet.stop()
         log.info("node {name}: stopped", name=self.told.name)
-        self.deadlines.after(span(300 if self.clients else 0), self._end)
+        self.deadlines.after(milliseconds(300 if self.clients else 0), self._end)
 
     def _end(self) -> None:
         self.deadlines.clear()
--- a/puffindeck/net/operator.py
+++ b/puffindeck/net/operator.py
@@ -13,7 +13,7 @@
 from twisted.python.failure import Failure
 from twisted.web import http
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.timer_queue import TimerQueue
 
 log = Logger("puffindeck")
@@ -21,9 +21,9 @@
 Answer = tuple[int, str] | Deferred[tuple[int, str]]  # a status and its line, now or soon
 
 CALLERS = 16  # connections at once; a whole call is answered in the turn in which it is read
-PATIENCE = span(3000)  # how long a caller may be without a whole call
+PATIENCE = milliseconds(3000)  # how long a caller may be without a whole call
 # A call is due its answer within 1 s; so long, and so often, it is looked whether the record is written.
-RECORDED, RECORD_AGAIN = span(700), span(50)
+RECORDED, RECORD_AGAIN = milliseconds(700), milliseconds(50)
 
 
 class Staffed(Protocol):
--- a/puffindeck/net/parts.py
+++ b/puffindeck/net/parts.py
@@ -9,7 +9,7 @@
 from twisted.logger import Logger
 
 from puffindeck.config import Node as Told
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.core.engine import Decisions, Engine
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.net.admission import AdmissionControl
@@ -49,7 +49,7 @@
         self.directory = Directory(settings.zones, settings.kinds)
         self.classes = {c.name: i for i, c in enumerate(settings.classes)}  # those served, and their numbers
         self.named = set(self.classes)  # less those that were dropped just now
-        self.connect_patience = span(settings.connect_timeout_ms)
+        self.connect_patience = milliseconds(settings.connect_timeout_ms)
         self.fleet: Any = None  # puffindeck_fleet.Fleet, for a member of one
         self.governor: Any = None  # puffindeck_fleet.Governor, where there are quotas or rules
         self.failed: str = ""  # why this process has to end with an error
--- a/puffindeck/net/relay.py
+++ b/puffindeck/net/relay.py
@@ -4,7 +4,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.request_observer import Reason
 from puffindeck.core.requests import Link as CoreLink
 from puffindeck.interface import Outcome
@@ -16,7 +16,7 @@
 log = Logger("puffindeck")
 
 # How long before a MOVE the start of a line is held back. A line that is held back for over a second is lost.
-HALF_LINE = span(700)
+HALF_LINE = milliseconds(700)
 
 
 class Relay(ClientConnection):
--- a/puffindeck/net/request_line.py
+++ b/puffindeck/net/request_line.py
@@ -5,7 +5,7 @@
 import re
 from datetime import timedelta
 
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.service_discovery.keys import number
 
 CRLF = b"\r\n"
@@ -43,7 +43,7 @@
                 if self._wait is not None:
                     raise RequestLineError("d stands twice")
                 self._wait = place + 2, place + len(item)
-                self.left = span(self._figure(name, value))
+                self.left = milliseconds(self._figure(name, value))
             elif name == b"c":
                 self.cls = value.decode()
             elif name == b"g":
@@ -71,4 +71,4 @@
         """The line for a host that is waited for this long, for one gathered write."""
         assert self._wait is not None
         start, end = self._wait
-        return [self._line[:start], b"%d" % max(1, int(ms(wait))), self._line[end:], CRLF]
+        return [self._line[:start], b"%d" % max(1, int(to_ms(wait))), self._line[end:], CRLF]
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -7,7 +7,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ms
+from puffindeck.core.clock import to_ms
 from puffindeck.core.request_observer import Answer, Reason
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Outcome
@@ -49,7 +49,7 @@
             attempt=attempt,
             host=self._server_name(endpoint),
             outcome=outcome.name.lower(),
-            took_ms=round(ms(took)),
+            took_ms=round(to_ms(took)),
         )
 
     def answered(self, request: str, answer: Answer, why: Reason) -> None:
--- a/puffindeck/net/succession.py
+++ b/puffindeck/net/succession.py
@@ -7,14 +7,14 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import monotonic_ms, span
+from puffindeck.core.clock import milliseconds, monotonic_ms
 from puffindeck.interface import LoadLimitRestored
 from puffindeck.net.parts import Parts
 
 log = Logger("puffindeck")
 
-WORD = span(500)  # how often it is left what a process that follows should know
-POLL = span(100)  # how often it is looked for other processes
+WORD = milliseconds(500)  # how often it is left what a process that follows should know
+POLL = milliseconds(100)  # how often it is looked for other processes
 
 
 class Succession(Parts):
--- a/puffindeck/net/upstream_attempts.py
+++ b/puffindeck/net/upstream_attempts.py
@@ -6,7 +6,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ZERO, span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.core.requests import AttemptId, Request
 from puffindeck.core.requests import Link as CoreLink
 from puffindeck.interface import Outcome
@@ -16,7 +16,7 @@
 
 log = Logger("puffindeck")
 
-AT_WAIT, AT_TRY = span(40000), span(300)  # how long, how often it is tried
+AT_WAIT, AT_TRY = milliseconds(40000), milliseconds(300)  # how long, how often it is tried
 
 
 class UpstreamAttempts(Relay):
--- a/puffindeck/net/wall_clock.py
+++ b/puffindeck/net/wall_clock.py
@@ -8,11 +8,13 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 
 log = Logger("puffindeck")
 
-STEP = span(250)  # a smaller difference is the clock being trimmed, or this process held up between two reads
+STEP = milliseconds(
+    250
+)  # a smaller difference is the clock being trimmed, or this process held up between two reads
 
 
 class WallClock:
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -20,7 +20,7 @@
 from twisted.logger import Logger
 
 from puffindeck.config import Quic
-from puffindeck.core.clock import ZERO, ms, span
+from puffindeck.core.clock import ZERO, milliseconds, to_ms
 from puffindeck.core.datagram_port import listen_datagrams
 from puffindeck.core.engine import Engine
 from puffindeck.core.generational_arena import GenerationalArena
@@ -37,13 +37,13 @@
 
 Address = tuple[str, int]
 
-SWEEP = span(500)
-UNPROVEN = span(3000)  # how long a flow taken over may be without a word from its box
+SWEEP = milliseconds(500)
+UNPROVEN = milliseconds(3000)  # how long a flow taken over may be without a word from its box
 FIRST_FLIGHT = 4  # datagrams of a client's first flight that are kept for another attempt
 UNANSWERED = 4  # datagrams: fewer may be acknowledgements, which no answer is due to
 IDS = 8  # ids that lead to a flow at once: the client's first, then those its box and it go on to
 AMPLIFY = 3  # times the octets that came from an address are sent to it, until it has shown to receive
-REPORT = span(10000)  # how often dropped datagrams are logged
+REPORT = milliseconds(10000)  # how often dropped datagrams are logged
 
 
 class Upstream(DatagramProtocol):
@@ -170,7 +170,7 @@
         self._kept, self._answer = [], b""
 
     def refuse(self, wait: timedelta) -> None:
-        reason = f"busy, come back in {ms(wait):.0f} ms" if wait > ZERO else "busy"
+        reason = f"busy, come back in {to_ms(wait):.0f} ms" if wait > ZERO else "busy"
         self._close(packets.REFUSED, reason)
 
     def fail(self) -> None:
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -9,7 +9,7 @@
 import grpc
 from grpc.aio import AioRpcError, Metadata
 
-from puffindeck.core.clock import ZERO, span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import Outcome
 from puffindeck.rpc import outcomes
@@ -129,7 +129,9 @@
         """Until the connection stands. False also if the server drains, as was told meanwhile."""
         if not self._sub.ready():
             shared = self._call.shared
-            patience = min(span(self._engine.settings.connect_timeout_ms), self._until - shared.clock.now())
+            patience = min(
+                milliseconds(self._engine.settings.connect_timeout_ms), self._until - shared.clock.now()
+            )
             if not await self._sub.connect(max(ZERO, patience)):
                 return False
         return self._engine.may_reach(self._server)
--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -11,7 +11,7 @@
 import grpc
 from grpc.aio import EOF, AioRpcError, Metadata
 
-from puffindeck.core.clock import ZERO, span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.core.requests import AttemptId, Link, Request
 from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.rpc.attempt import NOTHING, Attempt
@@ -23,7 +23,7 @@
 
 MIXED = "The iterator and the write style can't be mixed: this call was given an iterator"
 FACTS = ConnectionInfo(listener="rpc")  # what routes may go by, beside the class
-AGAIN = span(50)  # how soon a call that waits for a server asks anew, where it was told no time
+AGAIN = milliseconds(50)  # how soon a call that waits for a server asks anew, where it was told no time
 
 
 class Asked(NamedTuple):
@@ -90,7 +90,7 @@
 
     def _place(self) -> None:
         engine, now = self.shared.engine, self.shared.clock.now()
-        left = span(engine.settings.classes[self.method.cls].deadline_ms)
+        left = milliseconds(engine.settings.classes[self.method.cls].deadline_ms)
         if self._deadline is not None:
             until = self._deadline - now
             left = min(left, until) if self.method.response_stream else until
@@ -151,7 +151,7 @@
         self.finish(SERVED)
 
     def _late(self) -> bool:
-        return self._deadline is not None and self.shared.clock.now() >= self._deadline - span(1)
+        return self._deadline is not None and self.shared.clock.now() >= self._deadline - milliseconds(1)
 
     def refuse(self, wait: timedelta) -> None:
         left = None if self._deadline is None else self._deadline - self.shared.clock.now()
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -20,7 +20,7 @@
 from zope.interface import implementer
 
 from puffindeck.config import Members, Target
-from puffindeck.core.clock import ZERO, Clock, ms, span
+from puffindeck.core.clock import ZERO, Clock, milliseconds, to_ms
 from puffindeck.core.engine import Engine
 from puffindeck.core.requests import AttemptId, Link, Request
 from puffindeck.core.timer_queue import Deadline, TimerQueue
@@ -36,7 +36,7 @@
     """No server was to be had in time. `wait` says how long to keep away, zero if nothing is known."""
 
     def __init__(self, wait: timedelta = ZERO) -> None:
-        super().__init__(string=f"refused, come back in {ms(wait):.0f} ms" if wait else "refused")
+        super().__init__(string=f"refused, come back in {to_ms(wait):.0f} ms" if wait else "refused")
         self.wait = wait
 
 
@@ -111,7 +111,7 @@
 
     def __init__(self, balancing: Balancing, key: str, cls: int, deadline: timedelta | None) -> None:
         self._balancing, self._key, self._cls = balancing, key, cls
-        self._deadline = deadline or span(balancing.engine.settings.classes[cls].deadline_ms)
+        self._deadline = deadline or milliseconds(balancing.engine.settings.classes[cls].deadline_ms)
 
     def connect(self, protocolFactory: IProtocolFactory) -> Deferred[Any]:
         """A Deferred of the protocol, connected; or a Failure with Refused or Failed."""
@@ -198,7 +198,7 @@
         self._patience: Deadline | None = None
 
     def connect(self, address: tuple[str, int]) -> None:
-        patience = span(self._connect.balancing.settings.connect_timeout_ms)
+        patience = milliseconds(self._connect.balancing.settings.connect_timeout_ms)
         self._patience = self._deadlines.after(patience, self.finish, Outcome.CONNECT_FAILED)
         self._connector = self._connect.balancing.reactor.connectTCP(*address, self, timeout=None)
 
--- a/puffindeck/rpc/shared.py
+++ b/puffindeck/rpc/shared.py
@@ -11,7 +11,7 @@
 
 from puffindeck.client_side import Member
 from puffindeck.config.client import Client
-from puffindeck.core.clock import Clock, ms
+from puffindeck.core.clock import Clock, to_ms
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ListUpdateKind, TimerFired
@@ -95,13 +95,13 @@
             self.roster.ask()
 
     def _heard(self) -> None:
-        self.member.heard(ms(self.clock.now()))
+        self.member.heard(to_ms(self.clock.now()))
         self.wake()
 
     @property
     def age_ms(self) -> float:
         """How long ago the roster last gave a sign of life, in milliseconds; infinite before the first."""
-        return float(self.member.age_ms(ms(self.clock.now())))
+        return float(self.member.age_ms(to_ms(self.clock.now())))
 
     def wake(self) -> None:
         """Something may have changed: whoever waits for that looks again."""
--- a/puffindeck/rpc/status.py
+++ b/puffindeck/rpc/status.py
@@ -11,7 +11,7 @@
 from google.rpc import code_pb2, error_details_pb2, status_pb2
 from grpc.aio import AioRpcError, Metadata
 
-from puffindeck.core.clock import ZERO, ms
+from puffindeck.core.clock import ZERO, to_ms
 
 MOVED = "puffindeck-moved"  # a trailer: the stream ended so that it goes on at another server
 PUSHBACK = "grpc-retry-pushback-ms"  # a trailer of gRPC's A6: when to come again, in milliseconds
@@ -57,7 +57,7 @@
         info.retry_delay.FromTimedelta(wait)
         rich = status_pb2.Status(code=code_pb2.Code.Value(code.name), message=text)
         rich.details.add().Pack(info)
-        trailing += [(PUSHBACK, f"{ms(wait):.0f}"), (DETAILS, rich.SerializeToString())]
+        trailing += [(PUSHBACK, f"{to_ms(wait):.0f}"), (DETAILS, rich.SerializeToString())]
     return Final(code, text, tuple(trailing))
 
 
--- a/puffindeck/service_discovery/directory.py
+++ b/puffindeck/service_discovery/directory.py
@@ -9,7 +9,7 @@
 from twisted.logger import Logger
 
 from puffindeck.config import ConfigError, Members, Target, address
-from puffindeck.core.clock import ms
+from puffindeck.core.clock import to_ms
 from puffindeck.interface import EndpointEntry, EndpointStatus
 from puffindeck.service_discovery.start_times import StartTimes
 
@@ -57,11 +57,11 @@
 
     def hear(self, now: timedelta) -> None:
         """At this moment discovery has said that all its news is told."""
-        self._heard_ms = ms(now)
+        self._heard_ms = to_ms(now)
 
     def entries(self, members: Members, now: timedelta) -> list[EndpointEntry]:
         """A piece of list news for the module. An entry that can't be used is left out, with a line."""
-        return [entry for target in members.targets if (entry := self._entry(target, ms(now))) is not None]
+        return [entry for target in members.targets if (entry := self._entry(target, to_ms(now))) is not None]
 
     def _entry(self, target: Target, now_ms: float) -> EndpointEntry | None:
         state = STATES.get(target.state)
--- a/puffindeck/service_discovery/watch.py
+++ b/puffindeck/service_discovery/watch.py
@@ -10,19 +10,21 @@
 import msgspec
 
 from puffindeck.config import Members
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.interface import ListUpdateKind
 
 PATH = "/catalog/members"
 # What changes counts as told 6 s after discovery had it and could be reached, whatever failed before. So a
 # call that was lost while it was down, the module's wait (at most a second) and the next answer fit in that,
 # and so do a watch that has fallen silent, a wait and an answer. A call may wait 2 s for its turn.
-ANSWER = span(2250)  # how long a call may go without an answer, headers and, of a list, all
-SILENT = span(3000)  # an empty line comes each 2 s
-LIST = span(3000)  # how long a list that has begun may take to end, however alive its watch is
-AT_ONCE = span(300)  # an agent on the same machine waits for nobody: by now it is silent, and asked beside
+ANSWER = milliseconds(2250)  # how long a call may go without an answer, headers and, of a list, all
+SILENT = milliseconds(3000)  # an empty line comes each 2 s
+LIST = milliseconds(3000)  # how long a list that has begun may take to end, however alive its watch is
+AT_ONCE = milliseconds(
+    300
+)  # an agent on the same machine waits for nobody: by now it is silent, and asked beside
 BESIDE = 4  # calls to a silent agent at once; the oldest is given up
-AGAIN = span(250)  # how soon such an agent, which costs nothing, is asked again
+AGAIN = milliseconds(250)  # how soon such an agent, which costs nothing, is asked again
 MOST = 1 << 22  # octets of a line, or of the whole list
 TRUNCATED = "Input data was truncated"  # as msgspec says that an object goes on
 DECODER = msgspec.json.Decoder(Members)
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -157,9 +157,9 @@
 
     def now(self) -> Any:
         """The moment, as the clock of the node has it."""
-        from puffindeck.core.clock import span
+        from puffindeck.core.clock import milliseconds
 
-        return span(1_000_000_500.0)
+        return milliseconds(1_000_000_500.0)
 
 
 def operator_documents(
--- a/tests/core/test_reactor_clock.py
+++ b/tests/core/test_reactor_clock.py
@@ -10,7 +10,7 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.task import Clock as FakeTimers
 
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.core.reactor_clock import PendingTimersError, use_monotonic_clock
 from puffindeck.core.timer_queue import TimerQueue
 
@@ -56,8 +56,8 @@
     clock, timers = SetClock(), FakeTimers()
     deadlines = TimerQueue(clock, timers)
     done: list[str] = []
-    deadlines.after(span(100), done.append, "first")
-    clock.moment += span(500)  # and the reactor's clock stands still
-    deadlines.after(span(100), done.append, "second")
+    deadlines.after(milliseconds(100), done.append, "first")
+    clock.moment += milliseconds(500)  # and the reactor's clock stands still
+    deadlines.after(milliseconds(100), done.append, "second")
     timers.advance(0)
     assert done == ["first"]
--- a/tests/net/test_change_notification.py
+++ b/tests/net/test_change_notification.py
@@ -12,7 +12,7 @@
 import msgspec
 import pytest
 
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.interface import ListUpdateKind, WatchEndpoints
 from puffindeck.net import discovery
 from puffindeck.policy import balancer
@@ -21,15 +21,18 @@
 from tests.support.gateway import SETTINGS, Gateway, listed
 from tests.support.node_story import Peer
 
-TOLD = span(6000)
+TOLD = milliseconds(6000)
 OK = b"HTTP/1.1 200 OK\r\n"
-MOST_WAIT = span(1.5 * balancer.ASK_MOST_MS)
-FIRST_WAIT = span(1.5 * balancer.ASK_MS)
+MOST_WAIT = milliseconds(1.5 * balancer.ASK_MOST_MS)
+FIRST_WAIT = milliseconds(1.5 * balancer.ASK_MS)
 
 
 def test_a_lost_call_a_wait_and_an_answer_fit_in_the_time_after_which_a_change_counts_as_told() -> None:
-    spare = span(250)  # for the connects, and a turn that comes late
-    turn, beat = span(2000), span(2000)  # a call may wait so long for its turn; an empty line comes so often
+    spare = milliseconds(250)  # for the connects, and a turn that comes late
+    turn, beat = (
+        milliseconds(2000),
+        milliseconds(2000),
+    )  # a call may wait so long for its turn; an empty line comes so often
     assert turn < ANSWER
     assert TOLD - spare >= ANSWER + MOST_WAIT + ANSWER
     assert beat + spare < SILENT
@@ -41,7 +44,7 @@
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=60000), seed=seed)
     for failed in range(30):
         gateway.do(listed(kind=ListUpdateKind.FAILED))
-        most = ms(MOST_WAIT if failed else FIRST_WAIT)
+        most = to_ms(MOST_WAIT if failed else FIRST_WAIT)
         assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(most)), failed
 
 
@@ -111,7 +114,7 @@
         while len(self.discovery.peers) == 2:
             slow.write(b" ")
             await self.pause(0.01)
-        self.assertLess(self.node.deadlines.clock.now() - begun, span(1000))
+        self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(1000))
         await self.whole(70, self.target("h1"))
         await self.until(lambda: (ListUpdateKind.FULL, 70) in self.lists(), "the whole list")
 
@@ -188,7 +191,7 @@
         await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
 
     async def test_a_silent_agent_is_asked_by_a_few_calls_at_once(self) -> None:
-        with patch.object(discovery, "AT_ONCE", span(20)):
+        with patch.object(discovery, "AT_ONCE", milliseconds(20)):
             self.build(must_watch_endpoints=False)
             calls = [await self.silent() for _ in range(3 * BESIDE)]
             await calls[BESIDE].ended()
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -5,7 +5,7 @@
 import socket
 from unittest.mock import patch
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.net import node as node_module
 from puffindeck.net.client import ClientLine
@@ -153,7 +153,10 @@
 
     async def test_half_an_answer_is_no_sign_of_life(self) -> None:
         # the start of a line took the client's line for answered: it waited for two more lines of its own
-        with patch.object(node_module, "SILENT", span(150)), patch.object(node_module, "SWEEP", span(20)):
+        with (
+            patch.object(node_module, "SILENT", milliseconds(150)),
+            patch.object(node_module, "SWEEP", milliseconds(20)),
+        ):
             self.build()
             client, _, host = await self.served(ASK)
             client.write(b"M 1\r\n")
@@ -166,8 +169,8 @@
 
     def test_silence_ends_well_before_seven_seconds(self) -> None:
         """The first line without an answer may come 2 s after a connection fell silent."""
-        self.assertLessEqual(span(2000) + node_module.SILENT + node_module.SWEEP, span(5500))
-        self.assertGreater(node_module.SILENT, span(2500))  # one lost line is not yet silence
+        self.assertLessEqual(milliseconds(2000) + node_module.SILENT + node_module.SWEEP, milliseconds(5500))
+        self.assertGreater(node_module.SILENT, milliseconds(2500))  # one lost line is not yet silence
 
 
 def test_every_phase_has_its_ways_on_and_none_leads_back_from_the_end() -> None:
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -15,7 +15,7 @@
 
 from puffindeck.config import Node as Told
 from puffindeck.config import Target
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.interface import EndpointListUpdated, ListUpdateKind
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
@@ -67,7 +67,7 @@
     """Lists that are pushed to an agent on the node's machine: nobody asks the node to watch it."""
 
     async def test_the_agent_is_read_whole_from_the_start_and_anew_after_each_silence(self) -> None:
-        with patch.object(discovery, "SILENT", span(100)):
+        with patch.object(discovery, "SILENT", milliseconds(100)):
             self.build(must_watch_endpoints=False)
             ping = await self.client("PING")
             await self.whole(41, *self.all())
@@ -89,7 +89,7 @@
         self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
 
     async def test_silence_counts_from_the_last_octet(self) -> None:
-        with patch.object(discovery, "SILENT", span(150)):
+        with patch.object(discovery, "SILENT", milliseconds(150)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
@@ -99,7 +99,7 @@
                 watch.write(chunk(line[at : at + 24]))
                 await self.pause(0.05)
             await self.until(lambda: (ListUpdateKind.CHANGES, 43) in self.lists(), "the list in pieces")
-            self.assertGreater(self.node.deadlines.clock.now() - begun, span(200))
+            self.assertGreater(self.node.deadlines.clock.now() - begun, milliseconds(200))
             self.assertNotIn(ListUpdateKind.FAILED, [kind for kind, _ in self.lists()])
 
     async def test_an_indented_list_on_a_watch_is_one_list(self) -> None:
@@ -111,7 +111,7 @@
         await self.until(lambda: self.lists()[-1] == (ListUpdateKind.CHANGES, 43), "the indented list")
 
     async def test_a_list_that_does_not_end_breaks_the_watch_though_it_is_alive(self) -> None:
-        with patch.object(discovery, "LIST", span(150)):
+        with patch.object(discovery, "LIST", milliseconds(150)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
@@ -128,7 +128,7 @@
         self.folder = Path(folder.name)
         self.held = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.addCleanup(self.held.close)
-        with patch.object(discovery, "SILENT", span(300)):
+        with patch.object(discovery, "SILENT", milliseconds(300)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             await self.followed(41)
--- a/tests/net/test_drain_schedule.py
+++ b/tests/net/test_drain_schedule.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 from unittest.mock import patch
 
-from puffindeck.core.clock import ZERO, span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE
 from tests.net.test_node import ASK
 from tests.support.node_story import SETTINGS, Story, reactor
@@ -14,12 +14,12 @@
 def test_all_is_moved_before_the_kill_whatever_the_longest_deadline() -> None:
     for pace in (RESTART, UPGRADE):
         for longest in (100, 500, 1000, 2000, 3000, 60000):
-            kill = span(min(longest, 3000) + 700)
-            found = pace.before_kill(span(longest))
-            assert found.end <= kill - span(400)
+            kill = milliseconds(min(longest, 3000) + 700)
+            found = pace.before_kill(milliseconds(longest))
+            assert found.end <= kill - milliseconds(400)
             assert ZERO < found.send_from + found.send_over < found.end
             assert found.accept <= found.end
-        assert pace.before_kill(span(3000)) == pace
+        assert pace.before_kill(milliseconds(3000)) == pace
 
 
 class StopStories(Story):
@@ -39,4 +39,4 @@
             self.assertEqual(await host.ended(), "ConnectionDone")
             client.transport.loseConnection()
             await self.until(lambda: stop.called, "its end")
-            self.assertLess(self.node.deadlines.clock.now() - begun, span(500 + 700))
+            self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(500 + 700))
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from puffindeck.config import Node as Told
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.interface import Effect, Scope
 from puffindeck.net import node as node_module
 from puffindeck.net.client_connection import ConnectionState
@@ -16,8 +16,8 @@
 from tests.support.crossing_story import ASK, CrossingStory
 from tests.support.node_story import Listener, reactor
 
-OVER_NOW = DrainSchedule(span(0), span(0), span(0), span(0))
-LONG = DrainSchedule(span(5000), span(5000), span(0), span(5000))
+OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
+LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
 
 
 class StopStories(CrossingStory):
@@ -90,7 +90,11 @@
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
         await self.until(lambda: self.node._waiting, "the question")
-        with patch.object(node_module, "RESTART", DrainSchedule(span(5000), span(5000), span(0), span(5000))):
+        with patch.object(
+            node_module,
+            "RESTART",
+            DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000)),
+        ):
             self.node.stop()
         self.assertIs(line.state, ConnectionState.IDLE)
         plain.shutdown(socket.SHUT_WR)
@@ -139,7 +143,9 @@
         self.build()
         client, _, host = await self.served(ASK)
         (line,) = self.node.clients
-        leaving = self.leaving(DrainSchedule(span(0), span(60000), span(0), span(60000)))
+        leaving = self.leaving(
+            DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
+        )
         line.hold()
         host.write(b"half")
         await self.until(lambda: line._tail, "the half")
@@ -152,7 +158,9 @@
         self.build()
         await self.served(ASK)
         (line,) = self.node.clients
-        leaving = self.leaving(DrainSchedule(span(0), span(600), span(0), span(60000)))
+        leaving = self.leaving(
+            DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
+        )
         leaving._plan_moves()
         await self.until(lambda: line.state is ConnectionState.HOLDING_LINE, "the hold")
         leaving.cancel()
@@ -174,7 +182,11 @@
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
             patch.object(node_module, "DRAIN", LONG),
-            patch.object(node_module, "RESTART", DrainSchedule(span(0), span(0), span(20), span(3300))),
+            patch.object(
+                node_module,
+                "RESTART",
+                DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(20), milliseconds(3300)),
+            ),
         ):
             self.node.drain()
             lame = self.node.leaving
@@ -224,7 +236,11 @@
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
-            patch.object(node_module, "RESTART", DrainSchedule(span(0), span(20), span(20), span(3300))),
+            patch.object(
+                node_module,
+                "RESTART",
+                DrainSchedule(milliseconds(0), milliseconds(20), milliseconds(20), milliseconds(3300)),
+            ),
         ):
             self.node.reload(read)
             call = await other.next()
@@ -239,7 +255,11 @@
         with (
             patch.object(fresh, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
-            patch.object(node_module, "RESTART", DrainSchedule(span(0), span(0), span(0), span(10))),
+            patch.object(
+                node_module,
+                "RESTART",
+                DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(10)),
+            ),
         ):
             fresh.stop()
             await self.until(lambda: stop.called, "its end")
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -14,7 +14,7 @@
 
 from puffindeck import config
 from puffindeck.config import Node as Told
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.net import node
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.node import Node
@@ -74,7 +74,11 @@
         await self.until(lambda: len(self.node.clients) == 2, "both at the older one")
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
-            patch.object(node, "UPGRADE", DrainSchedule(span(1500), span(300), span(100), span(3300))),
+            patch.object(
+                node,
+                "UPGRADE",
+                DrainSchedule(milliseconds(1500), milliseconds(300), milliseconds(100), milliseconds(3300)),
+            ),
             patch.object(program, "stop") as stop,
         ):
             strained = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from puffindeck import config
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import (
     AttemptEnded,
@@ -113,7 +113,7 @@
         self.assertEqual(self.node.port.getHost().host, "127.0.0.1")
 
     async def test_a_silent_hosts_client_is_moved(self) -> None:
-        with patch.object(node, "SILENT", span(100)):
+        with patch.object(node, "SILENT", milliseconds(100)):
             self.build()
             client, _, host = await self.served(ASK)
             client.write(b"M 1\r\n")
@@ -130,7 +130,11 @@
         slow = await self.client()
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
-            patch.object(node, "RESTART", DrainSchedule(span(200), span(400), span(100), span(3300))),
+            patch.object(
+                node,
+                "RESTART",
+                DrainSchedule(milliseconds(200), milliseconds(400), milliseconds(100), milliseconds(3300)),
+            ),
             patch.object(program, "stop") as stop,
         ):
             self.node.stop()
@@ -179,7 +183,7 @@
 
     async def test_each_outcome_of_the_table(self) -> None:
         self.build(hosts=1, max_attempts=1)
-        self.node.connect_patience = span(200)
+        self.node.connect_patience = milliseconds(200)
         for said, outcome in (
             (b"ERR\r\n", Outcome.ERROR),
             (b"BUSY\r\n", Outcome.FULL),
@@ -221,7 +225,7 @@
         _, host = await self.host_of()
         await host.line()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
-        self.assertLess(ms(self.node.deadlines.clock.now() - start), 1000)  # a busy machine is no failure
+        self.assertLess(to_ms(self.node.deadlines.clock.now() - start), 1000)  # a busy machine is no failure
         self.assertEqual(await host.ended(), "ConnectionDone")
         self.assertEqual(len(self.node.engine.held), 0)
 
@@ -272,9 +276,9 @@
 
     async def test_a_silent_or_dribbling_client_is_closed_soon(self) -> None:
         # 30 s of patience let them take all descriptors: a day with them lost half of its usual requests
-        self.assertLess(client_connection.FIRST_LINE, span(3000))
+        self.assertLess(client_connection.FIRST_LINE, milliseconds(3000))
         self.build()
-        with patch.object(client_connection, "FIRST_LINE", span(50)):
+        with patch.object(client_connection, "FIRST_LINE", milliseconds(50)):
             silent = await self.client()
             dribbling = await self.client()
             dribbling.write(b"OPEN 9b1f")
@@ -366,7 +370,7 @@
         self.build()
         self.node.port.numberAccepts = 500  # as the library would set it
         self.assertEqual(self.node.port.numberAccepts, listening.ACCEPTS)
-        with patch.object(self.node.few, "_log") as written, patch.object(logs, "PERIOD", span(300)):
+        with patch.object(self.node.few, "_log") as written, patch.object(logs, "PERIOD", milliseconds(300)):
             for _ in range(logs.LINES + 5):
                 await (await self.client("HI")).line()
             await self.until(lambda: written.warn.call_count > logs.LINES, "the count of the rest")
@@ -395,7 +399,7 @@
         # a connect may have been on its way all that time: it is asked again before the first byte
         self.build(hosts=1, drain_grace_ms=0)
         with patch.object(self.node.engine, "may_reach", side_effect=self.node.engine.may_reach) as asked:
-            drained = {self.node.directory.number("h0"): span(0)}
+            drained = {self.node.directory.number("h0"): milliseconds(0)}
             with patch.object(self.node.engine.reachability, "unfit_since", drained):
                 await self.client(ASK)
                 _, host = await self.host_of()
@@ -405,7 +409,7 @@
         self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_watch_that_breaks_or_falls_silent_or_talks_nonsense_is_asked_for_again(self) -> None:
-        with patch.object(discovery, "SILENT", span(100)):
+        with patch.object(discovery, "SILENT", milliseconds(100)):
             self.build()
             self.node.engine.balancer.random.seed(1)
             watch = await self.discovery.next()
@@ -449,7 +453,7 @@
 
     def test_a_head_is_read_in_place(self) -> None:
         head = RequestLine(b"OPEN 1 zz,z c=chat,d=20.5,x=d=3")
-        self.assertEqual(b"".join(head.parts(span(7.9))), b"OPEN 1 zz,z c=chat,d=7,x=d=3\r\n")
+        self.assertEqual(b"".join(head.parts(milliseconds(7.9))), b"OPEN 1 zz,z c=chat,d=7,x=d=3\r\n")
         with self.assertRaises(RequestLineError):
             RequestLine(b"OPEN 1 2 c=chat")
 
@@ -542,7 +546,7 @@
         old = self.node.engine.balancer.requests[next(iter(self.node.engine.held)).number]
         new = {**two, "name": "new", "repeat": "side_effect", "hardLimitMs": 700.0}
         limits = table["limits"] | {"maxAttempts": 1}
-        with patch.object(node, "DROPPED", span(300)):
+        with patch.object(node, "DROPPED", milliseconds(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
         self.assertEqual([e.settings.max_attempts for e in self.ends(SettingsChanged)][-1], 1)
         self.assertEqual((old.most, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
--- a/tests/net/test_operator_calls.py
+++ b/tests/net/test_operator_calls.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from puffindeck.config import Node as Told
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import node, operator
 from puffindeck.net.graceful_shutdown import DrainSchedule
@@ -86,7 +86,7 @@
         self.assertEqual(await self.call("GET /_ready"), 200)
         await self.until(lambda: sum(p.end is not None for p in stalled) >= operator.CALLERS, "their end")
         self.assertLessEqual(len(self.node.operator.callers), operator.CALLERS)
-        with patch.object(operator, "PATIENCE", span(50)):
+        with patch.object(operator, "PATIENCE", milliseconds(50)):
             late = await self.caller()
             await late.ended()
 
@@ -168,7 +168,11 @@
         front = await self.client("PING")
         self.assertEqual(await front.line(), b"PONG")
         first, _, _ = await self.served(ASK)
-        with patch.object(node, "DRAIN", DrainSchedule(span(1000), span(1100), span(100), span(1800))):
+        with patch.object(
+            node,
+            "DRAIN",
+            DrainSchedule(milliseconds(1000), milliseconds(1100), milliseconds(100), milliseconds(1800)),
+        ):
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         front.write(b"PING\r\n")
         self.assertEqual(await front.line(), b"BUSY")
@@ -198,7 +202,11 @@
         self.build()
         await self.serving()
         client, _, host = await self.served(ASK)
-        with patch.object(node, "DRAIN", DrainSchedule(span(50), span(150), span(100), span(300))):
+        with patch.object(
+            node,
+            "DRAIN",
+            DrainSchedule(milliseconds(50), milliseconds(150), milliseconds(100), milliseconds(300)),
+        ):
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         await self.until(lambda: self.node.shut, "its end of serving")
         self.assertEqual(await self.call("PUT /_lameduck/off"), 200)
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -7,7 +7,7 @@
 from typing import Any
 from unittest.mock import patch
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import AttemptEnded, ClientDisconnected, Effect, Outcome
 from puffindeck.net import upstream_connection
@@ -108,7 +108,7 @@
             host.transport.abortConnection()
             _, second = await self.host_of(uid)
             await second.line()
-        self.assertLess(begins[0], span(400))
+        self.assertLess(begins[0], milliseconds(400))
         second.transport.abortConnection()
         self.assertRegex(await client.line(), rb"^BUSY \d+$|^ERR$")  # at once: nothing may be sent any more
 
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -22,7 +22,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from puffindeck.config import Quic
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import front, packets
 from puffindeck.quic.ids import Ids
@@ -188,7 +188,19 @@
             self.node.directory.addresses[self.node.directory.number(uid)] = at
         ids = {box.server_id: uid for uid, box in self.boxes.items()}
         self.node._start_quic(
-            Quic(("127.0.0.1", 0), 0, span(deadline), span(30000), span(400), 1, 4, 8, KEY, connections, ids)
+            Quic(
+                ("127.0.0.1", 0),
+                0,
+                milliseconds(deadline),
+                milliseconds(30000),
+                milliseconds(400),
+                1,
+                4,
+                8,
+                KEY,
+                connections,
+                ids,
+            )
         )
         assert self.node.quic is not None
         self.front = self.node.quic
@@ -252,7 +264,7 @@
         endpoint = self.node.directory.number(uid)
         await self.until(lambda: endpoint in self.node.engine.reachability.unfit_since, "the news")
         told = self.node.deadlines.clock.now()
-        await self.until(lambda: ms(self.node.deadlines.clock.now() - told) > 500, "the grace to pass")
+        await self.until(lambda: to_ms(self.node.deadlines.clock.now() - told) > 500, "the grace to pass")
         box, before = self.boxes[uid], len(self.boxes[uid].connections)
         for _ in range(3):
             other, elsewhere = await self.talk()
--- a/tests/rpc/test_endpoint.py
+++ b/tests/rpc/test_endpoint.py
@@ -11,7 +11,7 @@
 from twisted.trial.unittest import TestCase
 
 from puffindeck.config import Target
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.rpc.endpoint import BalancedEndpoint, Balancing, Refused
 from tests.support.node_story import SETTINGS, Listener, reactor
 
@@ -119,7 +119,7 @@
         for i in range(4):
             self.assertEqual((await self.call(self.balancing.endpoint(key=f"desk {i}")))[1], "two")
         await self.ports["two"].stopListening()
-        endpoint = self.balancing.endpoint(deadline=span(300))
+        endpoint = self.balancing.endpoint(deadline=milliseconds(300))
         with self.assertRaises(Refused):
             await endpoint.connect(AMP).addTimeout(2, reactor)
         await self.gone()
