--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -222,7 +222,7 @@
         self._turn = self.deadlines.after(TURN, self._tick_quota)
         if self.books is not None:
             self._do_books(BookSeen(frozenset(self.member.table.living)))
-            self._engine.tell(FLUSH)
+            self._engine.dispatch(FLUSH)
         if self.quota is not None:
             living = {m.name: m.news.region for m in self.member.table.living.values()}
             self._do_quota(Seen(living, self.member.apart_ms(), self.member.shunned), QuotaTick())
@@ -250,7 +250,7 @@
         for parcel in posted:
             self.send(parcel.to, "quota", parcel.data)
         if moved and self._engine is not None:
-            self._engine.tell(FLUSH)
+            self._engine.dispatch(FLUSH)
 
     def send(self, name: str, channel: str, data: bytes) -> None:
         """A parcel to another member."""
--- a/puffindeck/core/datagram_port.py
+++ b/puffindeck/core/datagram_port.py
@@ -11,7 +11,7 @@
 from twisted.internet import udp
 from twisted.internet.protocol import DatagramProtocol
 
-from puffindeck.core.machine_errors import NOT_NOW
+from puffindeck.core.local_resource_errors import TRANSIENT
 
 
 class DatagramPort(udp.Port):
@@ -22,7 +22,7 @@
         try:
             super().doRead()
         except OSError as error:
-            if error.errno not in NOT_NOW:
+            if error.errno not in TRANSIENT:
                 raise
 
 
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -18,7 +18,7 @@
 from puffindeck.core.generational_arena import GenerationalArena
 from puffindeck.core.reachability import Reachability
 from puffindeck.core.request_observer import Answer, Reason, RequestObserver, Unobserved
-from puffindeck.core.requests import AttemptId, Client, Held, Link, Request
+from puffindeck.core.requests import AttemptId, Client, Request, RequestState, UpstreamLink
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import (
     Action,
@@ -52,7 +52,9 @@
 
 log = Logger("puffindeck")
 
-LATE = milliseconds(15)  # how long after its deadline a request that the module has not answered is failed
+DEADLINE_GRACE = milliseconds(
+    15
+)  # how long after its deadline a request that the module has not answered is failed
 
 
 class Decisions(Protocol):
@@ -78,24 +80,24 @@
         self.observer: RequestObserver = observer or Unobserved()
         self.settings, self.deadlines, self.follow = settings, deadlines, follow
         self.clock = deadlines.clock
-        self.held: GenerationalArena[Held] = GenerationalArena()
+        self.requests: GenerationalArena[RequestState] = GenerationalArena()
         self._events: deque[Event] = deque()
         self._busy = False
         self.reachability = Reachability(self.clock, settings)
-        self._do: dict[type[Any], Callable[[Any], None]] = {
+        self._handlers: dict[type[Any], Callable[[Any], None]] = {
             Send: self._send,
-            Reject: self._refuse,
+            Reject: self._reject,
             Fail: self._fail,
             Cancel: self._cancel,
-            Migrate: self._move,
-            ScheduleTimer: self._wake,
+            Migrate: self._migrate,
+            ScheduleTimer: self._schedule_timer,
             WatchEndpoints: lambda action: self.follow(),
             Log: self._log,
         }
 
     # Events in, actions out
 
-    def tell(self, *events: Event) -> None:
+    def dispatch(self, *events: Event) -> None:
         """Hand events to the module and do what it says. What that brings about at once comes after."""
         self._events.extend(events)
         if self._busy:
@@ -106,7 +108,7 @@
                 batch = list(self._events)
                 self._events.clear()
                 for action in self._decide(batch):
-                    self._do[type(action)](action)
+                    self._handlers[type(action)](action)
         finally:
             self._busy = False
 
@@ -120,15 +122,17 @@
 
     # From the front: the list
 
-    def listed(self, kind: ListUpdateKind, version: int = 0, entries: Iterable[EndpointEntry] = ()) -> None:
+    def update_endpoints(
+        self, kind: ListUpdateKind, version: int = 0, entries: Iterable[EndpointEntry] = ()
+    ) -> None:
         """News of the server list, or that it can't be had."""
         entries = list(entries)
-        self.reachability.listed(kind, entries)
-        self.tell(EndpointListUpdated(kind, version, entries))
+        self.reachability.update_endpoints(kind, entries)
+        self.dispatch(EndpointListUpdated(kind, version, entries))
 
-    def known(self, endpoint: int) -> bool:
+    def is_listed(self, endpoint: int) -> bool:
         """Does the list have it, be it that it drains?"""
-        return self.reachability.known(endpoint)
+        return self.reachability.is_listed(endpoint)
 
     def may_reach(self, endpoint: int) -> bool:
         """Rule 3 again, right before an attempt's first byte: its connect may have taken its time."""
@@ -139,18 +143,18 @@
     def detach(self, endpoint: int) -> None:
         """Nothing new to this server until it is attached, whatever the list says."""
         self.reachability.detach(endpoint)
-        self.tell(EndpointDetached(endpoint))
+        self.dispatch(EndpointDetached(endpoint))
 
     def attach(self, endpoint: int) -> None:
         self.reachability.attach(endpoint)
-        self.tell(EndpointAttached(endpoint))
+        self.dispatch(EndpointAttached(endpoint))
 
-    def retune(self, new: Settings, kept: Iterable[int] = ()) -> None:
+    def apply_settings(self, new: Settings, kept: Iterable[int] = ()) -> None:
         """Other settings from now on; what is open keeps the rules that it began with.
 
         A class keeps its number while it is named, while something open has it, or a front (`kept`).
         """
-        used, places = {*kept, *(held.cls for held in self.held)}, list(self.settings.classes)
+        used, places = {*kept, *(state.cls for state in self.requests)}, list(self.settings.classes)
         numbers = {c.name: i for i, c in enumerate(places)}
         named = {c.name for c in new.classes}
         free = [i for i, c in enumerate(places) if c.name not in named and i not in used]
@@ -162,18 +166,18 @@
             else:
                 places.append(c)
         self.settings = replace(new, classes=tuple(places))
-        self.reachability.retune(new)
-        self.tell(SettingsChanged(self.settings))
+        self.reachability.apply_settings(new)
+        self.dispatch(SettingsChanged(self.settings))
 
     # From the front: requests
 
     def request(self, client: Client, asked: Request) -> int:
         """Take a request; its number. The client is answered once, before its time is up."""
         deadline = self.clock.now() + asked.left
-        held = Held(client, asked.cls, deadline, self.settings.max_attempts, asked.id)
-        held.number = number = self._hold(held)
-        held.guard = self.deadlines.at(deadline + LATE, self._overdue, number)
-        self.tell(
+        state = RequestState(client, asked.cls, deadline, self.settings.max_attempts, asked.id)
+        state.number = number = self._hold(state)
+        state.deadline_guard = self.deadlines.at(deadline + DEADLINE_GRACE, self._overdue, number)
+        self.dispatch(
             RequestArrived(
                 number,
                 asked.cls,
@@ -188,218 +192,232 @@
         )
         return number
 
-    def _hold(self, held: Held) -> int:
+    def _hold(self, state: RequestState) -> int:
         """Put it into a slot; its number."""
-        number = self.held.add(held)
-        held.id = held.id or str(number)
+        number = self.requests.add(state)
+        state.id = state.id or str(number)
         return number
 
-    def opened(self, client: Client, asked: Request, endpoint: int) -> AttemptId:
+    def restore_connection(self, client: Client, asked: Request, endpoint: int) -> AttemptId:
         """Take a connection that was open before the start. Its link is the front's to set up."""
-        held = Held(client, asked.cls, self.clock.now(), 1, asked.id)
-        held.number = number = self._hold(held)
-        held.attempts, held.out, held.begun, held.answered, held.endpoint = 1, True, True, True, endpoint
-        self.tell(ConnectionRestored(number, endpoint, asked.cls, 0, asked.hint, asked.group, asked.key))
+        state = RequestState(client, asked.cls, self.clock.now(), 1, asked.id)
+        state.number = number = self._hold(state)
+        state.attempts, state.attempt_active, state.established, state.answered, state.endpoint = (
+            1,
+            True,
+            True,
+            True,
+            endpoint,
+        )
+        self.dispatch(ConnectionRestored(number, endpoint, asked.cls, 0, asked.hint, asked.group, asked.key))
         return AttemptId(number, 0)
 
-    def linked(self, ticket: AttemptId, link: Link) -> None:
+    def set_restored_link(self, attempt_id: AttemptId, link: UpstreamLink) -> None:
         """The link of a connection that was open before the start is up."""
-        held = self._current(ticket)
-        if held is not None:
-            held.link = link
+        state = self._current(attempt_id)
+        if state is not None:
+            state.link = link
 
-    def client_left(self, number: int) -> None:
+    def client_disconnected(self, number: int) -> None:
         """The client has gone; what is out for it is given up."""
-        held = self.held.get(number)
-        if held is None:
+        state = self.requests.get(number)
+        if state is None:
             return
-        if not held.begun:
-            held.answered = True
-            self.observer.closed(held.id, Reason.CLIENT_LEFT)
-            self.tell(ClientDisconnected(number))
-        if held.out:
-            self._cut(held, Outcome.CANCELLED)
-        self._settle(held)
-
-    def dismiss(self, number: int) -> None:
+        if not state.established:
+            state.answered = True
+            self.observer.closed(state.id, Reason.CLIENT_LEFT)
+            self.dispatch(ClientDisconnected(number))
+        if state.attempt_active:
+            self._cut(state, Outcome.CANCELLED)
+        self._settle(state)
+
+    def abort_request(self, number: int) -> None:
         """This gateway ends, and can wait for nothing more: the module says with which answer."""
-        held = self.held.get(number)
-        if held is None or held.begun:
+        state = self.requests.get(number)
+        if state is None or state.established:
             return
-        self.tell(RequestAborted(number))
+        self.dispatch(RequestAborted(number))
         self._overdue(number, Reason.STOPPING)  # whatever the module has done, it is answered
-        if self.held.get(number) is held and held.out:
-            self._cut(held, Outcome.CANCELLED)
+        if self.requests.get(number) is state and state.attempt_active:
+            self._cut(state, Outcome.CANCELLED)
 
     # From the front: attempts and connections
 
-    def _current(self, ticket: AttemptId) -> Held | None:
-        held = self.held.get(ticket.request)
-        return held if held is not None and held.out and ticket.attempt == held.attempts - 1 else None
+    def _current(self, attempt_id: AttemptId) -> RequestState | None:
+        state = self.requests.get(attempt_id.request)
+        return (
+            state
+            if state is not None and state.attempt_active and attempt_id.attempt == state.attempts - 1
+            else None
+        )
 
-    def began(self, ticket: AttemptId) -> bool:
+    def attempt_established(self, attempt_id: AttemptId) -> bool:
         """The connection stands. False if nobody waits for it any more."""
-        held = self._current(ticket)
-        if held is None or held.answered or held.link is None:
+        state = self._current(attempt_id)
+        if state is None or state.answered or state.link is None:
             return False
-        held.begun = held.answered = True
-        self.deadlines.cancel(held.expiry)
-        self.deadlines.cancel(held.guard)
-        held.client.began(held.link)
-        self.observer.answered(held.id, Answer.UP, Reason.SERVED)
-        took = to_ms(self.clock.now() - held.sent)
-        self.tell(AttemptEstablished(ticket.request, held.endpoint, took, ticket.attempt))
+        state.established = state.answered = True
+        self.deadlines.cancel(state.attempt_expiry)
+        self.deadlines.cancel(state.deadline_guard)
+        state.client.on_established(state.link)
+        self.observer.answered(state.id, Answer.UP, Reason.SERVED)
+        took = to_ms(self.clock.now() - state.attempt_started)
+        self.dispatch(AttemptEstablished(attempt_id.request, state.endpoint, took, attempt_id.attempt))
         return True
 
-    def ended(self, ticket: AttemptId, outcome: Outcome) -> None:
+    def attempt_ended(self, attempt_id: AttemptId, outcome: Outcome) -> None:
         """An attempt, or the connection that it became, has ended. Told once; later word is ignored."""
-        held = self._current(ticket)
-        if held is None:
+        state = self._current(attempt_id)
+        if state is None:
             return
-        held.out, held.link = False, None
-        self.deadlines.cancel(held.expiry)
+        state.attempt_active, state.link = False, None
+        self.deadlines.cancel(state.attempt_expiry)
         if outcome == Outcome.OK:
-            held.answered = True
+            state.answered = True
         if outcome == Outcome.NO_RESOURCE:
-            held.most += 1  # it reached nobody, and is none of the attempts that are allowed
-        took = self.clock.now() - held.sent
-        if not held.begun:
-            self.observer.attempt_ended(held.id, held.endpoint, ticket.attempt, outcome, took)
-        self._settle(held)
-        self.tell(
-            AttemptEnded(ticket.request, outcome, held.endpoint, ticket.attempt, held.answered, to_ms(took))
+            state.max_attempts += 1  # it reached nobody, and is none of the attempts that are allowed
+        took = self.clock.now() - state.attempt_started
+        if not state.established:
+            self.observer.attempt_ended(state.id, state.endpoint, attempt_id.attempt, outcome, took)
+        self._settle(state)
+        self.dispatch(
+            AttemptEnded(
+                attempt_id.request, outcome, state.endpoint, attempt_id.attempt, state.answered, to_ms(took)
+            )
         )
 
-    def noted(self, ticket: AttemptId, figure: float) -> None:
+    def record_report(self, attempt_id: AttemptId, figure: float) -> None:
         """What a server tells of an open connection: the settings say whether load or a message's delay."""
-        held = self._current(ticket)
-        if held is None:
+        state = self._current(attempt_id)
+        if state is None:
             return
         if self.settings.reports_load:
-            self.tell(LoadReported(ticket.request, held.endpoint, figure))
+            self.dispatch(LoadReported(attempt_id.request, state.endpoint, figure))
         elif self.settings.reports_latency:
-            self.tell(LatencyReported(ticket.request, held.endpoint, figure))
+            self.dispatch(LatencyReported(attempt_id.request, state.endpoint, figure))
 
     # The module's actions
 
     def _send(self, action: Send) -> None:
-        held = self.held.get(action.request)
-        if held is None:
+        state = self.requests.get(action.request)
+        if state is None:
             return
-        ticket = AttemptId(action.request, held.attempts)
-        if held.answered or held.out or held.attempts >= held.most:
-            held.attempts += not held.out
-            self.tell(
+        attempt_id = AttemptId(action.request, state.attempts)
+        if state.answered or state.attempt_active or state.attempts >= state.max_attempts:
+            state.attempts += not state.attempt_active
+            self.dispatch(
                 AttemptEnded(
-                    action.request, Outcome.MOOT, action.endpoint, ticket.attempt, held.answered, 0.0
+                    action.request, Outcome.MOOT, action.endpoint, attempt_id.attempt, state.answered, 0.0
                 )
             )
             return
-        if not held.client.waits():
-            self.client_left(action.request)
+        if not state.client.is_waiting():
+            self.client_disconnected(action.request)
             return
         now = self.clock.now()
         until = (
-            min(held.deadline, now + milliseconds(action.timeout_ms)) if action.timeout_ms else held.deadline
+            min(state.deadline, now + milliseconds(action.timeout_ms))
+            if action.timeout_ms
+            else state.deadline
         )
         begin = min(until, now + milliseconds(action.start_within_ms)) if action.start_within_ms else until
-        held.attempts += 1
-        held.out, held.endpoint, held.sent = True, action.endpoint, now
+        state.attempts += 1
+        state.attempt_active, state.endpoint, state.attempt_started = True, action.endpoint, now
         if until <= now:
-            self.ended(ticket, Outcome.TIMEOUT)
+            self.attempt_ended(attempt_id, Outcome.TIMEOUT)
             return
-        self.observer.attempt_began(held.id, action.endpoint, ticket.attempt)
-        held.expiry = self.deadlines.at(until, self._expired, ticket)
-        link = held.client.open(ticket, action.endpoint, until, begin)
-        if self._current(ticket) is held:
-            held.link = link
-
-    def _expired(self, ticket: AttemptId) -> None:
-        held = self._without_answer(ticket)
-        if held is not None:
-            self._cut(held, Outcome.TIMEOUT)
-
-    def _without_answer(self, ticket: AttemptId) -> Held | None:
+        self.observer.attempt_began(state.id, action.endpoint, attempt_id.attempt)
+        state.attempt_expiry = self.deadlines.at(until, self._expired, attempt_id)
+        link = state.client.start_attempt(attempt_id, action.endpoint, until, begin)
+        if self._current(attempt_id) is state:
+            state.link = link
+
+    def _expired(self, attempt_id: AttemptId) -> None:
+        state = self._current_unanswered(attempt_id)
+        if state is not None:
+            self._cut(state, Outcome.TIMEOUT)
+
+    def _current_unanswered(self, attempt_id: AttemptId) -> RequestState | None:
         """The holder of an attempt that is out, if its server has indeed said nothing by this moment."""
-        held = self._current(ticket)
-        if held is not None and held.link is not None and not held.begun:
-            held.link.look()
-            held = self._current(ticket)
-        return held if held is not None and not held.begun else None
-
-    def _cut(self, held: Held, outcome: Outcome) -> None:
-        link = held.link
-        self.ended(AttemptId(held.number, held.attempts - 1), outcome)
+        state = self._current(attempt_id)
+        if state is not None and state.link is not None and not state.established:
+            state.link.read_available()
+            state = self._current(attempt_id)
+        return state if state is not None and not state.established else None
+
+    def _cut(self, state: RequestState, outcome: Outcome) -> None:
+        link = state.link
+        self.attempt_ended(AttemptId(state.number, state.attempts - 1), outcome)
         if link is not None:
-            link.give_up()
+            link.abandon()
 
-    def _settle(self, held: Held) -> None:
+    def _settle(self, state: RequestState) -> None:
         """Free the slot of a request that is owed nothing and waits for nothing."""
-        if held.answered and not held.out:
-            self.deadlines.cancel(held.guard)
-            self.held.drop(held.number)
+        if state.answered and not state.attempt_active:
+            self.deadlines.cancel(state.deadline_guard)
+            self.requests.drop(state.number)
 
-    def _unanswered(self, number: int) -> Held | None:
-        held = self.held.get(number)
-        if held is None or held.answered:
+    def _unanswered(self, number: int) -> RequestState | None:
+        state = self.requests.get(number)
+        if state is None or state.answered:
             return None
-        held.answered = True
-        self.deadlines.cancel(held.guard)
-        return held
+        state.answered = True
+        self.deadlines.cancel(state.deadline_guard)
+        return state
 
-    def _refuse(self, action: Reject) -> None:
-        held = self._unanswered(action.request)
-        if held is not None:
-            self.observer.answered(held.id, Answer.REFUSED, Reason.DECISION)
-            held.client.refuse(milliseconds(action.retry_after_ms))
-            self._settle(held)
+    def _reject(self, action: Reject) -> None:
+        state = self._unanswered(action.request)
+        if state is not None:
+            self.observer.answered(state.id, Answer.REFUSED, Reason.DECISION)
+            state.client.reject(milliseconds(action.retry_after_ms))
+            self._settle(state)
 
     def _fail(self, action: Fail) -> None:
-        held = self._unanswered(action.request)
-        if held is not None:
-            self.observer.answered(held.id, Answer.FAILED, Reason.DECISION)
-            held.client.fail()
-            self._settle(held)
+        state = self._unanswered(action.request)
+        if state is not None:
+            self.observer.answered(state.id, Answer.FAILED, Reason.DECISION)
+            state.client.fail()
+            self._settle(state)
 
     def _overdue(self, number: int, why: Reason = Reason.OVERDUE) -> None:
         """Rule 1 does not hang on the module alone."""
-        held = self._unanswered(number)
-        if held is not None:
-            log.warn("request {id} was not answered in time: failed", id=held.id)
-            self.observer.answered(held.id, Answer.FAILED, why)
-            held.client.fail()
-            if held.out:
-                self._cut(held, Outcome.TIMEOUT)
+        state = self._unanswered(number)
+        if state is not None:
+            log.warn("request {id} was not answered in time: failed", id=state.id)
+            self.observer.answered(state.id, Answer.FAILED, why)
+            state.client.fail()
+            if state.attempt_active:
+                self._cut(state, Outcome.TIMEOUT)
             else:
-                self.tell(ClientDisconnected(number))
-            self._settle(held)
+                self.dispatch(ClientDisconnected(number))
+            self._settle(state)
 
     def _cancel(self, action: Cancel) -> None:
-        held = self._without_answer(AttemptId(action.request, action.attempt))
-        if held is not None:
-            self._cut(held, Outcome.CANCELLED)
+        state = self._current_unanswered(AttemptId(action.request, action.attempt))
+        if state is not None:
+            self._cut(state, Outcome.CANCELLED)
 
-    def _move(self, action: Migrate) -> None:
-        self._move_away(action.request, Reason.MOVED)
+    def _migrate(self, action: Migrate) -> None:
+        self._migrate_away(action.request, Reason.MOVED)
 
-    def _move_away(self, number: int, why: Reason) -> None:
-        held = self.held.get(number)
-        if held is not None and held.begun and held.out and held.client.move():
-            self.observer.closed(held.id, why)
-            self.ended(AttemptId(held.number, held.attempts - 1), Outcome.CANCELLED)
+    def _migrate_away(self, number: int, why: Reason) -> None:
+        state = self.requests.get(number)
+        if state is not None and state.established and state.attempt_active and state.client.migrate():
+            self.observer.closed(state.id, why)
+            self.attempt_ended(AttemptId(state.number, state.attempts - 1), Outcome.CANCELLED)
 
-    def _wake(self, action: ScheduleTimer) -> None:
-        self.deadlines.after(milliseconds(action.delay_ms), self.tell, TimerFired(action.token))
+    def _schedule_timer(self, action: ScheduleTimer) -> None:
+        self.deadlines.after(milliseconds(action.delay_ms), self.dispatch, TimerFired(action.token))
 
     def _log(self, action: Log) -> None:
         log.info("module: {text}", text=action.text)
 
     # The end
 
-    def standing(self) -> list[int]:
+    def established_requests(self) -> list[int]:
         """The requests whose connections stand."""
-        return [held.number for held in self.held if held.begun and held.out]
+        return [state.number for state in self.requests if state.established and state.attempt_active]
 
-    def send_away(self, number: int) -> None:
+    def migrate_before_stop(self, number: int) -> None:
         """Move a client because this gateway stops."""
-        self._move_away(number, Reason.STOPPING)
+        self._migrate_away(number, Reason.STOPPING)
--- a/puffindeck/core/machine_errors.py
+++ b/puffindeck/core/local_resource_errors.py
@@ -40,7 +40,7 @@
     }
 )
 # of reading or writing on a connection that goes on
-NOT_NOW = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
+TRANSIENT = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
 
 def errno_of(error: Any) -> int:
--- a/puffindeck/core/reachability.py
+++ b/puffindeck/core/reachability.py
@@ -17,16 +17,16 @@
     def __init__(self, clock: Clock, settings: Settings) -> None:
         self._clock = clock
         self.grace = ZERO
-        self.unfit_since: dict[int, timedelta] = {}  # by the list
+        self.unavailable_since: dict[int, timedelta] = {}  # by the list
         self.detached_since: dict[int, timedelta] = {}  # by staff
         self._listed: set[int] = set()
-        self.retune(settings)
+        self.apply_settings(settings)
 
-    def retune(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Another grace from now on."""
         self.grace = max(ZERO, milliseconds(settings.drain_grace_ms) - DRAIN_MARGIN)
 
-    def listed(self, kind: ListUpdateKind, entries: Iterable[EndpointEntry]) -> None:
+    def update_endpoints(self, kind: ListUpdateKind, entries: Iterable[EndpointEntry]) -> None:
         """News of the list; of one that could not be had there are no entries."""
         now, state_of = self._clock.now(), {entry.endpoint: entry.state for entry in entries}
         fit = {endpoint for endpoint, state in state_of.items() if state == EndpointStatus.READY}
@@ -36,11 +36,11 @@
             gone |= self._listed - fit - draining
         self._listed = (self._listed | fit | draining) - gone
         for endpoint in draining | gone:
-            self.unfit_since.setdefault(endpoint, now)
+            self.unavailable_since.setdefault(endpoint, now)
         for endpoint in fit:
-            self.unfit_since.pop(endpoint, None)
+            self.unavailable_since.pop(endpoint, None)
 
-    def known(self, endpoint: int) -> bool:
+    def is_listed(self, endpoint: int) -> bool:
         """Does the list have it, be it that it drains?"""
         return endpoint in self._listed
 
@@ -57,6 +57,6 @@
         now = self._clock.now()
         return all(
             now - since[endpoint] < self.grace
-            for since in (self.unfit_since, self.detached_since)
+            for since in (self.unavailable_since, self.detached_since)
             if endpoint in since
         )
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -17,38 +17,40 @@
     attempt: int
 
 
-class Link(Protocol):
+class UpstreamLink(Protocol):
     """A front's side of an attempt, and of the connection that it becomes."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """End it; nothing more is told of it."""
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """Take in what the server has said by now: an answer that came in time counts, read late or not."""
 
 
 class Client(Protocol):
     """A front's side of a request: whoever waits for its answer."""
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Is it still there, at this very moment? One that has left gets no further attempt."""
 
-    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+    def start_attempt(
+        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         """Start an attempt, whose first byte may go out until `begin`. None if it has ended already.
 
         Its end has then been told.
         """
 
-    def began(self, link: Link) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         """The final answer: served by what this link leads to."""
 
-    def refuse(self, wait: timedelta) -> None:
+    def reject(self, wait: timedelta) -> None:
         """The final answer: trying again, after a wait, does no harm."""
 
     def fail(self) -> None:
         """The final answer: failed, and nothing is known of what was done."""
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """Its connection stands; send it away politely and end the link. False if this front can't."""
 
 
@@ -65,32 +67,32 @@
     id: str = ""  # the client's own, where its wire has one: the log names the request by it
 
 
-class Held:
+class RequestState:
     """A request in its slot, until it is answered and its last attempt has ended."""
 
     __slots__ = (
         "answered",
+        "attempt_active",
+        "attempt_expiry",
+        "attempt_started",
         "attempts",
-        "begun",
         "client",
         "cls",
         "deadline",
+        "deadline_guard",
         "endpoint",
-        "expiry",
-        "guard",
+        "established",
         "id",
         "link",
-        "most",
+        "max_attempts",
         "number",
-        "out",
-        "sent",
     )
 
     def __init__(self, client: Client, cls: int, deadline: timedelta, most: int, id: str) -> None:
-        self.client, self.cls, self.deadline, self.most, self.id = client, cls, deadline, most, id
+        self.client, self.cls, self.deadline, self.max_attempts, self.id = client, cls, deadline, most, id
         self.number = self.attempts = self.endpoint = 0
-        self.answered = self.out = self.begun = False
-        self.sent = ZERO
-        self.link: Link | None = None
-        self.expiry: Deadline | None = None
-        self.guard: Deadline | None = None
+        self.answered = self.attempt_active = self.established = False
+        self.attempt_started = ZERO
+        self.link: UpstreamLink | None = None
+        self.attempt_expiry: Deadline | None = None
+        self.deadline_guard: Deadline | None = None
--- a/puffindeck/core/timer_queue.py
+++ b/puffindeck/core/timer_queue.py
@@ -13,7 +13,7 @@
 
 log = Logger("puffindeck")
 
-LATE = milliseconds(250)  # the timer that runs later than this is logged
+LATE_WARNING_THRESHOLD = milliseconds(250)  # a timer that runs later than this is logged
 
 
 class Timer(Protocol):
@@ -93,11 +93,11 @@
 
         In a program of somebody else's the reactor may measure its timers on that clock.
         """
-        return self.clock.now() - self._timer_at > LATE
+        return self.clock.now() - self._timer_at > LATE_WARNING_THRESHOLD
 
     def _log_late(self, now: timedelta) -> None:
         late = now - self._timer_at
-        if late > LATE:
+        if late > LATE_WARNING_THRESHOLD:
             log.warn(
                 "timers: {late_ms} ms late: nothing that waits for time was done meanwhile",
                 late_ms=round(to_ms(late)),
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -79,7 +79,7 @@
         elif self.node.shut or self.node.crowded():
             why = Reason.STOPPING if self.node.shut else Reason.NO_ROOM
             self.node.request_log.answered(asked.id, Answer.REFUSED, why)
-            self.refuse(self.node.retry_after())
+            self.reject(self.node.retry_after())
         else:
             self.request = self.engine.request(self, asked)
 
@@ -96,9 +96,9 @@
             self.link.send(data)
         elif self.state is ConnectionState.WAITING:
             if self._ticket is None:
-                self.engine.client_left(self.request)
+                self.engine.client_disconnected(self.request)
             else:
-                self.engine.ended(self._ticket, Outcome.CANCELLED)
+                self.engine.attempt_ended(self._ticket, Outcome.CANCELLED)
             self._turn_away("more than one line")
         elif self.state is ConnectionState.HALF_CLOSED:
             self._throw_away(data)
@@ -120,11 +120,11 @@
             self.log_close(Reason.CLIENT_LEFT if clean else Reason.CLIENT_BROKE)
         if link is not None:
             if reason.check("twisted.internet.error.ConnectionDone"):
-                link.give_up()
+                link.abandon()
             else:
                 link.abort()
         if self.request:
-            self.engine.client_left(self.request)
+            self.engine.client_disconnected(self.request)
 
     def close_out(self, all_go: bool) -> None:
         """Time is up: whatever is left is answered or moved now, and who has asked nothing goes if all do."""
@@ -133,7 +133,7 @@
             if self.state in UNASKED:
                 self._excuse()
         if self.state in SERVED:
-            self.engine.send_away(self.request)
+            self.engine.migrate_before_stop(self.request)
             self._say_move()
         elif self.state is ConnectionState.WAITING and not self._give_up_before():
-            self.engine.dismiss(self.request)
+            self.engine.abort_request(self.request)
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -157,13 +157,13 @@
         else:
             self._excuse()
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Is it still there to be served? One whose end the reactor has not come to yet is not."""
         return self.state is ConnectionState.WAITING and not peer_has_closed(self.transport)
 
     # Answers, each the last word of ours
 
-    def refuse(self, wait: timedelta) -> None:
+    def reject(self, wait: timedelta) -> None:
         self._answer(b"BUSY %d" % to_ms(wait) if wait > ZERO else b"BUSY")
 
     def fail(self) -> None:
@@ -177,7 +177,7 @@
 
     def _excuse(self) -> None:
         """It has asked nothing and has to go. A request on its way meets its answer: it is not sent on."""
-        self.refuse(self.node.retry_after())
+        self.reject(self.node.retry_after())
 
     def _answer(self, line: bytes) -> None:
         if self.state not in OVER:
--- a/puffindeck/net/closing.py
+++ b/puffindeck/net/closing.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from puffindeck.core.clock import milliseconds
-from puffindeck.core.machine_errors import NOT_NOW
+from puffindeck.core.local_resource_errors import TRANSIENT
 from puffindeck.core.timer_queue import TimerQueue
 
 LINGER = milliseconds(600)  # how long a connection that is to end may take to send what it still holds
@@ -46,7 +46,7 @@
     try:
         return not transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except OSError as error:
-        return error.errno not in NOT_NOW
+        return error.errno not in TRANSIENT
 
 
 def close(transport: Any, deadlines: TimerQueue, connected: Callable[[], bool]) -> None:
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -169,7 +169,7 @@
             now = self._deadlines.clock.now()
             entries = self._directory.entries(members, now)
             self._directory.hear(now)
-            self._engine.listed(kind(members), members.rev, entries)
+            self._engine.update_endpoints(kind(members), members.rev, entries)
         return True
 
     def _cancel_ending(self) -> None:
@@ -188,7 +188,7 @@
 
     def _failed(self, why: str) -> None:
         log.warn("discovery: watch broken: {why}", why=why)
-        self._engine.listed(ListUpdateKind.FAILED)
+        self._engine.update_endpoints(ListUpdateKind.FAILED)
         self._heard()
 
     def _drop(self) -> None:
--- a/puffindeck/net/graceful_shutdown.py
+++ b/puffindeck/net/graceful_shutdown.py
@@ -83,7 +83,7 @@
 
     def _plan_moves(self) -> None:
         """Each at its own moment; no line is begun before it that may not have ended by then."""
-        standing = self._engine.standing()
+        standing = self._engine.established_requests()
         now, begun = self._deadlines.clock.now(), self._start + self._pace.send_from
         by_request = {client.request: client for client in self._node.clients}
         for i, number in enumerate(standing):
@@ -91,7 +91,7 @@
             if number in by_request:
                 hold = max(now, at - HALF_LINE)
                 self._pending.append(self._deadlines.at(hold, by_request[number].hold))
-            self._pending.append(self._deadlines.at(at, self._engine.send_away, number))
+            self._pending.append(self._deadlines.at(at, self._engine.migrate_before_stop, number))
 
     def _look(self) -> None:
         pace, passed = self._pace, self._deadlines.clock.now() - self._start
@@ -102,8 +102,8 @@
             for client in list(self._node.clients):
                 client.close_out(self.ends)
         elif passed >= pace.send_from + pace.send_over:
-            for number in self._engine.standing():  # those that came up meanwhile
-                self._engine.send_away(number)
+            for number in self._engine.established_requests():  # those that came up meanwhile
+                self._engine.migrate_before_stop(number)
         if self._done is not None and (late or (not self._node.clients and self._node.shut_ports())):
             self._done()
         elif not late:
--- a/puffindeck/net/listening.py
+++ b/puffindeck/net/listening.py
@@ -18,7 +18,7 @@
 from twisted.logger import Logger
 from twisted.python.failure import Failure
 
-from puffindeck.core.machine_errors import CONNECTION_GONE, NO_RESOURCE, errno_of
+from puffindeck.core.local_resource_errors import CONNECTION_GONE, NO_RESOURCE, errno_of
 from puffindeck.net.transports import ClientTransport
 
 log = Logger("puffindeck")
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -74,7 +74,7 @@
             )
         known = self.told.known
         entries = self.directory.entries(known, self.deadlines.clock.now())
-        self.engine.listed(ListUpdateKind.CACHED, known.rev, entries)
+        self.engine.update_endpoints(ListUpdateKind.CACHED, known.rev, entries)
         if self.told.quic is not None:
             self._start_quic(self.told.quic)
         if self.told.operator is not None:
@@ -181,7 +181,7 @@
             self.watch.ask()
         elif told.discovery is None and told.known != before.known:
             entries = self.directory.entries(told.known, self.deadlines.clock.now())
-            self.engine.listed(ListUpdateKind.FULL, told.known.rev, entries)
+            self.engine.update_endpoints(ListUpdateKind.FULL, told.known.rev, entries)
         host, port = told.discovery or ("none", 0)
         log.info("reload: done, discovery {host}:{port}", host=host, port=port)
 
@@ -190,7 +190,7 @@
         if new.zone < len(new.zones):  # the directory's numbers stay, in whatever order zones are named now
             new = replace(new, zone=self.directory.zone(new.zones[new.zone]))
         quic = [self.told.quic.cls] if self.told.quic is not None else []
-        self.engine.retune(new, [*self.classes.values(), *quic])
+        self.engine.apply_settings(new, [*self.classes.values(), *quic])
         self.connect_patience = milliseconds(new.connect_timeout_ms)
         numbers = {c.name: i for i, c in enumerate(self.engine.settings.classes)}
         self.named = {c.name for c in new.classes}
@@ -236,7 +236,7 @@
 
     def crowded(self) -> bool:
         """Are there too few descriptors left for one more client and its host?"""
-        return self.admission.full() or self.engine.held.full()
+        return self.admission.full() or self.engine.requests.full()
 
     def _used(self) -> int:
         """The descriptors of those who are served, and of hosts."""
@@ -253,7 +253,7 @@
         for client in list(self.clients):
             link = client.link
             if link is not None and not link.done and link.waited(now) > SILENT:
-                link.look()  # this process may have been held up itself
+                link.read_available()  # this process may have been held up itself
                 if link.waited(now) > SILENT:
                     client.silent()
         self.deadlines.after(SWEEP, self._sweep)
@@ -266,7 +266,7 @@
             log.info(
                 "node {name}: lame duck, {count} to move",
                 name=self.told.name,
-                count=len(self.engine.standing()),
+                count=len(self.engine.established_requests()),
             )
             self.leaving = GracefulShutdown(self, DRAIN, None)
             self._tell_waiting()
@@ -296,7 +296,9 @@
         if self.leaving is not None:
             self.leaving.cancel()
         log.info(
-            "node {name}: stopping, {count} to move", name=self.told.name, count=len(self.engine.standing())
+            "node {name}: stopping, {count} to move",
+            name=self.told.name,
+            count=len(self.engine.established_requests()),
         )
         if self.fleet is not None:
             self.fleet.leave()
--- a/puffindeck/net/relay.py
+++ b/puffindeck/net/relay.py
@@ -6,7 +6,7 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.core.request_observer import Reason
-from puffindeck.core.requests import Link as CoreLink
+from puffindeck.core.requests import UpstreamLink
 from puffindeck.interface import Outcome
 from puffindeck.net.client_connection import OVER, SERVED, ClientConnection, ConnectionState
 from puffindeck.net.closing import break_off, flush
@@ -25,7 +25,7 @@
     _line_open = False  # the client has the start of a host's line, and not its end
     _tail = b""  # the start of a line that is held back
 
-    def began(self, link: CoreLink) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         """Hand the host's own line back, then let all pass."""
         assert isinstance(link, Link)
         if self.transition_to(ConnectionState.RELAYING):
@@ -94,7 +94,7 @@
             self._drop_id()
             break_off(self.transport, self.deadlines, lambda: self.state is not ConnectionState.GONE)
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """Send the client away between two lines: the one it is in the middle of passes to its end.
 
         One that does not end is found by its silence, or ended with this process.
@@ -114,7 +114,7 @@
         else:
             self._answer(b"MOVE")
         if self.link is not None:
-            self.link.give_up()
+            self.link.abandon()
 
     def silent(self) -> None:
         """The host has gone silent: to the module a reset, to the client a MOVE.
@@ -128,7 +128,7 @@
         self.log_close(Reason.SERVER_SILENT)
         if self._line_open:
             self._finish()
-            link.give_up()
+            link.abandon()
         else:
             self._say_move()
-        self.engine.ended(link.ticket, Outcome.RESET)
+        self.engine.attempt_ended(link.ticket, Outcome.RESET)
--- a/puffindeck/net/succession.py
+++ b/puffindeck/net/succession.py
@@ -45,7 +45,7 @@
         with suppress(OSError):
             if self.generation.others():
                 word = self.generation.word(monotonic_ms())
-                self.engine.tell(
+                self.engine.dispatch(
                     *(
                         LoadLimitRestored(self.directory.number(host), inf if c is None else c)
                         for host, c in word.items()
--- a/puffindeck/net/transports.py
+++ b/puffindeck/net/transports.py
@@ -6,7 +6,7 @@
 
 from twisted.internet import main, tcp
 
-from puffindeck.core.machine_errors import NOT_NOW
+from puffindeck.core.local_resource_errors import TRANSIENT
 
 
 class _Steady:
@@ -21,7 +21,7 @@
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as error:
-            return None if error.errno in NOT_NOW else main.CONNECTION_LOST
+            return None if error.errno in TRANSIENT else main.CONNECTION_LOST
         return self._dataReceived(data)  # type: ignore[attr-defined]
 
     def writeSomeData(self, data: bytes) -> Any:
@@ -29,7 +29,7 @@
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as error:
-            return 0 if error.errno in NOT_NOW else main.CONNECTION_LOST
+            return 0 if error.errno in TRANSIENT else main.CONNECTION_LOST
 
 
 class ClientTransport(_Steady, tcp.Server):
--- a/puffindeck/net/upstream_attempts.py
+++ b/puffindeck/net/upstream_attempts.py
@@ -7,8 +7,7 @@
 from twisted.logger import Logger
 
 from puffindeck.core.clock import ZERO, milliseconds
-from puffindeck.core.requests import AttemptId, Request
-from puffindeck.core.requests import Link as CoreLink
+from puffindeck.core.requests import AttemptId, Request, UpstreamLink
 from puffindeck.interface import Outcome
 from puffindeck.net.client_connection import ConnectionState
 from puffindeck.net.relay import Relay
@@ -29,7 +28,7 @@
     def _set_up_again(self, asked: Request, host: str) -> None:
         self._server = self.node.directory.number(host)
         self._until = self.deadlines.clock.now() + AT_WAIT
-        self._ticket = self.engine.opened(self, asked, self._server)
+        self._ticket = self.engine.restore_connection(self, asked, self._server)
         self.request = self._ticket.request
         self._try_at()
 
@@ -40,7 +39,7 @@
         host = self.node.directory.name(self._server)
         if self.deadlines.clock.now() >= self._until:
             log.warn("client: the connection at {host} did not come up again", host=host)
-            self.engine.ended(self._ticket, Outcome.RESET)
+            self.engine.attempt_ended(self._ticket, Outcome.RESET)
             self.fail()
             return
         address = self.node.directory.addresses.get(self._server)
@@ -58,10 +57,12 @@
             self._until,
             self._until,
         )
-        self.engine.linked(self._ticket, link)
+        self.engine.set_restored_link(self._ticket, link)
         self._connect(link, address)
 
-    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> CoreLink | None:
+    def start_attempt(
+        self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         """Start an attempt at a host."""
         assert self._head is not None
         address = self.node.directory.addresses.get(endpoint)
@@ -91,20 +92,20 @@
 
     def host_up(self, link: Link) -> bool:
         if self._ticket is None:
-            return self.engine.began(link.ticket)
-        self.began(link)
+            return self.engine.attempt_established(link.ticket)
+        self.on_established(link)
         return self.state is ConnectionState.RELAYING
 
     def link_ended(self, link: Link, outcome: Outcome) -> None:
         if self._ticket is not None and self.state is ConnectionState.WAITING:
             self.deadlines.after(AT_TRY, self._try_at)
         else:
-            self.engine.ended(link.ticket, outcome)
+            self.engine.attempt_ended(link.ticket, outcome)
 
     def _give_up_before(self) -> bool:
         """Time is up before it stands again. False if this is no such connection."""
         if self._ticket is None:
             return False
-        self.engine.client_left(self.request)
-        self.refuse(self.node.retry_after())
+        self.engine.client_disconnected(self.request)
+        self.reject(self.node.retry_after())
         return True
--- a/puffindeck/net/upstream_connection.py
+++ b/puffindeck/net/upstream_connection.py
@@ -14,7 +14,7 @@
 
 from puffindeck.core.clock import ZERO
 from puffindeck.core.engine import Engine
-from puffindeck.core.machine_errors import NO_RESOURCE, errno_of
+from puffindeck.core.local_resource_errors import NO_RESOURCE, errno_of
 from puffindeck.core.requests import AttemptId
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import Outcome
@@ -33,7 +33,7 @@
 class Waiting(Protocol):
     """The client's side of a link."""
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Is there still somebody to be served, at this very moment?"""
 
     def held_up(self) -> bool:
@@ -167,9 +167,11 @@
             log.info("host {host}: drains since the connect began: not sent", host=self.host)
             self.finish(Outcome.CONNECT_FAILED)
             return
-        if not self.client.waits():  # it has left while the connect took its time: no failure of the host
-            self.engine.client_left(self.ticket.request)
-            self.give_up()
+        if (
+            not self.client.is_waiting()
+        ):  # it has left while the connect took its time: no failure of the host
+            self.engine.client_disconnected(self.ticket.request)
+            self.abandon()
             return
         if self.deadlines.clock.now() >= self._begin:  # the attempt's time, or that in which it may repeat
             self.finish(Outcome.CONNECT_FAILED)
@@ -186,7 +188,7 @@
         if line.startswith(b"UP ") or line == b"UP":
             self.receipt = line
             if not self.client.host_up(self):
-                self.give_up()
+                self.abandon()
                 return
             self.up = self.written = True
             self.line.transport.unregisterProducer()
@@ -221,7 +223,7 @@
         except ValueError:
             log.warn("host {host}: no figure: {line!r}", host=self.host, line=line[:80])
             return
-        self.engine.noted(self.ticket, figure)
+        self.engine.record_report(self.ticket, figure)
 
     def send(self, data: bytes) -> None:
         """What the client sends on an open connection."""
@@ -233,7 +235,7 @@
     def finish(self, outcome: Outcome) -> None:
         """Tell how the attempt ended, then see to its connection."""
         if not self.done:
-            self.give_up()
+            self.abandon()
             self.client.link_ended(self, outcome)
 
     def lost(self, reason: Any) -> None:
@@ -255,7 +257,7 @@
         self.done = True
         self.deadlines.cancel(self._patience)
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """Close the connection, or stop connecting. The host sees its end; no second copy goes anywhere.
 
         It sees it in this turn, before another attempt can have begun. A head that has not left whole is
@@ -271,7 +273,7 @@
         elif self._connector is not None:
             self._connector.disconnect()
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """Take in what the host has said by now."""
         if self.line is not None and self.written and not self.client.held_up():
             drain_receive_buffer(self.line.transport)
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -24,7 +24,7 @@
 from puffindeck.core.datagram_port import listen_datagrams
 from puffindeck.core.engine import Engine
 from puffindeck.core.generational_arena import GenerationalArena
-from puffindeck.core.requests import AttemptId, Link, Request
+from puffindeck.core.requests import AttemptId, Request, UpstreamLink
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.quic import packets
@@ -109,16 +109,16 @@
 
     def finish(self, outcome: Outcome) -> None:
         if not self.done:
-            self.give_up()
+            self.abandon()
             self.flow.link = None
             if self.flow.up:
                 self.flow.end()
-            self.flow.front.engine.ended(self.ticket, outcome)
+            self.flow.front.engine.attempt_ended(self.ticket, outcome)
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """Nothing waits unread here."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         if not self.done:
             self.done = True
             if self._port is not None:
@@ -145,11 +145,13 @@
 
     # The engine's client
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Is it still there to be served?"""
         return not self._over
 
-    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+    def start_attempt(
+        self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         link = BoxLink(self, ticket, endpoint)
         address = self.front.directory.addresses.get(endpoint)
         if address is None or not self.front.engine.may_reach(endpoint):
@@ -163,20 +165,20 @@
             link.send(datagram)
         return link
 
-    def began(self, link: Link) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         self.up = True
         self.front.reached(self)
         self._to_client(self._answer)
         self._kept, self._answer = [], b""
 
-    def refuse(self, wait: timedelta) -> None:
+    def reject(self, wait: timedelta) -> None:
         reason = f"busy, come back in {to_ms(wait):.0f} ms" if wait > ZERO else "busy"
         self._close(packets.REFUSED, reason)
 
     def fail(self) -> None:
         self._close(packets.INTERNAL, "failed")
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """Only an endpoint can tell a QUIC client to move; docs/quic.md says what stands in."""
         return False
 
@@ -228,8 +230,8 @@
         else:
             self.front.name(self, packet.source)
             self._answer = datagram
-            if not self.front.engine.began(link.ticket):
-                link.give_up()
+            if not self.front.engine.attempt_established(link.ticket):
+                link.abandon()
 
     def _to_client(self, datagram: bytes) -> None:
         """An address that has not shown to receive gets no more than a few times what came from it."""
@@ -307,7 +309,7 @@
         if uid is None:
             return None
         endpoint = self.directory.number(uid)
-        return endpoint if endpoint in self.directory.addresses and self.engine.known(endpoint) else None
+        return endpoint if endpoint in self.directory.addresses and self.engine.is_listed(endpoint) else None
 
     def write(self, datagram: bytes, address: Address) -> None:
         try:
@@ -375,7 +377,7 @@
         if len(datagram) < packets.LEAST_INITIAL or len(packet.to) < packets.LEAST_FIRST_ID:
             self.drop("no valid Initial")
             return
-        if self._stopping() or len(self.flows) >= self.told.connections or self.engine.held.full():
+        if self._stopping() or len(self.flows) >= self.told.connections or self.engine.requests.full():
             self.write(packets.refusal(packet, packets.REFUSED, "busy"), address)
             self.drop("refused: no room")
             return
@@ -404,7 +406,7 @@
             return
         flow = Flow(self, address, None)
         self.unproven += 1
-        ticket = self.engine.opened(flow, self._asked(address, ZERO), endpoint)
+        ticket = self.engine.restore_connection(flow, self._asked(address, ZERO), endpoint)
         flow.request = ticket.request
         link = BoxLink(flow, ticket, endpoint)
         if not link.open(self.directory.addresses[endpoint]):
@@ -412,7 +414,7 @@
             link.finish(Outcome.RESET)
             return
         flow.link = link
-        self.engine.linked(ticket, link)
+        self.engine.set_restored_link(ticket, link)
         self.name(flow, packet.to)
         self.reached(flow)
         flow.from_client(packet, datagram)
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -77,10 +77,10 @@
         else:
             self._watch()
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """Nothing waits unread here."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """End it; nothing more is told of it."""
         if not self._gave_up:
             self._gave_up = True
@@ -169,7 +169,7 @@
         self.response = response
         if self._call.serves(self):  # committed before, as more was sent than is kept
             self._call.answered()
-        elif not self._engine.began(self._ticket):
+        elif not self._engine.attempt_established(self._ticket):
             return
         self._end(Outcome.OK)
 
@@ -185,11 +185,11 @@
             return
         if self.inner.done() and not head:
             await self._judge(heard=False)
-        elif self._engine.began(self._ticket):
+        elif self._engine.attempt_established(self._ticket):
             await self.inner.code()
             await self._judge(heard=True)
         else:
-            self.give_up()
+            self.abandon()
 
     async def _judge(self, heard: bool) -> None:
         """The library's call has ended with a status: what is it to the module, and to the caller?"""
@@ -202,7 +202,9 @@
         final = Final(code, details or "", tuple(trailing), tuple(initial))
         outcome = outcomes.outcome(code.value[0], final.details, heard, trailing.get(MOVED) is not None)
         if heard or outcome == Outcome.OK:
-            self._engine.began(self._ticket)  # where it has not begun: this status is the call's answer
+            self._engine.attempt_established(
+                self._ticket
+            )  # where it has not begun: this status is the call's answer
             self._call.finish(final)
             self._end(outcome)
             return
@@ -216,4 +218,4 @@
 
     def _end(self, outcome: Outcome) -> None:
         if not self._gave_up:
-            self._engine.ended(self._ticket, outcome)
+            self._engine.attempt_ended(self._ticket, outcome)
--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -12,7 +12,7 @@
 from grpc.aio import EOF, AioRpcError, Metadata
 
 from puffindeck.core.clock import ZERO, milliseconds
-from puffindeck.core.requests import AttemptId, Link, Request
+from puffindeck.core.requests import AttemptId, Request, UpstreamLink
 from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.rpc.attempt import NOTHING, Attempt
 from puffindeck.rpc.replay import Replay
@@ -96,7 +96,7 @@
             left = min(left, until) if self.method.response_stream else until
         if left <= ZERO:
             self.finish(refused(ZERO, self._attempts, late=True))
-        elif engine.held.full():
+        elif engine.requests.full():
             self.finish(Final(grpc.StatusCode.RESOURCE_EXHAUSTED, "too many calls are open in this process"))
         else:
             request = Request(self.method.cls, self._key, left, 0.0, self._group, self._returning, FACTS)
@@ -104,15 +104,17 @@
             if self._final is None:
                 self._number = number
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Is it still there to be served?"""
         return self._final is None
 
-    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+    def start_attempt(
+        self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         address = self.shared.directory.addresses.get(endpoint)
         self._attempts += 1
         if address is None:
-            self.shared.engine.ended(ticket, Outcome.CONNECT_FAILED)
+            self.shared.engine.attempt_ended(ticket, Outcome.CONNECT_FAILED)
             return None
         self._attempt = Attempt(self, ticket, endpoint, address, until)
         return self._attempt
@@ -132,7 +134,7 @@
         }
         return callable(**options) if method.request_stream else callable(self._request, **options)
 
-    def began(self, link: Link) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         assert isinstance(link, Attempt)
         self._link = link
         if self.replay is not None:
@@ -153,7 +155,7 @@
     def _late(self) -> bool:
         return self._deadline is not None and self.shared.clock.now() >= self._deadline - milliseconds(1)
 
-    def refuse(self, wait: timedelta) -> None:
+    def reject(self, wait: timedelta) -> None:
         left = None if self._deadline is None else self._deadline - self.shared.clock.now()
         pause = max(wait, AGAIN)
         if self._asked.wait_for_ready and not self._attempts and (left is None or left > ZERO):
@@ -171,12 +173,12 @@
     def fail(self) -> None:
         self.finish(failed(self._attempts, self._late(), self.last))
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """A stream ends and is asked for again elsewhere; a call with one answer is soon done by itself."""
         if not self.method.response_stream or self._link is None:
             return False
         self.finish(SENT_AWAY)
-        self._link.give_up()
+        self._link.abandon()
         return True
 
     # The end
@@ -197,7 +199,7 @@
     def leave(self) -> None:
         """Nobody waits any more: what is out is given up."""
         if self._number:
-            self.shared.engine.client_left(self._number)
+            self.shared.engine.client_disconnected(self._number)
 
     def broke(self, error: Exception) -> None:
         """The application's own code raised while the call was sent (a serializer, its request iterator)."""
@@ -324,9 +326,9 @@
             await replay.wait()
 
     def _commit(self) -> None:
-        held = self.shared.engine.held.get(self._number)
-        if held is not None and held.out:
-            self.shared.engine.began(AttemptId(self._number, held.attempts - 1))
+        held = self.shared.engine.requests.get(self._number)
+        if held is not None and held.attempt_active:
+            self.shared.engine.attempt_established(AttemptId(self._number, held.attempts - 1))
 
 
 class UnaryResponse(BalancedCall):
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -22,7 +22,7 @@
 from puffindeck.config import Members, Target
 from puffindeck.core.clock import ZERO, Clock, milliseconds, to_ms
 from puffindeck.core.engine import Engine
-from puffindeck.core.requests import AttemptId, Link, Request
+from puffindeck.core.requests import AttemptId, Request, UpstreamLink
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import ListUpdateKind, Outcome, Settings
 from puffindeck.policy import Balancer
@@ -73,15 +73,15 @@
         now = self.deadlines.clock.now()
         entries = self.directory.entries(members, now)
         self.directory.hear(now)
-        self.engine.listed(ListUpdateKind.FULL, self._version, entries)
+        self.engine.update_endpoints(ListUpdateKind.FULL, self._version, entries)
 
     def unlisted(self) -> None:
         """The list could not be had; the old one stays."""
-        self.engine.listed(ListUpdateKind.FAILED)
+        self.engine.update_endpoints(ListUpdateKind.FAILED)
 
     def retune(self, settings: Settings) -> None:
         """Other settings from now on. Endpoints that were handed out keep their class's number."""
-        self.engine.retune(settings, self._given)
+        self.engine.apply_settings(settings, self._given)
         self.settings = settings
 
     def detach(self, uid: str) -> None:
@@ -131,13 +131,15 @@
         self._protocol: Any = None
 
     def _cancelled(self, _: Deferred[Any]) -> None:
-        self.balancing.engine.client_left(self.request)
+        self.balancing.engine.client_disconnected(self.request)
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Is it still there to be served?"""
         return not self.answer.called
 
-    def open(self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+    def start_attempt(
+        self, ticket: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         link = _Attempt(self, ticket, endpoint)
         address = self.balancing.directory.addresses.get(endpoint)
         if address is None:
@@ -146,19 +148,19 @@
         link.connect(address)
         return None if link.done else link
 
-    def began(self, link: Link) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         assert isinstance(link, _Attempt)
         assert link.wrapper is not None
         self._protocol = link.wrapper
         self.answer.callback(link.wrapper.wrappedProtocol)
 
-    def refuse(self, wait: timedelta) -> None:
+    def reject(self, wait: timedelta) -> None:
         self.answer.errback(Failure(Refused(wait)))
 
     def fail(self) -> None:
         self.answer.errback(Failure(Failed()))
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """Only the library knows whether its calls are done: a protocol that can, is told."""
         told = getattr(self._protocol.wrappedProtocol, "moveRequested", None)
         if told is not None:
@@ -222,8 +224,8 @@
 
     def begin(self) -> None:
         self.began = True
-        if not self._engine.began(self._ticket):
-            self.give_up()
+        if not self._engine.attempt_established(self._ticket):
+            self.abandon()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         self.finish(Outcome.CONNECT_FAILED)
@@ -234,13 +236,13 @@
 
     def finish(self, outcome: Outcome) -> None:
         if not self.done:
-            self.give_up()
-            self._engine.ended(self._ticket, outcome)
+            self.abandon()
+            self._engine.attempt_ended(self._ticket, outcome)
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """Nothing waits unread here."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         if not self.done:
             self.done = True
             self._deadlines.cancel(self._patience)
--- a/puffindeck/rpc/roster.py
+++ b/puffindeck/rpc/roster.py
@@ -65,7 +65,7 @@
         self._task = None
         if not self._stopped:
             log.warn("discovery: watch broken: {why}", why=why)
-            self._engine.listed(ListUpdateKind.FAILED)
+            self._engine.update_endpoints(ListUpdateKind.FAILED)
 
     async def _whole(self, client: httpx.AsyncClient) -> None:
         async with asyncio.timeout(ANSWER.total_seconds()):
@@ -108,7 +108,7 @@
     def _take(self, members: Members | None) -> None:
         if members is not None:
             entries = self._directory.entries(members, self._engine.clock.now())
-            self._engine.listed(kind(members), members.rev, entries)
+            self._engine.update_endpoints(kind(members), members.rev, entries)
             self._hear()
 
     async def stop(self) -> None:
--- a/puffindeck/rpc/shared.py
+++ b/puffindeck/rpc/shared.py
@@ -51,9 +51,9 @@
         if told.known.targets:
             kind = ListUpdateKind.CACHED if self.roster else ListUpdateKind.FULL
             entries = self.directory.entries(told.known, self.clock.now())
-            self.engine.listed(kind, told.known.rev, entries)
+            self.engine.update_endpoints(kind, told.known.rev, entries)
         else:
-            self.engine.tell(TimerFired(0))  # the module's first word: it asks for the list
+            self.engine.dispatch(TimerFired(0))  # the module's first word: it asks for the list
 
     def _decisions(self) -> Any:
         told = self.told
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -217,7 +217,7 @@
             self.assertEqual(counts[port], int(options["maxconn"]), "full, and no more")
         self.assertEqual([one[0].split()[0] for one in seen[5:]], ["BUSY", "BUSY"])
         seen[0][2].transport.loseConnection()
-        await self.until(lambda: len(self.node.engine.standing()) == 4, "the room that it leaves")
+        await self.until(lambda: len(self.node.engine.established_requests()) == 4, "the room that it leaves")
         self.assertEqual((await self.served_by())[0], seen[0][0])
 
     async def test_defaults_overridden(self) -> None:
--- a/tests/net/test_change_notification.py
+++ b/tests/net/test_change_notification.py
@@ -134,7 +134,7 @@
         self.news(watch, 3, False, self.target("h0", "DRAINING"))
         await self.whole(4, self.target("h1"))
         await self.until(lambda: (ListUpdateKind.FULL, 4) in self.lists(), "the list of the new count")
-        self.assertFalse(self.node.engine.known(self.node.directory.number("h0")))
+        self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_what_the_older_discovery_says_after_a_reload_is_not_heard(self) -> None:
         self.quick()
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -79,7 +79,7 @@
             await mute.ended()
             await self.followed(44)
             await self.until(lambda: self.lists()[-1] == (ListUpdateKind.FULL, 44), "what changed meanwhile")
-        self.assertFalse(self.node.engine.known(self.node.directory.number("h0")))
+        self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_an_agent_with_nothing_new_makes_the_node_ready_all_the_same(self) -> None:
         self.build(must_watch_endpoints=True)  # watched from `known` on: no list has to come
@@ -144,7 +144,7 @@
                     body = listing(45, True, self.target("h1"))
                     call.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
                 await self.pause(0.02)
-            self.assertFalse(second.engine.known(second.directory.number("h0")))
+            self.assertFalse(second.engine.is_listed(second.directory.number("h0")))
 
     async def close_second(self, second: Node) -> None:
         assert second.watch is not None
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -108,7 +108,7 @@
         (line,) = self.node.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
-        self.node.engine.send_away(line.request)
+        self.node.engine.migrate_before_stop(line.request)
         self.assertIs(line.state, ConnectionState.MOVING)
         self.leaving()._look()
         self.assertEqual(await client.ended(), "ConnectionDone")
@@ -121,7 +121,7 @@
         (line,) = self.node.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
-        self.node.engine.send_away(line.request)
+        self.node.engine.migrate_before_stop(line.request)
         host.transport.loseConnection()
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.left(b"half of a li"))
@@ -135,7 +135,7 @@
         line.hold()
         host.write(b"f\r\nnext")
         await self.until(lambda: line._tail == b"next", "the next")
-        self.node.engine.send_away(line.request)
+        self.node.engine.migrate_before_stop(line.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
         self.assertTrue(client.left(b""))
 
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -227,7 +227,7 @@
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertLess(to_ms(self.node.deadlines.clock.now() - start), 1000)  # a busy machine is no failure
         self.assertEqual(await host.ended(), "ConnectionDone")
-        self.assertEqual(len(self.node.engine.held), 0)
+        self.assertEqual(len(self.node.engine.requests), 0)
 
     async def test_a_client_that_leaves_takes_its_attempt_along(self) -> None:
         self.build()
@@ -236,7 +236,7 @@
         client.transport.abortConnection()
         await host.ended()
         self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.CANCELLED)
-        self.assertEqual(len(self.node.engine.held), 0)
+        self.assertEqual(len(self.node.engine.requests), 0)
 
     async def test_lines_that_cant_be_read_get_a_plain_failure(self) -> None:
         self.build()
@@ -354,7 +354,7 @@
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
-        self.assertEqual(len(self.node.engine.held), 0)
+        self.assertEqual(len(self.node.engine.requests), 0)
 
     async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
         self.build()
@@ -400,7 +400,7 @@
         self.build(hosts=1, drain_grace_ms=0)
         with patch.object(self.node.engine, "may_reach", side_effect=self.node.engine.may_reach) as asked:
             drained = {self.node.directory.number("h0"): milliseconds(0)}
-            with patch.object(self.node.engine.reachability, "unfit_since", drained):
+            with patch.object(self.node.engine.reachability, "unavailable_since", drained):
                 await self.client(ASK)
                 _, host = await self.host_of()
                 await host.ended()
@@ -441,13 +441,13 @@
 
     def test_a_late_callback_finds_no_one_in_a_slot_given_away_again(self) -> None:
         self.build()
-        slots = self.node.engine.held
+        slots = self.node.engine.requests
         first = slots.add(object())  # type: ignore[arg-type]
         slots.drop(first)
         second = slots.add(object())  # type: ignore[arg-type]
         self.assertNotEqual(first, second)
         self.assertIsNone(slots.get(first))
-        self.node.engine.ended(AttemptId(first, 0), Outcome.OK)
+        self.node.engine.attempt_ended(AttemptId(first, 0), Outcome.OK)
         self.assertEqual(self.ends(AttemptEnded), [])
         slots.drop(second)
 
@@ -543,7 +543,7 @@
         self.reread(self.configured(settings=table | {"classes": [one, two, {**one, "name": "chat"}]}))
         numbers = dict(self.node.classes)
         client, _, host = await self.served(ASK)
-        old = self.node.engine.balancer.requests[next(iter(self.node.engine.held)).number]
+        old = self.node.engine.balancer.requests[next(iter(self.node.engine.requests)).number]
         new = {**two, "name": "new", "repeat": "side_effect", "hardLimitMs": 700.0}
         limits = table["limits"] | {"maxAttempts": 1}
         with patch.object(node, "DROPPED", milliseconds(300)):
@@ -564,7 +564,7 @@
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         client.transport.abortConnection()
-        await self.until(lambda: not len(self.node.engine.held), "its end")
+        await self.until(lambda: not len(self.node.engine.requests), "its end")
 
     def test_a_file_with_a_hole_or_a_figure_of_no_use_changes_nothing(self) -> None:
         self.discovery = Listener()
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -56,7 +56,7 @@
 
         def given_up() -> None:
             for link in self.node.links:
-                self.node.engine.client_left(link.ticket.request)
+                self.node.engine.client_disconnected(link.ticket.request)
 
         with self.at_connect(given_up):
             await self.client(ASK)
@@ -137,7 +137,7 @@
 
         def then(line: HostLine) -> None:
             made(line)
-            self.node.engine.client_left(line.link.ticket.request)
+            self.node.engine.client_disconnected(line.link.ticket.request)
 
         self.build()
         with (
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -216,7 +216,7 @@
         for flow in list(self.front.flows):
             flow.end()
             if flow.link is not None:
-                flow.link.give_up()
+                flow.link.abandon()
         await self.node.quic_port.stopListening()
 
     def target(self, uid: str, state: str = "SERVING") -> Any:
@@ -262,7 +262,7 @@
         caller, uid = await self.talk()
         self.news(watch, 2, False, self.target(uid, "DRAINING"))
         endpoint = self.node.directory.number(uid)
-        await self.until(lambda: endpoint in self.node.engine.reachability.unfit_since, "the news")
+        await self.until(lambda: endpoint in self.node.engine.reachability.unavailable_since, "the news")
         told = self.node.deadlines.clock.now()
         await self.until(lambda: to_ms(self.node.deadlines.clock.now() - told) > 500, "the grace to pass")
         box, before = self.boxes[uid], len(self.boxes[uid].connections)
--- a/tests/rpc/test_endpoint.py
+++ b/tests/rpc/test_endpoint.py
@@ -74,7 +74,7 @@
         """All connections have ended, and the core holds nothing."""
         while self.calls:
             self.calls.pop().transport.loseConnection()
-        while len(self.balancing.engine.held):
+        while len(self.balancing.engine.requests):
             waiting: Deferred[None] = Deferred()
             reactor.callLater(0.01, waiting.callback, None)
             await waiting
--- a/tests/rpc/test_grpc.py
+++ b/tests/rpc/test_grpc.py
@@ -36,7 +36,7 @@
     async def nothing_left(self, channel: BalancedChannel) -> None:
         """The core holds nothing, and no connection has a user."""
         shared, pool = channel._started()
-        await until(lambda: not len(shared.engine.held), "the core still holds a call")
+        await until(lambda: not len(shared.engine.requests), "the core still holds a call")
         await until(lambda: not any(sub.users for sub in pool._open.values()), "a connection is still used")
         self.assertFalse(channel._calls)
 
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -100,7 +100,7 @@
         self.assertEqual(self.world.count()["two"], 1)
         stream.cancel()
         shared, _ = channel._started()
-        await until(lambda: not len(shared.engine.held), "the core still holds a call")
+        await until(lambda: not len(shared.engine.requests), "the core still holds a call")
         self.assertFalse(shared.member.places)
 
 
--- a/tests/rpc/test_service_discovery.py
+++ b/tests/rpc/test_service_discovery.py
@@ -124,7 +124,9 @@
         assert roster is not None
         await until(lambda: roster.version == self.world.discovery.rev, "the change was not heard")
         # told so long ago that its grace is over
-        shared.engine.reachability.unfit_since[number] = shared.clock.now() - shared.engine.reachability.grace
+        shared.engine.reachability.unavailable_since[number] = (
+            shared.clock.now() - shared.engine.reachability.grace
+        )
         self.assertIn(b"two", await stub.status(b"", metadata=keyed(key)))
         self.assertEqual(len(self.world.boxes["one"].calls), 0)
 
