--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -54,7 +54,7 @@
         reactor.stop()
 
     def begin() -> None:
-        if node.leaving is not None:  # told to stop before it had begun
+        if node.lifecycle.shutdown is not None:  # told to stop before it had begun
             return
         try:
             node.start()
@@ -73,7 +73,7 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda number, frame: reactor.callFromThread(node.stop))
     reactor.run(installSignalHandlers=False)
-    return 2 if failed or node.failed else 0
+    return 2 if failed or node.failure else 0
 
 
 if __name__ == "__main__":
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -2,138 +2,186 @@
 
 from __future__ import annotations
 
+from datetime import timedelta
 from typing import Any
 
-from twisted.logger import Logger
+from twisted.internet.error import ConnectionDone
 
 from puffindeck.core.clock import ZERO
 from puffindeck.core.request_observer import Answer, Reason
-from puffindeck.core.requests import Request
-from puffindeck.interface import ConnectionInfo, Outcome
-from puffindeck.net.client_connection import FIRST_LINE, OVER, SERVED, UNASKED, ConnectionState
+from puffindeck.core.requests import AttemptId, Request, UpstreamLink
+from puffindeck.interface import ConnectionInfo
+from puffindeck.net.client_connection import FIRST_LINE, RETRY_AFTER, ClientConnection
+from puffindeck.net.client_services import ClientServices
 from puffindeck.net.closing import drain_receive_buffer, flush
+from puffindeck.net.connection_state import FINISHED, SERVED, WITHOUT_REQUEST, ConnectionState
+from puffindeck.net.relay import Relay
 from puffindeck.net.request_line import CRLF, RequestLine, RequestLineError
 from puffindeck.net.upstream_attempts import UpstreamAttempts
 
-log = Logger("puffindeck")
 
+class ClientProtocol(ClientConnection):
+    """One client, with its request in the engine, its attempts at hosts, and its relay once it is served."""
 
-class ClientLine(UpstreamAttempts):
-    """One client. Its request stands in the engine's table; its link, once there is one, is its host's."""
+    def __init__(self, services: ClientServices, listener: str = "") -> None:
+        super().__init__(services, listener)
+        self.relay = Relay(self)
+        self.upstream = UpstreamAttempts(self, self.relay, services)
+        self._unanswered_pings = 0
 
-    _questions = 0  # that wait for their answer
+    def connectionMade(self) -> None:
+        """Note a new connection (Twisted's hook)."""
+        self.services.connections.clients.add(self)
+        super().connectionMade()
 
     # The first line
 
     def lineReceived(self, line: bytes) -> None:
-        if self.state not in UNASKED:
+        """Read a whole line (Twisted's hook): PING, or the request."""
+        if self.state not in WITHOUT_REQUEST:
             return
         more = self.clearLineBuffer()
         if line == b"PING" and not more:
-            self._inquire()
+            self._ask_readiness()
             return
         try:
             if more:  # a client waits for its answer before it sends anything else
                 raise RequestLineError("more than one line")
             head = RequestLine(line)
-            cls = self.node.classes.get(head.cls)
+            cls = self.services.classes.numbers.get(head.cls)
             if cls is None:
                 raise RequestLineError(f"class {head.cls[:40]!r} is not known")
-            if head.id in self.node.open_ids:  # hosts would take the one for the other
+            if head.id in self.services.connections.open_ids:  # hosts would take the one for the other
                 raise RequestLineError("the id of an open request")
         except RequestLineError as error:
-            self._turn_away(str(error))
+            self.reject_line(str(error))
             return
-        self._ask(head, cls)
+        self._submit_request(head, cls)
 
-    def _inquire(self) -> None:
-        """It stays at the door, and may be put out for room: before readiness nobody is served yet."""
-        self._questions += 1
+    def _ask_readiness(self) -> None:
+        """Wait for readiness. It may be evicted meanwhile: before readiness nobody is served yet."""
+        self._unanswered_pings += 1
         if self.transition_to(ConnectionState.ASKING_READINESS):
-            self.deadlines.cancel(self._patience)
-            self.node.when_ready(self.pong)
+            self.cancel_timeout()
+            self.services.lifecycle.when_ready(self.answer_pings)
 
-    def pong(self, ready: bool) -> None:
-        """Whether this node serves is known, and told as often as it was asked."""
+    def answer_pings(self, is_serving: bool) -> None:
+        """Answer each PING, now that it is known whether this node serves."""
         if self.transition_to(ConnectionState.IDLE):
-            answer = (b"PONG" if ready else b"BUSY") + CRLF
-            questions, self._questions = self._questions, 0
-            self.transport.write(answer * questions)
+            answer = (b"PONG" if is_serving else b"BUSY") + CRLF
+            pings, self._unanswered_pings = self._unanswered_pings, 0
+            self.transport.write(answer * pings)
             flush(self.transport)
-            self._wait(FIRST_LINE)
-            self.node.admission.rests(self)
+            self.set_timeout(FIRST_LINE)
+            self.services.admission.on_idle(self)
 
-    def _ask(self, head: RequestLine, cls: int) -> None:
+    def _submit_request(self, head: RequestLine, cls: int) -> None:
         self.transition_to(ConnectionState.WAITING)
-        self._head = head
-        self.node.open_ids.add(head.id)
-        self.deadlines.cancel(self._patience)
-        self.node.admission.asks(self)
+        self.head = head
+        self.services.connections.open_ids.add(head.id)
+        self.cancel_timeout()
+        self.services.admission.on_request(self)
         self.setRawMode()
-        left = head.left or ZERO
-        told = self.node.told
-        facts = self._facts() if told.routing is not None or told.installation is not None else None
-        asked = Request(cls, head.key, left, head.hint, head.group, head.returning, facts, head.id.decode())
+        request = Request(
+            cls,
+            head.key,
+            head.left or ZERO,
+            head.hint,
+            head.group,
+            head.returning,
+            self._connection_info(),
+            head.id.decode(),
+        )
         if head.at:
-            self._set_up_again(asked, head.at)
-        elif self.node.shut or self.node.crowded():
-            why = Reason.STOPPING if self.node.shut else Reason.NO_ROOM
-            self.node.request_log.answered(asked.id, Answer.REFUSED, why)
-            self.reject(self.node.retry_after())
+            self.upstream.restore(request, head.at)
+            return
+        why = self._reason_to_reject()
+        if why is not None:
+            self.services.request_log.answered(request.id, Answer.REFUSED, why)
+            self.reject(RETRY_AFTER)
         else:
-            self.request = self.engine.request(self, asked)
-
-    def _facts(self) -> ConnectionInfo:
-        """What routes may go by."""
+            self.request = self.engine.request(self, request)
+
+    def _reason_to_reject(self) -> Reason | None:
+        """Why this node can serve no further request at this moment."""
+        if not self.services.lifecycle.is_accepting:
+            return Reason.STOPPING
+        if self.services.admission.is_out_of_descriptors() or self.engine.requests.full():
+            return Reason.NO_ROOM
+        return None
+
+    def _connection_info(self) -> ConnectionInfo | None:
+        """What routes and fleets' rules may go by; None where there are none."""
+        config = self.services.config()
+        if config.routing is None and config.installation is None:
+            return None
         peer, here = self.transport.getPeer(), self.transport.getHost()
         return ConnectionInfo(peer.host, peer.port, here.port, self.listener)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        self._turn_away("over 4 KiB")
+        """Reject a line that is too long (Twisted's hook)."""
+        self.reject_line("over 4 KiB")
 
     def rawDataReceived(self, data: bytes) -> None:
-        if self.state in SERVED and self.link is not None:
-            self.link.send(data)
+        """Read what comes behind the request's line (Twisted's hook)."""
+        link = self.relay.link
+        if self.state in SERVED and link is not None:
+            link.send(data)
         elif self.state is ConnectionState.WAITING:
-            if self._ticket is None:
-                self.engine.client_disconnected(self.request)
-            else:
-                self.engine.attempt_ended(self._ticket, Outcome.CANCELLED)
-            self._turn_away("more than one line")
+            self.upstream.cancel_request()
+            self.reject_line("more than one line")
         elif self.state is ConnectionState.HALF_CLOSED:
-            self._throw_away(data)
+            self.discard(data)
+
+    # The engine's client
+
+    def start_attempt(
+        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
+        """Start an attempt at a host. None if it has ended already; the engine has been told then."""
+        return self.upstream.start(attempt_id, endpoint, until, begin)
+
+    def on_established(self, link: UpstreamLink) -> None:
+        """Pass the host's answer on, and relay from now on."""
+        self.relay.on_established(link)
+
+    def migrate(self) -> bool:
+        """Send the client away with a MOVE, between two lines."""
+        self.relay.migrate()
+        return True
 
     # Its end
 
     def connectionLost(self, reason: Any = None) -> None:
+        """End what was open for it (Twisted's hook)."""
         before, self.state = self.state, ConnectionState.GONE
-        self.node.clients.discard(self)
-        self.node.admission.gone(self)
-        self.deadlines.cancel(self._patience)
-        self.node.no_longer(self.pong)
-        if before in OVER:
+        self.services.connections.clients.discard(self)
+        self.services.admission.on_closed(self)
+        self.cancel_timeout()
+        self.services.lifecycle.forget(self.answer_pings)
+        if before in FINISHED:
             return
-        self._drop_id()
-        link = self.link
+        self.release_id()
+        is_clean = reason.check(ConnectionDone) is not None
         if before in SERVED:
-            clean = reason.check("twisted.internet.error.ConnectionDone") is not None
-            self.log_close(Reason.CLIENT_LEFT if clean else Reason.CLIENT_BROKE)
+            self.log_close(Reason.CLIENT_LEFT if is_clean else Reason.CLIENT_BROKE)
+        link = self.relay.link
         if link is not None:
-            if reason.check("twisted.internet.error.ConnectionDone"):
+            if is_clean:
                 link.abandon()
             else:
                 link.abort()
         if self.request:
             self.engine.client_disconnected(self.request)
 
-    def close_out(self, all_go: bool) -> None:
-        """Time is up: whatever is left is answered or moved now, and who has asked nothing goes if all do."""
-        if self.state in UNASKED and all_go:
+    def answer_before_stop(self, close_idle: bool) -> None:
+        """Time is up: answer or move it now. One without a request goes if the process is to end."""
+        if self.state in WITHOUT_REQUEST and close_idle:
             drain_receive_buffer(self.transport)  # what has come by now is answered as any other
-            if self.state in UNASKED:
-                self._excuse()
+            if self.state in WITHOUT_REQUEST:
+                self.reply_busy()
         if self.state in SERVED:
             self.engine.migrate_before_stop(self.request)
-            self._say_move()
-        elif self.state is ConnectionState.WAITING and not self._give_up_before():
+            self.relay.send_move()
+        elif self.state is ConnectionState.WAITING and not self.upstream.abandon_restore():
             self.engine.abort_request(self.request)
--- /dev/null
+++ b/puffindeck/net/client_services.py
@@ -0,0 +1,39 @@
+"""What every client's connection works with: the parts of the node that all of them share."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+from datetime import timedelta
+from typing import Any
+
+from puffindeck.config import Node as NodeConfig
+from puffindeck.core.engine import Engine
+from puffindeck.core.timer_queue import TimerQueue
+from puffindeck.net.admission import AdmissionControl
+from puffindeck.net.connection_table import ConnectionTable
+from puffindeck.net.lifecycle import Lifecycle
+from puffindeck.net.logs import RateLimitedLog
+from puffindeck.net.request_log import RequestLog
+from puffindeck.net.served_classes import ServedClasses
+from puffindeck.net.wall_clock import WallClock
+from puffindeck.service_discovery.directory import Directory
+
+
+@dataclass(slots=True)
+class ClientServices:
+    """The collaborators of a client's connection. `config` returns the settings in force."""
+
+    reactor: Any
+    config: Callable[[], NodeConfig]
+    engine: Engine
+    deadlines: TimerQueue
+    directory: Directory
+    classes: ServedClasses
+    connections: ConnectionTable
+    admission: AdmissionControl
+    lifecycle: Lifecycle
+    request_log: RequestLog
+    rejected_lines: RateLimitedLog
+    wall_clock: WallClock
+    connect_timeout: timedelta  # of one attempt; a reload changes it
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -15,7 +15,7 @@
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import ListUpdateKind
-from puffindeck.net.listing import Endpoints, WatchLines, WholeList
+from puffindeck.net.discovery_responses import Endpoints, WatchLines, WholeList
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.watch import (
     AGAIN,
--- /dev/null
+++ b/puffindeck/net/fleet_member.py
@@ -0,0 +1,192 @@
+"""A node that is a member of a fleet: its datagrams, its quotas, and what operators are shown of them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+from twisted.logger import Logger
+
+from puffindeck.config import Node as NodeConfig
+from puffindeck.core.clock import to_ms
+from puffindeck.core.engine import Decisions, Engine
+from puffindeck.core.timer_queue import TimerQueue
+from puffindeck.interface import ConnectionInfo, RequestArrived
+from puffindeck.service_discovery.directory import Directory
+
+log = Logger("puffindeck")
+
+
+class FleetMember:
+    """This node's part in its fleet. Nothing of it is loaded where the file has no [fleet] table.
+
+    `config` returns the settings in force. `on_name_taken_over` is called when another process has this
+    instance's name, so that this one has to end.
+    """
+
+    def __init__(
+        self,
+        reactor: Any,
+        deadlines: TimerQueue,
+        directory: Directory,
+        config: Callable[[], NodeConfig],
+        on_name_taken_over: Callable[[], None],
+    ) -> None:
+        self._reactor = reactor
+        self._deadlines = deadlines
+        self._directory = directory
+        self._config = config
+        self._on_name_taken_over = on_name_taken_over
+        self.fleet: Any = None  # puffindeck_fleet.Fleet, for a member of one
+        self.governor: Any = None  # puffindeck_fleet.Governor, where there are quotas or rules
+        self.failure = ""  # why this process has to end with an error
+        self._engine: Engine | None = None
+
+    def wrap(self, balancer: Any) -> Decisions:
+        """Return the decision module, behind the quotas and rules where there are any."""
+        told = self._config()
+        installed = told.installation
+        if installed is None:
+            decisions: Decisions = balancer
+            return decisions
+        from puffindeck_fleet import Fleet
+        from puffindeck_fleet.gateway import new_life
+
+        life = new_life(to_ms(self._deadlines.clock.now()))
+        self.fleet = Fleet(
+            self._reactor, self._deadlines, told.name, installed.fleet, life, told.seed, self._usurped
+        )
+        if installed.quota is None and installed.residency is None:
+            return balancer  # type: ignore[no-any-return]
+        self.governor = self._build_governor(balancer, life)
+        return self.governor  # type: ignore[no-any-return]
+
+    def _build_governor(self, balancer: Any, life: int) -> Any:
+        from puffindeck_fleet import Governor
+
+        told = self._config()
+        installed = told.installation
+        rules = installed.residency
+        quota = self._build_quota(life) if installed.quota is not None else None
+        books = None
+        if rules is not None:
+            from puffindeck.config.fleet import read_book
+            from puffindeck_residency import Books, RegionalBalancer
+
+            books = Books(told.name, rules.book, read_book, installed.voters, rules.stale_ms, rules.refuses)
+            balancer = RegionalBalancer(told.settings, told.seed)
+            balancer.region_of = self._region_of(books)
+        return Governor(
+            balancer,
+            told.settings,
+            quota,
+            self._tenant,
+            view=self._view,
+            books=books,
+            region=installed.fleet.region,
+            moved_within_ms=rules.moved_within_ms if rules is not None else 0.0,
+        )
+
+    def _build_quota(self, life: int) -> Any:
+        from puffindeck_quota import Quota
+        from puffindeck_quota import Settings as QuotaSettings
+
+        told = self._config()
+        limits = told.installation.quota
+        return Quota(
+            told.name,
+            life=life,
+            voters=limits.voters,
+            limits=limits.limits,
+            seed=told.seed,
+            settings=QuotaSettings(skew_ms=limits.skew_ms, epoch_ms=limits.epoch_ms),
+            region=told.installation.fleet.region,
+        )
+
+    def join(self, engine: Engine) -> None:
+        """Give the member its node's engine."""
+        self._engine = engine
+        if self.fleet is not None:
+            self.fleet.join(engine, self.governor)
+
+    def _region_of(self, books: Any) -> Callable[[int], str]:
+        """Return what finds a zone's region; empty if two rulesets in force name different ones."""
+        known: dict[tuple[int, int], str] = {}
+
+        def region_of(zone: int) -> str:
+            key = books.generation, zone
+            if key not in known:
+                name = self._directory.zone_name(zone)
+                found = {book.regions.get(name, "") for book in books.in_force()}
+                known[key] = found.pop() if len(found) == 1 else ""
+            return known[key]
+
+        return region_of
+
+    def _view(self, event: RequestArrived) -> Any:
+        """Return what is known of a request, for the conditions of tenants and services."""
+        from puffindeck.routing import View
+
+        assert self._engine is not None
+        cls = self._engine.settings.classes[event.cls].name
+        return View(event.facts or ConnectionInfo(), cls, lambda pool: 0, event.group)
+
+    def _tenant(self, view: Any) -> str:
+        """Return the first tenant whose conditions hold; else `default`."""
+        for name, groups in self._config().installation.quota.tenants:
+            if any(all(one.holds(view) for one in group) for group in groups):
+                return str(name)
+        return "default"
+
+    def _usurped(self, error: Exception) -> None:
+        """Another process has this instance's name: this one has to end."""
+        if not self.failure:
+            from puffindeck_errors import OperatorError, described
+
+            assert isinstance(error, OperatorError)
+            self.failure = described(error)
+            log.error("{error}", error=self.failure)
+            self._on_name_taken_over()
+
+    def start(self) -> None:
+        """Open the socket and look for the others. Raises BindFailed."""
+        if self.fleet is not None:
+            self.fleet.start()
+
+    def reload(self) -> None:
+        """Take up limits, peers and rules of settings that have changed."""
+        installed = self._config().installation
+        if self.fleet is not None and installed is not None:
+            rules = installed.residency
+            self.fleet.reload(
+                installed.fleet,
+                installed.quota.limits if installed.quota is not None else (),
+                rules.book if rules is not None else None,
+            )
+
+    def leave(self) -> None:
+        """Tell the others that this member leaves."""
+        if self.fleet is not None:
+            self.fleet.leave()
+
+    def stop(self) -> None:
+        """Close the socket."""
+        if self.fleet is not None:
+            self.fleet.stop()
+
+    def status(self) -> str:
+        """Return the JSON of `GET /_fleet`; empty for a node without a fleet."""
+        return self._encode(self.fleet.view) if self.fleet is not None else ""
+
+    def quota_status(self) -> str:
+        """Return the JSON of `GET /_quotas`; empty for a node without a fleet."""
+        return self._encode(self.fleet.quotas) if self.fleet is not None else ""
+
+    def residency_status(self) -> str:
+        """Return the JSON of `GET /_residency`; empty for a node without a fleet."""
+        return self._encode(self.fleet.residency) if self.fleet is not None else ""
+
+    @staticmethod
+    def _encode(document: Callable[[], Any]) -> str:
+        return msgspec.json.encode(document()).decode()
--- a/puffindeck/net/logs.py
+++ b/puffindeck/net/logs.py
@@ -51,7 +51,7 @@
     return msgspec.json.encode(told, enc_hook=str).decode() + "\n"
 
 
-class Few:
+class RateLimitedLog:
     """Lines that strangers bring about at their own speed: some are written in a period, the rest counted."""
 
     def __init__(
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -1,164 +1,267 @@
-"""One real node: its sockets, its list, its end."""
+"""One real node: its parts, its start, its reloads and its end."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from dataclasses import replace
-from datetime import timedelta
-from typing import TYPE_CHECKING
+from typing import TYPE_CHECKING, Any
 
 from twisted.internet.protocol import Factory
 from twisted.logger import Logger
 
 from puffindeck.config import ConfigError, ConfigUnreadable, Quic
-from puffindeck.config import Node as Told
-from puffindeck.core.clock import milliseconds
-from puffindeck.core.datagram_port import listen_datagrams
+from puffindeck.config import Node as NodeConfig
+from puffindeck.core.clock import Clock, milliseconds
+from puffindeck.core.datagram_port import DatagramPort, listen_datagrams
+from puffindeck.core.engine import Engine
+from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import ListUpdateKind, Settings
-from puffindeck.net.admin import Admin
-from puffindeck.net.client import ClientLine
+from puffindeck.net.admin_api import MAX_CALLERS, AdminApi
+from puffindeck.net.admission import AdmissionControl
+from puffindeck.net.client import ClientProtocol
+from puffindeck.net.client_listeners import ClientListeners
+from puffindeck.net.client_services import ClientServices
+from puffindeck.net.connection_table import ConnectionTable
+from puffindeck.net.decision_module import build_decision_module
+from puffindeck.net.detachment import Detachment
+from puffindeck.net.detachment_store import DetachmentStore
 from puffindeck.net.discovery import Watch
-from puffindeck.net.graceful_shutdown import DRAIN, RESTART, UPGRADE, DrainSchedule, GracefulShutdown
-from puffindeck.net.joining import Joining
-from puffindeck.net.listening import Port, adopt, listen
-from puffindeck.net.operator import CALLERS, Operator
-from puffindeck.net.succession import Succession
+from puffindeck.net.fleet_member import FleetMember
+from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule
+from puffindeck.net.hot_restart import HotRestart
+from puffindeck.net.lifecycle import Lifecycle
+from puffindeck.net.listening import Port, listen
+from puffindeck.net.logs import RateLimitedLog
+from puffindeck.net.process_registry import ProcessRegistry
+from puffindeck.net.request_log import RequestLog
+from puffindeck.net.served_classes import ServedClasses
+from puffindeck.net.silence_monitor import SilenceMonitor
+from puffindeck.net.wall_clock import WallClock
+from puffindeck.service_discovery.directory import Directory
 
 if TYPE_CHECKING:
-    pass
+    from puffindeck.quic.front import QuicFront
 
 log = Logger("puffindeck")
 
-BACKLOG = 1024  # a storm's connections, all within one turn of the reactor
-# A connection that has gone silent has to end within 7 s. Clients send a line every 2 s, so the first without
-# an answer may come 2 s after; another one has gone unanswered since when it has waited this long.
-SWEEP = milliseconds(250)  # how often open connections are looked over
-SILENT = milliseconds(3250)
-RETRY_AFTER = milliseconds(150)  # when a client refused by a node without room may come again
-LARGEST_DATAGRAM = 65535  # bytes
-READ_AGAIN = milliseconds(500)  # how soon a file that the system could not read at a reload is tried again
-DROPPED = milliseconds(5000)  # how long a class that is dropped is served: its clients learn of it later
+MAX_DATAGRAM = 65535  # bytes
+RELOAD_RETRY_DELAY = milliseconds(500)  # after a reload whose file the system could not read
+CLOSE_DELAY = milliseconds(300)  # for the last connections, between the end and the reactor's stop
 
 
 class ClientFactory(Factory):
-    """Hands each accepted connection its protocol."""
+    """Makes the protocol of each connection that a listener accepts."""
 
     noisy = False
 
-    def __init__(self, node: Node, listener: str = "listen") -> None:
-        self.node, self.listener = node, listener
+    def __init__(self, services: ClientServices, listener: str = "listen") -> None:
+        self._services = services
+        self._listener = listener
+
+    def buildProtocol(self, addr: object) -> ClientProtocol:
+        """Make a connection's protocol (Twisted's hook)."""
+        return ClientProtocol(self._services, self._listener)
+
+
+class Node:
+    """The program's parts, joined. Each part owns its state."""
+
+    def __init__(self, reactor: Any, config: NodeConfig, clock: Clock) -> None:
+        self.reactor = reactor
+        self.config = config
+        self.deadlines = TimerQueue(clock, reactor)
+        self.directory = Directory(config.settings.zones, config.settings.kinds)
+        self.classes = ServedClasses(config.settings.classes, self.deadlines)
+        self.connections = ConnectionTable()
+        self.admin_port: Port | None = None
+        self.quic: QuicFront | None = None
+        self.quic_port: DatagramPort | None = None
+        self._reload_retry: Deadline | None = None
+        self._build_engine()
+        self._build_client_side()
+        self._build_operations()
+        self.watch = self._build_watch(config.known.rev) if config.discovery else None
+
+    def _build_engine(self) -> None:
+        self.fleet_member = FleetMember(
+            self.reactor, self.deadlines, self.directory, lambda: self.config, self.stop
+        )
+        module = self.fleet_member.wrap(build_decision_module(self.config, self.directory))
+        self._request_log = RequestLog(log, self.deadlines, self.directory.name)
+        self.engine = Engine(
+            module, self.config.settings, self.deadlines, self._poll_discovery, self._request_log
+        )
+        self.fleet_member.join(self.engine)
+
+    def _build_client_side(self) -> None:
+        config = self.config
+        reserved = MAX_CALLERS if config.operator else 0
+        self.admission = AdmissionControl(config.sockets, reserved, self._descriptors_in_use)
+        self.listeners = ClientListeners(
+            self.reactor,
+            self.admission,
+            config.inherited,
+            lambda listener: ClientFactory(self.client_services, listener),
+        )
+        self.lifecycle = Lifecycle(config.name, self.engine, self.deadlines, self.connections, self.listeners)
+        wall_clock = WallClock()
+        self._silence_monitor = SilenceMonitor(self.connections, self.deadlines, wall_clock)
+        self.client_services = ClientServices(
+            reactor=self.reactor,
+            config=lambda: self.config,
+            engine=self.engine,
+            deadlines=self.deadlines,
+            directory=self.directory,
+            classes=self.classes,
+            connections=self.connections,
+            admission=self.admission,
+            lifecycle=self.lifecycle,
+            request_log=self._request_log,
+            rejected_lines=RateLimitedLog(log, self.deadlines, "client: first line can't be read"),
+            wall_clock=wall_clock,
+            connect_timeout=milliseconds(config.settings.connect_timeout_ms),
+        )
+
+    def _build_operations(self) -> None:
+        folder = self.config.folder
+        errors = RateLimitedLog(log, self.deadlines, "staff: records can't be read")
+        self.detachment = Detachment(
+            DetachmentStore(folder / "detached"), self.engine, self.directory, self.deadlines, errors
+        )
+        self.hot_restart = HotRestart(
+            ProcessRegistry(folder / "processes"),
+            self.engine,
+            self.directory,
+            self.deadlines,
+            self.admission,
+            self.lifecycle,
+            errors,
+            self._hand_over,
+        )
+        self.admin_api = AdminApi(self.lifecycle, self.detachment, self.fleet_member, self.deadlines)
 
-    def buildProtocol(self, addr: object) -> ClientLine:
-        return ClientLine(self.node, self.listener)
+    def _build_watch(self, version: int | None) -> Watch:
+        assert self.config.discovery is not None
+        return Watch(
+            self.reactor,
+            self.config.discovery,
+            self.deadlines,
+            self.directory,
+            self.engine,
+            version,
+            self._on_discovery_answer,
+            pushed=not self.config.settings.must_watch_endpoints,
+        )
 
+    def _descriptors_in_use(self) -> int:
+        """Count the descriptors of served clients, and of hosts."""
+        flows = len(self.quic.flows) if self.quic is not None else 0
+        served = len(self.connections.clients) - len(self.admission)
+        return served + len(self.connections.upstreams) + flows
 
-class Node(Admin, Succession, Joining):
-    """The program's parts, joined."""
+    # The start
 
     def start(self) -> None:
-        """Listen, and ask for the list; readiness comes with the first answer, be it that there is none."""
-        host, port = self.told.listen
-        if self.told.inherited is None:
-            self.port = self._listen(self.told.listen, ClientFactory(self))
+        """Listen, and ask for the list; the node is ready with discovery's first answer or failure.
+
+        Raises CannotListenError, or an error of the fleet.
+        """
+        config = self.config
+        if config.inherited is None:
+            self.listeners.open_main(config.listen)
         else:
-            self._join()
-        for name, address in self.told.routing.listeners.items() if self.told.routing else ():
-            opened = self._listen(address, ClientFactory(self, name))
-            self.more_ports.append(opened)
-            log.info(
-                "node {node}: listener {name} on {host}:{port}",
-                node=self.told.name,
-                name=name,
-                host=address[0],
-                port=opened.getHost().port,
-            )
-        known = self.told.known
-        entries = self.directory.entries(known, self.deadlines.clock.now())
-        self.engine.update_endpoints(ListUpdateKind.CACHED, known.rev, entries)
-        if self.told.quic is not None:
-            self._start_quic(self.told.quic)
-        if self.told.operator is not None:
-            self._start_operator(self.told.operator)
-        if self.fleet is not None:
-            self.fleet.start()
+            self.hot_restart.join()
+        self._open_named_listeners()
+        entries = self.directory.entries(config.known, self.deadlines.clock.now())
+        self.engine.update_endpoints(ListUpdateKind.CACHED, config.known.rev, entries)
+        if config.quic is not None:
+            self.start_quic(config.quic)
+        if config.operator is not None:
+            self._start_admin_api(config.operator)
+        self.fleet_member.start()
         if self.watch is None:
-            self._ready()
+            self._on_discovery_answer()
         else:
             self.watch.start()
-        self.deadlines.after(SWEEP, self._sweep)
+        self._silence_monitor.start()
+        host, port = config.listen
         log.info(
             "node {name}: listening on {host}:{port}, {count} descriptors",
-            name=self.told.name,
+            name=config.name,
             host=host,
             port=port,
-            count=self.admission.sockets,
+            count=self.admission.descriptors,
         )
 
-    def _listen(self, address: tuple[str, int], factory: ClientFactory) -> Port:
-        """A port for clients. Where descriptors are short, one who asks nothing gives up its own."""
-        opened = listen(self.reactor, address, factory, BACKLOG)
-        opened.on_blocked = self.admission.free_one
-        return opened
-
-    def _hand_over(self) -> None:
-        """The newer process is ready: accept nothing more, and leave."""
-        log.info("upgrade: a newer process is ready")
-        self._stop_accepting()
-        self._leave(UPGRADE)
-
-    def _operator(self) -> Operator:
-        return Operator(self, self.deadlines)
+    def _open_named_listeners(self) -> None:
+        for name, address in self.config.routing.listeners.items() if self.config.routing else ():
+            port = self.listeners.open_named(name, address)
+            log.info(
+                "node {node}: listener {name} on {host}:{port}",
+                node=self.config.name,
+                name=name,
+                host=address[0],
+                port=port.getHost().port,
+            )
 
-    def _start_operator(self, address: tuple[str, int]) -> None:
-        self._make_folder()  # one that can't be made is tried again
-        self._poll()
-        self.operator_port = listen(self.reactor, address, self.operator, CALLERS)
+    def _start_admin_api(self, address: tuple[str, int]) -> None:
+        self.detachment.start()
+        self.admin_port = listen(self.reactor, address, self.admin_api, MAX_CALLERS)
         log.info(
             "node {name}: staff's calls on {host}:{port}",
-            name=self.told.name,
+            name=self.config.name,
             host=address[0],
             port=address[1],
         )
 
-    def _start_quic(self, told: Quic) -> None:
-        from puffindeck.quic.front import (
-            QuicFront,  # its libraries stay out of a node that has no use for them
-        )
+    def start_quic(self, quic: Quic) -> None:
+        """Open the QUIC front. Raises CannotListenError."""
+        from puffindeck.quic.front import QuicFront  # its libraries stay out of a node without it
 
         self.quic = QuicFront(
             self.reactor,
-            told,
+            quic,
             self.engine,
             self.deadlines,
             self.directory,
-            lambda: self.leaving is not None,
+            lambda: self.lifecycle.shutdown is not None,
         )
-        host, port = told.listen
-        self.quic_port = listen_datagrams(self.reactor, port, self.quic, host, LARGEST_DATAGRAM)
-        log.info("node {name}: QUIC on {host}:{port}", name=self.told.name, host=host, port=port)
+        host, port = quic.listen
+        self.quic_port = listen_datagrams(self.reactor, port, self.quic, host, MAX_DATAGRAM)
+        log.info("node {name}: QUIC on {host}:{port}", name=self.config.name, host=host, port=port)
 
-    def _watch(self, version: int | None) -> Watch:
-        assert self.told.discovery is not None
-        return Watch(
-            self.reactor,
-            self.told.discovery,
-            self.deadlines,
-            self.directory,
-            self.engine,
-            version,
-            self._ready,
-            pushed=not self.told.settings.must_watch_endpoints,
-        )
+    # Discovery
+
+    def _poll_discovery(self) -> None:
+        if self.watch is not None:
+            self.watch.ask()
 
-    def reload(self, read: Callable[[Told], tuple[Told, list[str]]]) -> None:
-        """Take up what has changed in the file. One that can't be used changes nothing."""
-        self.deadlines.cancel(self._read_again)
-        if self.ended:
+    def _on_discovery_answer(self) -> None:
+        """Become ready with discovery's first answer, be it that there is none."""
+        if self.lifecycle.is_ready:
+            return
+        self.lifecycle.is_ready = True
+        if self.listeners.is_inherited and not self.lifecycle.is_stopping:
+            self.hot_restart.restore_handover_state()
+            self.listeners.adopt_main()
+            self.hot_restart.publish_state()
+        log.info("node {name}: ready", name=self.config.name)
+        self.lifecycle.notify_waiting()
+
+    # Reloads
+
+    def reload(self, read: Callable[[NodeConfig], tuple[NodeConfig, list[str]]]) -> None:
+        """Take up what has changed in the file. One that can't be used changes nothing.
+
+        `read` returns the new settings, and the keys that only a restart takes up; it raises ConfigError.
+        """
+        self.deadlines.cancel(self._reload_retry)
+        if self.lifecycle.has_ended:
             return
         try:
-            told, later = read(self.told)
+            config, later = read(self.config)
         except ConfigUnreadable as error:
-            self._read_again = self.deadlines.after(READ_AGAIN, self.reload, read)
+            self._reload_retry = self.deadlines.after(RELOAD_RETRY_DELAY, self.reload, read)
             log.error("reload: tried again, the old settings stay in force till then: {error}", error=error)
             return
         except ConfigError as error:
@@ -166,179 +269,85 @@
             return
         if later:
             log.warn("reload: these take a restart: {keys}", keys=", ".join(later))
-        before, self.told = self.told, told
-        if bool(told.settings.evenness) != bool(before.settings.evenness):
+        previous, self.config = self.config, config
+        self._apply_config(previous)
+        host, port = config.discovery or ("none", 0)
+        log.info("reload: done, discovery {host}:{port}", host=host, port=port)
+
+    def _apply_config(self, previous: NodeConfig) -> None:
+        config = self.config
+        if bool(config.settings.evenness) != bool(previous.settings.evenness):
             log.warn("reload: settings.evenness is taken up or given up at a restart only")
-        if told.settings != before.settings:
-            self._retune(told.settings)
-        self.admission.limit(told.sockets)
-        self._rejoin()
-        if told.discovery != before.discovery:
+        if config.settings != previous.settings:
+            self._apply_settings(config.settings)
+        self.admission.set_descriptor_limit(config.sockets)
+        self.fleet_member.reload()
+        if config.discovery != previous.discovery:
             # another service: its list is asked for whole, as its versions may say nothing of the old one's
             if self.watch is not None:
                 self.watch.stop()
-            self.watch = self._watch(None)
+            self.watch = self._build_watch(None)
             self.watch.ask()
-        elif told.discovery is None and told.known != before.known:
-            entries = self.directory.entries(told.known, self.deadlines.clock.now())
-            self.engine.update_endpoints(ListUpdateKind.FULL, told.known.rev, entries)
-        host, port = told.discovery or ("none", 0)
-        log.info("reload: done, discovery {host}:{port}", host=host, port=port)
+        elif config.discovery is None and config.known != previous.known:
+            entries = self.directory.entries(config.known, self.deadlines.clock.now())
+            self.engine.update_endpoints(ListUpdateKind.FULL, config.known.rev, entries)
 
-    def _retune(self, new: Settings) -> None:
+    def _apply_settings(self, new: Settings) -> None:
         """Other classes and rules for what comes from now on."""
         if new.zone < len(new.zones):  # the directory's numbers stay, in whatever order zones are named now
             new = replace(new, zone=self.directory.zone(new.zones[new.zone]))
-        quic = [self.told.quic.cls] if self.told.quic is not None else []
-        self.engine.apply_settings(new, [*self.classes.values(), *quic])
-        self.connect_patience = milliseconds(new.connect_timeout_ms)
-        numbers = {c.name: i for i, c in enumerate(self.engine.settings.classes)}
-        self.named = {c.name for c in new.classes}
-        dropped = self.classes.keys() - self.named
-        self.classes.update((name, numbers[name]) for name in self.named)
-        self.deadlines.after(DROPPED, self._drop_classes)
+        quic = [self.config.quic.cls] if self.config.quic is not None else []
+        self.engine.apply_settings(new, [*self.classes.numbers.values(), *quic])
+        self.client_services.connect_timeout = milliseconds(new.connect_timeout_ms)
+        dropped = self.classes.apply(new.classes, self.engine.settings.classes)
         log.info(
             "reload: settings taken up; classes {named}; dropped {dropped}",
             named=", ".join(c.name for c in new.classes),
             dropped=", ".join(sorted(dropped)) or "none",
         )
 
-    def _drop_classes(self) -> None:
-        self.classes = {name: i for name, i in self.classes.items() if name in self.named}
-
-    def _follow(self) -> None:
-        if self.watch is not None:
-            self.watch.ask()
-
-    def _ready(self) -> None:
-        if not self.ready:
-            self.ready = True
-            if self.told.inherited is not None and (self.leaving is None or not self.leaving.ends):
-                self._follow_up()
-                self.port = adopt(self.reactor, self.told.inherited, ClientFactory(self))
-                self.port.on_blocked = self.admission.free_one
-                self.generation.tell(self.leaving is None)
-            log.info("node {name}: ready", name=self.told.name)
-            self._tell_waiting()
-
-    def _tell_waiting(self) -> None:
-        """Whoever waits to be told whether this node serves is told now."""
-        waiting, self._waiting = self._waiting, {}
-        for act in waiting:
-            act(self.leaving is None)
-
-    def when_ready(self, act: Callable[[bool], None]) -> None:
-        """Say it once the node serves; at once that it does not, when it stops or is a lame duck."""
-        if self.ready or self.leaving is not None:
-            act(self.leaving is None)
-        else:
-            self._waiting[act] = None
-
-    def crowded(self) -> bool:
-        """Are there too few descriptors left for one more client and its host?"""
-        return self.admission.full() or self.engine.requests.full()
-
-    def _used(self) -> int:
-        """The descriptors of those who are served, and of hosts."""
-        flows = len(self.quic.flows) if self.quic is not None else 0
-        return len(self.clients) - len(self.admission) + len(self.links) + flows
-
-    def retry_after(self) -> timedelta:
-        return RETRY_AFTER
-
-    def _sweep(self) -> None:
-        """Find the connections whose host no longer answers: the client is sent to another."""
-        self.wall_clock.look()
-        now = self.deadlines.clock.now()
-        for client in list(self.clients):
-            link = client.link
-            if link is not None and not link.done and link.waited(now) > SILENT:
-                link.read_available()  # this process may have been held up itself
-                if link.waited(now) > SILENT:
-                    client.silent()
-        self.deadlines.after(SWEEP, self._sweep)
-
-    # What staff ask for
-
-    def drain(self) -> None:
-        """Send all clients away, and stay. Once it is under way, asking again changes nothing."""
-        if self.leaving is None:
-            log.info(
-                "node {name}: lame duck, {count} to move",
-                name=self.told.name,
-                count=len(self.engine.established_requests()),
-            )
-            self.leaving = GracefulShutdown(self, DRAIN, None)
-            self._tell_waiting()
-
-    def undrain(self) -> bool:
-        """Take clients again. False if it stops for good."""
-        if self.leaving is not None:
-            if self.leaving.ends:
-                return False
-            self.leaving.cancel()
-            self.leaving, self.shut = None, False
-            log.info("node {name}: lame duck no more", name=self.told.name)
-        return True
-
     # The end
 
+    @property
+    def failure(self) -> str:
+        """Why this process has to end with an error; empty if it has not."""
+        return self.fleet_member.failure
+
     def stop(self) -> None:
-        """Answer all, move every standing connection, and go."""
-        if self.leaving is not None and self.leaving.ends:
+        """Answer all, move every connection that stands, and end."""
+        if self.lifecycle.is_stopping:
             return
-        if self.told.inherited is not None and self._followed():
+        if self.listeners.is_inherited and self.hot_restart.is_superseded():
             self._hand_over()
         else:
-            self._leave(RESTART)
+            self._shut_down(RESTART)
 
-    def _leave(self, pace: DrainSchedule) -> None:
-        if self.leaving is not None:
-            self.leaving.cancel()
+    def _hand_over(self) -> None:
+        """Accept nothing more and end, as a newer process is ready."""
+        log.info("upgrade: a newer process is ready")
+        self.listeners.close()
+        self._shut_down(UPGRADE)
+
+    def _shut_down(self, schedule: DrainSchedule) -> None:
+        self.lifecycle.cancel_shutdown()
         log.info(
             "node {name}: stopping, {count} to move",
-            name=self.told.name,
+            name=self.config.name,
             count=len(self.engine.established_requests()),
         )
-        if self.fleet is not None:
-            self.fleet.leave()
-        longest = milliseconds(max(c.deadline_ms for c in self.told.settings.classes))
-        self.leaving = GracefulShutdown(self, pace.before_kill(longest), self._stopped)
-        self._tell_waiting()
+        self.fleet_member.leave()
+        longest = milliseconds(max(c.deadline_ms for c in self.config.settings.classes))
+        self.lifecycle.begin_shutdown(schedule.before_kill(longest), self._on_shut_down)
 
-    def shut_door(self, for_good: bool) -> None:
-        """Serve nobody more. The port stays open to the end: who still comes is told to come again.
-
-        A socket that others hold is left to them, with those who wait there.
-        """
-        self.shut = True
-        if for_good and self.told.inherited is not None:
-            self._stop_accepting()
-
-    def _stop_accepting(self) -> None:
-        for port in self._ports():
-            port.shut()
-
-    def _ports(self) -> list[Port]:
-        return [port for port in (self.port, *self.more_ports) if port is not None and port.connected]
-
-    def shut_ports(self) -> bool:
-        came = sum(port.accept_all() for port in self._ports()) if self.told.inherited is None else 0
-        blocked = any(port.blocked for port in self._ports())  # some still wait there
-        late = self.leaving is not None and self.leaving.late
-        if late or not (came or blocked):
-            self._stop_accepting()
-        return not (came or blocked)
-
-    def _stopped(self) -> None:
-        self.ended = True
+    def _on_shut_down(self) -> None:
+        self.lifecycle.has_ended = True
         if self.watch is not None:
             self.watch.stop()
-        self.generation.end()
-        if self.fleet is not None:
-            self.fleet.stop()
-        log.info("node {name}: stopped", name=self.told.name)
-        self.deadlines.after(milliseconds(300 if self.clients else 0), self._end)
+        self.hot_restart.leave()
+        self.fleet_member.stop()
+        log.info("node {name}: stopped", name=self.config.name)
+        delay = CLOSE_DELAY if self.connections.clients else milliseconds(0)
+        self.deadlines.after(delay, self._end)
 
     def _end(self) -> None:
         self.deadlines.clear()
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -11,9 +11,9 @@
 from puffindeck.core.request_observer import Answer, Reason
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Outcome
-from puffindeck.net.logs import Few
+from puffindeck.net.logs import RateLimitedLog
 
-LINES = 100  # of one kind in a period of `Few`; more are counted, so that a storm costs no time
+LINES = 100  # of one kind in a period of `RateLimitedLog`; more are counted, so that a storm costs no time
 
 
 class RequestLog:
@@ -22,8 +22,8 @@
     def __init__(self, log: Logger, deadlines: TimerQueue, server_name: Callable[[int], str]) -> None:
         self._server_name = server_name
 
-        def few(what: str) -> Few:
-            return Few(log, deadlines, what, LINES, "info")
+        def few(what: str) -> RateLimitedLog:
+            return RateLimitedLog(log, deadlines, what, LINES, "info")
 
         self._attempts = few("requests: attempts")
         self._ends = few("requests: ends of attempts")
--- a/puffindeck/net/wall_clock.py
+++ b/puffindeck/net/wall_clock.py
@@ -27,8 +27,8 @@
     def _read(self) -> timedelta:
         return timedelta(seconds=self._wall() - time.monotonic())
 
-    def look(self) -> None:
-        """Write a line if the wall clock has been stepped since the last look."""
+    def check(self) -> None:
+        """Write a line if the wall clock has been stepped since the last check."""
         ahead = self._read()
         step, self._ahead = ahead - self._ahead, ahead
         if abs(step) > STEP:
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -18,8 +18,8 @@
 from puffindeck.config.fleet import installation
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Settings
-from puffindeck.net.records import Records
-from puffindeck.net.upgrade import Generation
+from puffindeck.net.detachment_store import DetachmentStore
+from puffindeck.net.process_registry import ProcessRegistry
 from puffindeck_fleet.gateway import Fleet
 from puffindeck_fleet.governor import Governor
 from puffindeck_fleet.keeping import Keeper, Kept
@@ -102,7 +102,7 @@
 
 def mark_detached(folder: Path, host: str, detached: bool) -> None:
     """Store that a host is out of use, or in use again."""
-    records = Records(folder)
+    records = DetachmentStore(folder)
     records.open()
     if detached:
         records.put(host)
@@ -112,36 +112,36 @@
 
 def detached_hosts(folder: Path) -> set[str]:
     """The hosts that are stored as out of use."""
-    return Records(folder).read()
+    return DetachmentStore(folder).read()
 
 
 class UpgradeProcess:
     """This process among those that share the clients' socket in an upgrade."""
 
     def __init__(self, folder: Path) -> None:
-        self._generation = Generation(folder)
-        self._generation.begin()
+        self._generation = ProcessRegistry(folder)
+        self._generation.register()
         self.file_name = self._generation.name
 
     def publish(self, ready: bool) -> None:
         """Say whether this process is ready."""
-        self._generation.tell(ready)
+        self._generation.publish_state(ready)
 
     def others(self) -> list[tuple[bool, bool, int]]:
         """The other processes: newer than this one, ready, open descriptors."""
-        return [(other.newer, other.ready, other.descriptors) for other in self._generation.others()]
+        return [(other.is_newer, other.is_ready, other.descriptors) for other in self._generation.siblings()]
 
     def write_load_limits(self, limits: dict[str, float | None], now_ms: float) -> None:
         """Store the load that each host has been seen to bear."""
-        self._generation.leave_word(limits, now_ms)
+        self._generation.write_handover_state(limits, now_ms)
 
     def read_load_limits(self, now_ms: float) -> dict[str, float | None]:
         """What an earlier process has stored."""
-        return self._generation.word(now_ms)
+        return self._generation.read_handover_state(now_ms)
 
     def end(self) -> None:
         """Leave the others."""
-        self._generation.end()
+        self._generation.unregister()
 
 
 def open_descriptors() -> int:
--- a/tests/deploy/test_deploy.py
+++ b/tests/deploy/test_deploy.py
@@ -230,8 +230,8 @@
         """The fleet trial lost requests whose time had run 0.5 s before a starting node came to read them."""
         program = (
             "from puffindeck import __main__ as program\n"
-            "from puffindeck.net import node\n"
-            "reactor, listen, turns = program.reactor, node.listen, []\n"
+            "from puffindeck.net import client_listeners as listeners\n"
+            "reactor, listen, turns = program.reactor, listeners.listen, []\n"
             "wait = reactor.doIteration\n"
             "def turn(delay):\n"
             "    wait(delay)\n"
@@ -240,7 +240,7 @@
             "    print('turns before the port opens:', len(turns), flush=True)\n"
             "    reactor.callLater(0, reactor.stop)\n"
             "    return listen(*told)\n"
-            "reactor.doIteration, node.listen = turn, opens\n"
+            "reactor.doIteration, listeners.listen = turn, opens\n"
             "program.main()\n"
         )
         with tempfile.TemporaryDirectory() as folder:
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -71,11 +71,17 @@
 
     async def close_all(self) -> None:
         peers = [p for host in self.hosts.values() for p in host.peers]
-        for transport in [p.transport for p in peers] + [c.transport for c in self.node.clients]:
+        for transport in [p.transport for p in peers] + [c.transport for c in self.node.connections.clients]:
             transport.abortConnection()
-        for port in (*(h.port for h in self.hosts.values()), self.node.port, *self.node.more_ports):
+        for port in (
+            *(h.port for h in self.hosts.values()),
+            self.node.listeners.main,
+            *self.node.listeners.named,
+        ):
             await maybeDeferred(port.stopListening)
-        await self.until(lambda: not self.node.clients and all(p.end for p in peers), "all to close")
+        await self.until(
+            lambda: not self.node.connections.clients and all(p.end for p in peers), "all to close"
+        )
         self.node.deadlines.clear()
 
     async def down(self, *boxes: str) -> frozenset[str]:
@@ -222,8 +228,8 @@
 
     async def test_defaults_overridden(self) -> None:
         reference = await self.begin("10-defaults-overridden.cfg")
-        self.assertEqual(self.node.told.settings.classes[0].deadline_ms, 2000)
-        self.assertEqual(self.node.told.settings.max_attempts, 2)
+        self.assertEqual(self.node.config.settings.classes[0].deadline_ms, 2000)
+        self.assertEqual(self.node.config.settings.max_attempts, 2)
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=24)
 
     async def test_conditions_that_are_met(self) -> None:
--- a/tests/net/test_change_notification.py
+++ b/tests/net/test_change_notification.py
@@ -90,7 +90,7 @@
         self.quick()
         watch = await self.watched()
         watch.write(chunk(b"\n"))
-        await self.until(lambda: self.node.ready, "the empty line")
+        await self.until(lambda: self.node.lifecycle.is_ready, "the empty line")
         await self.drained(self.node.deadlines.clock.now())
 
     async def test_a_list_that_trickles_in_is_one_that_does_not_come(self) -> None:
@@ -122,7 +122,7 @@
         """As a new configuration does where discovery has another address."""
         assert self.node.watch is not None
         self.node.watch.stop()
-        self.node.watch = self.node._watch(None)
+        self.node.watch = self.node._build_watch(None)
         self.node.watch.ask()
 
     async def test_versions_that_count_anew_bring_the_whole_list(self) -> None:
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -7,9 +7,9 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import AttemptEnded, Outcome
-from puffindeck.net import node as node_module
-from puffindeck.net.client import ClientLine
-from puffindeck.net.client_connection import NEXT, OVER, ConnectionState
+from puffindeck.net import silence_monitor
+from puffindeck.net.client import ClientProtocol
+from puffindeck.net.connection_state import FINISHED, TRANSITIONS, ConnectionState
 from puffindeck.service_discovery.watch import ANSWER
 from tests.support.crossing_story import ASK, CrossingStory
 
@@ -21,7 +21,7 @@
         self.build()
         plain, line = await self.resting()
         plain.sendall(ASK.encode() + b"\r\n")
-        line._idle()
+        line._on_timeout()
         self.assertIs(line.state, ConnectionState.WAITING)
         _, host = await self.host_of()
         await host.line()
@@ -31,7 +31,7 @@
     async def test_a_request_that_comes_after_the_end_has_an_answer_and_is_not_sent_on(self) -> None:
         self.build()
         plain, line = await self.resting()
-        line._idle()
+        line._on_timeout()
         plain.sendall(ASK.encode() + b"\r\n")
         text = await self.reads(plain)
         self.assertRegex(text, rb"^PONG\r\nBUSY \d+\r\n$")
@@ -53,7 +53,7 @@
     async def test_an_answer_leaves_whole_though_room_is_needed_in_the_same_turn(self) -> None:
         self.build()
         plain, line = await self.met()
-        with patch.object(self.node.admission, "leaves", lambda client: client.evict()):
+        with patch.object(self.node.admission, "on_answered", lambda client: client.evict()):
             line.fail()
         self.assertIs(line.state, ConnectionState.GONE)
         self.assertEqual(await self.reads(plain), b"ERR\r\n")
@@ -63,8 +63,8 @@
         plain, line = await self.met()
         plain.sendall(b"OPEN 9b1f03aa")
         await self.until(lambda: line._buffer, "the half")
-        self.node.shut = True
-        line.close_out(True)
+        self.node.lifecycle.is_accepting = False
+        line.answer_before_stop(True)
         plain.sendall(b"5c7e2d41 7f3a c=chat,d=1100\r\n")
         self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
         self.assertFalse(self.reached())
@@ -73,7 +73,7 @@
         self.build()
         plain, line = await self.met()
         plain.sendall((ASK + "\r\n").encode() * 3)
-        line.close_out(True)
+        line.answer_before_stop(True)
         self.assertEqual(await self.reads(plain), b"ERR\r\n")
         self.assertFalse(self.reached())
 
@@ -81,7 +81,7 @@
 class ReadinessStories(CrossingStory):
     """Clients that ask whether this node is ready before it is."""
 
-    async def asking(self) -> tuple[socket.socket, ClientLine]:
+    async def asking(self) -> tuple[socket.socket, ClientProtocol]:
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
         await self.until(lambda: line.state is ConnectionState.ASKING_READINESS, "the question")
@@ -92,7 +92,7 @@
         watch = await self.watched()
         plain, line = await self.asking()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: line._questions == 2, "the second question")
+        await self.until(lambda: line._unanswered_pings == 2, "the second question")
         self.news(watch, 2, False)
         await self.until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.exactly(plain, 12), b"PONG\r\nPONG\r\n")
@@ -105,14 +105,14 @@
         line.evict()
         self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
-        self.assertFalse(self.node._waiting)
+        self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_who_has_gone_before_readiness_is_forgotten(self) -> None:
         self.build()
         plain, line = await self.asking()
         plain.close()
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
-        self.assertFalse(self.node._waiting)
+        self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_a_request_before_readiness_takes_the_questions_place(self) -> None:
         self.build()
@@ -122,7 +122,7 @@
         _, host = await self.host_of()
         await host.line()
         self.news(watch, 2, False)
-        await self.until(lambda: self.node.ready, "readiness")
+        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         host.write(b"UP r\r\n")
         await self.until(lambda: line.state is ConnectionState.RELAYING, "UP")
         self.assertEqual(await self.exactly(plain, 6), b"UP r\r\n")
@@ -131,7 +131,7 @@
         self.build()
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
-        line._idle()
+        line._on_timeout()
         self.assertIs(line.state, ConnectionState.ASKING_READINESS)
 
     async def test_a_discovery_that_says_nothing_keeps_nobody_from_being_ready(self) -> None:
@@ -154,8 +154,8 @@
     async def test_half_an_answer_is_no_sign_of_life(self) -> None:
         # the start of a line took the client's line for answered: it waited for two more lines of its own
         with (
-            patch.object(node_module, "SILENT", milliseconds(150)),
-            patch.object(node_module, "SWEEP", milliseconds(20)),
+            patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(150)),
+            patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
         ):
             self.build()
             client, _, host = await self.served(ASK)
@@ -169,12 +169,15 @@
 
     def test_silence_ends_well_before_seven_seconds(self) -> None:
         """The first line without an answer may come 2 s after a connection fell silent."""
-        self.assertLessEqual(milliseconds(2000) + node_module.SILENT + node_module.SWEEP, milliseconds(5500))
-        self.assertGreater(node_module.SILENT, milliseconds(2500))  # one lost line is not yet silence
+        found = milliseconds(2000) + silence_monitor.SILENCE_LIMIT + silence_monitor.SWEEP_INTERVAL
+        self.assertLessEqual(found, milliseconds(5500))
+        self.assertGreater(
+            silence_monitor.SILENCE_LIMIT, milliseconds(2500)
+        )  # one lost line is not yet silence
 
 
 def test_every_phase_has_its_ways_on_and_none_leads_back_from_the_end() -> None:
-    assert set(NEXT) == set(ConnectionState)
+    assert set(TRANSITIONS) == set(ConnectionState)
     last = ConnectionState.GONE
-    assert all(last in NEXT[state] for state in ConnectionState if state is not last)
-    assert all(NEXT[phase] <= OVER for phase in OVER)
+    assert all(last in TRANSITIONS[state] for state in ConnectionState if state is not last)
+    assert all(TRANSITIONS[phase] <= FINISHED for phase in FINISHED)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -85,7 +85,7 @@
         self.build(must_watch_endpoints=True)  # watched from `known` on: no list has to come
         watch = await self.watched()
         watch.write(chunk(b"\n"))
-        await self.until(lambda: self.node.ready, "readiness")
+        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
 
     async def test_silence_counts_from_the_last_octet(self) -> None:
@@ -132,13 +132,13 @@
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             await self.followed(41)
-            await self.until(lambda: self.node.port, "the first to be ready")
+            await self.until(lambda: self.node.listeners.main, "the first to be ready")
             await (await self.discovery.next()).ended()  # the agent has gone silent
-            second = Node(reactor, self.node.told, Clock())
+            second = Node(reactor, self.node.config, Clock())
             self.addCleanup(self.close_second, second)
             second.start()
-            self.assertIsNone(second.port)
-            while second.port is None:
+            self.assertIsNone(second.listeners.main)
+            while second.listeners.main is None:
                 call = await self.discovery.next()
                 if await call.line() == WHOLE:
                     body = listing(45, True, self.target("h1"))
@@ -149,9 +149,9 @@
     async def close_second(self, second: Node) -> None:
         assert second.watch is not None
         second.watch.stop()
-        if second.port is not None:
-            await maybeDeferred(second.port.stopListening)
-        second.generation.end()
+        if second.listeners.main is not None:
+            await maybeDeferred(second.listeners.main.stopListening)
+        second.hot_restart.registry.unregister()
         second.deadlines.clear()
 
     def changed(self, told: Told) -> Told:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -10,8 +10,9 @@
 from puffindeck.config import Node as Told
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import Effect, Scope
+from puffindeck.net import lifecycle
 from puffindeck.net import node as node_module
-from puffindeck.net.client_connection import ConnectionState
+from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import DrainSchedule, GracefulShutdown
 from tests.support.crossing_story import ASK, CrossingStory
 from tests.support.node_story import Listener, reactor
@@ -25,62 +26,62 @@
 
     def leaving(self, pace: DrainSchedule = OVER_NOW) -> GracefulShutdown:
         done: list[int] = []
-        leaving = GracefulShutdown(self.node, pace, lambda: done.append(1))
-        self.node.leaving = leaving
-        return leaving
+        self.node.lifecycle.begin_shutdown(pace, lambda: done.append(1))
+        assert self.node.lifecycle.shutdown is not None
+        return self.node.lifecycle.shutdown
 
     async def test_who_waits_at_the_port_is_answered_before_it_closes(self) -> None:
         self.build()
-        self.node.shut = True
+        self.node.lifecycle.is_accepting = False
         waiting = [self.raw() for _ in range(40)]  # more than one turn accepts
         for plain in waiting:
             plain.sendall(ASK.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
-        self.assertFalse(self.node.shut_ports())
+        self.assertFalse(self.node.listeners.close_when_empty(False))
         for plain in waiting:
             self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
             plain.close()
-        await self.until(lambda: not self.node.clients, "their ends")
-        self.assertTrue(self.node.shut_ports())
-        self.assertFalse(self.node.port.connected)
+        await self.until(lambda: not self.node.connections.clients, "their ends")
+        self.assertTrue(self.node.listeners.close_when_empty(False))
+        self.assertFalse(self.main_port.connected)
 
     async def test_who_waits_at_the_port_when_time_is_up_is_answered_too(self) -> None:
         self.build()
         plain = self.raw()
         plain.sendall(ASK.encode() + b"\r\n")
-        self.node.shut = True
-        self.leaving()._look()
-        self.assertFalse(self.node.port.connected)
+        self.node.lifecycle.is_accepting = False
+        self.leaving()._check()
+        self.assertFalse(self.main_port.connected)
         self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
 
     async def test_a_request_at_a_hung_host_is_refused_at_the_end_where_that_is_harmless(self) -> None:
         client, host = await self.hung()
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_its_attempt_is_given_up_too_where_the_settings_know_no_cancelling(self) -> None:
         client, host = await self.hung(told={"can_cancel": False})
-        (link,) = self.node.links
-        self.leaving()._look()
+        (link,) = self.node.connections.upstreams
+        self.leaving()._check()
         self.assertTrue(link.done)  # at once, not with its deadline
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_that_may_have_run_and_must_not_run_twice_is_failed_at_the_end(self) -> None:
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_whose_repeats_only_a_zone_discards_is_failed_at_the_end(self) -> None:
         client, _ = await self.hung(effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0)
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
 
     async def test_a_request_is_answered_at_the_end_though_the_module_fails(self) -> None:
         client, host = await self.hung()
         with patch.object(self.node.engine.balancer, "handle", side_effect=ZeroDivisionError):
-            self.leaving()._look()
+            self.leaving()._check()
             self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
         self.assertGreaterEqual(len(self.flushLoggedErrors(ZeroDivisionError)), 2)  # the word, and its end
@@ -89,7 +90,7 @@
         self.build()
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: self.node._waiting, "the question")
+        await self.until(lambda: self.node.lifecycle._waiting, "the question")
         with patch.object(
             node_module,
             "RESTART",
@@ -99,18 +100,18 @@
         self.assertIs(line.state, ConnectionState.IDLE)
         plain.shutdown(socket.SHUT_WR)
         self.assertEqual(await self.reads(plain), b"BUSY\r\n")
-        self.node.leaving.cancel()
+        self.shutdown.cancel()
 
     async def test_a_line_that_does_not_end_before_the_end_gets_no_move_into_it(self) -> None:
         # "half of a liMOVE" is a line that no host has sent
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
         self.node.engine.migrate_before_stop(line.request)
         self.assertIs(line.state, ConnectionState.MOVING)
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.left(b"half of a li"))
         self.assertEqual(await host.ended(), "ConnectionDone")
@@ -118,7 +119,7 @@
     async def test_a_host_that_ends_in_the_middle_of_the_line_before_a_move(self) -> None:
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
         self.node.engine.migrate_before_stop(line.request)
@@ -129,12 +130,12 @@
     async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
-        await self.until(lambda: line._line_open, "the half")
-        line.hold()
+        await self.until(lambda: line.relay._line_open, "the half")
+        line.relay.hold_lines()
         host.write(b"f\r\nnext")
-        await self.until(lambda: line._tail == b"next", "the next")
+        await self.until(lambda: line.relay._held_start == b"next", "the next")
         self.node.engine.migrate_before_stop(line.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
         self.assertTrue(client.left(b""))
@@ -142,13 +143,13 @@
     async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
         )
-        line.hold()
+        line.relay.hold_lines()
         host.write(b"half")
-        await self.until(lambda: line._tail, "the half")
+        await self.until(lambda: line.relay._held_start, "the half")
         leaving.cancel()
         await self.until(lambda: client.left(b"half"), "the half at the client")
         host.write(b" a line\r\n")
@@ -157,7 +158,7 @@
     async def test_moves_are_held_for_in_time(self) -> None:
         self.build()
         await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
         )
@@ -170,9 +171,9 @@
         self.build()
         with patch.object(node_module, "RESTART", LONG):
             self.node.stop()
-            first = self.node.leaving
+            first = self.shutdown
             self.node.stop()
-        self.assertIs(self.node.leaving, first)
+        self.assertIs(self.node.lifecycle.shutdown, first)
         first.cancel()
 
     async def test_a_lame_duck_that_is_stopped_ends(self) -> None:
@@ -181,18 +182,18 @@
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
-            patch.object(node_module, "DRAIN", LONG),
+            patch.object(lifecycle, "DRAIN", LONG),
             patch.object(
                 node_module,
                 "RESTART",
                 DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(20), milliseconds(3300)),
             ),
         ):
-            self.node.drain()
-            lame = self.node.leaving
+            self.node.lifecycle.drain()
+            lame = self.shutdown
             self.node.stop()
-            self.assertTrue(self.node.leaving.ends)
-            self.assertFalse(self.node.undrain())  # there is no way back
+            self.assertTrue(self.shutdown.ends_process)
+            self.assertFalse(self.node.lifecycle.undrain())  # there is no way back
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
             await self.until(lambda: stop.called, "its end")
@@ -209,16 +210,16 @@
         self.node.reload(lambda now: (msgspec.structs.replace(now, discovery=(host, int(port))), []))
         call = await other.next()
         self.assertEqual(await call.line(), b"GET /catalog/members HTTP/1.1")
-        self.node.leaving.cancel()
+        self.shutdown.cancel()
         call.transport.abortConnection()
         await call.ended()
 
     async def test_a_stop_while_it_hands_over_to_a_newer_process_changes_nothing(self) -> None:
         self.build()
-        self.node._leave(LONG)  # as when a newer process is ready
-        first = self.node.leaving
+        self.node._shut_down(LONG)  # as when a newer process is ready
+        first = self.shutdown
         self.node.stop()
-        self.assertIs(self.node.leaving, first)
+        self.assertIs(self.node.lifecycle.shutdown, first)
         first.cancel()
 
     async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
@@ -251,7 +252,7 @@
 
     async def test_a_stop_before_the_start_ends_it(self) -> None:
         self.build()
-        fresh = node_module.Node(reactor, self.node.told, self.node.deadlines.clock)
+        fresh = node_module.Node(reactor, self.node.config, self.node.deadlines.clock)
         with (
             patch.object(fresh, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
@@ -263,4 +264,4 @@
         ):
             fresh.stop()
             await self.until(lambda: stop.called, "its end")
-        self.assertIsNone(fresh.port)
+        self.assertIsNone(fresh.listeners.main)
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -18,7 +18,7 @@
 from puffindeck.net import node
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.node import Node
-from puffindeck.net.upgrade import Generation, descriptors
+from puffindeck.net.process_registry import ProcessRegistry, count_open_descriptors
 from tests.net.test_node import ASK
 from tests.support.node_story import Peer, Story, reactor
 
@@ -35,7 +35,7 @@
         self.address = self.socket.getsockname()[1]
         self.build()
         await self.made_ready(self.node)
-        self.second = Node(reactor, self.node.told, Clock())
+        self.second = Node(reactor, self.node.config, Clock())
         self.addCleanup(self.close_second)
         self.second.start()
 
@@ -44,20 +44,20 @@
 
     async def made_ready(self, started: Node) -> None:
         watch = await self.watched()
-        self.assertIsNone(started.port)  # it accepts nobody before it is ready
+        self.assertIsNone(started.listeners.main)  # it accepts nobody before it is ready
         self.news(watch, 2, False)
-        await self.until(lambda: started.port, "readiness")
+        await self.until(lambda: started.listeners.main, "readiness")
 
     async def close_second(self) -> None:
         """Before the first, whose hosts and discovery it uses."""
         assert self.second.watch is not None
         self.second.watch.stop()
-        for client in list(self.second.clients):
+        for client in list(self.second.connections.clients):
             client.transport.abortConnection()
-        await self.until(lambda: not self.second.clients, "its clients to go")
-        if self.second.port is not None:
-            await maybeDeferred(self.second.port.stopListening)
-        self.second.generation.end()
+        await self.until(lambda: not self.second.connections.clients, "its clients to go")
+        if self.second.listeners.main is not None:
+            await maybeDeferred(self.second.listeners.main.stopListening)
+        self.second.hot_restart.registry.unregister()
         self.second.deadlines.clear()
 
     async def dial(self, line: str) -> Peer:
@@ -71,7 +71,7 @@
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
         accepted = await self.dial("")
-        await self.until(lambda: len(self.node.clients) == 2, "both at the older one")
+        await self.until(lambda: len(self.node.connections.clients) == 2, "both at the older one")
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(
@@ -88,10 +88,10 @@
             await self.until(lambda: left.exists() and b":4." in left.read_bytes(), "its word to the next")
             await self.made_ready(self.second)
             self.assertLess(self.second.engine.balancer.endpoints[strained.id].ceiling, 5)  # it regains
-            await self.until(lambda: self.node.leaving, "the older to leave")
+            await self.until(lambda: self.node.lifecycle.shutdown, "the older to leave")
             self.node.stop()  # SIGTERM does not begin it anew
-            self.assertEqual(self.node.why_not_ready(), "stopping")
-            await self.until(lambda: not self.node.port.connected, "the older to shut its port")
+            self.assertEqual(self.node.lifecycle.reason_not_ready(), "stopping")
+            await self.until(lambda: not self.main_port.connected, "the older to shut its port")
             accepted.write(ASK.replace("9b1f03aa5c7e2d41", "aa").encode() + b"\r\n")  # still owed an answer
             _, host = await self.host_of()
             await host.line()
@@ -100,11 +100,11 @@
             self.assertEqual(await client.line(), b"MOVE")
             new = await self.dial("PING")
             self.assertEqual(await new.line(), b"PONG")
-            self.assertEqual(len(self.second.clients), 1)
+            self.assertEqual(len(self.second.connections.clients), 1)
             await self.until(lambda: stop.called, "its end")
         self.assertEqual(
             {path.name for path in (self.folder / "processes").iterdir()},
-            {self.second.generation.name, "word"},
+            {self.second.hot_restart.registry.name, "word"},
         )
         again = await self.dial("PING")  # the socket has outlived it
         self.assertEqual(await again.line(), b"PONG")
@@ -112,35 +112,35 @@
     async def test_both_together_have_the_descriptors_of_one(self) -> None:
         await self.build_both()
         both = self.node.admission, self.second.admission
-        await self.until(lambda: all(one.others for one in both), "each to know the other")
-        self.assertEqual(self.node.admission.sockets, 1024 - self.node.admission.others)
-        self.assertLess(abs(self.second.admission.others - descriptors()), 8)
-        self.second.generation.end()
-        await self.until(lambda: self.node.admission.sockets == 1024, "its share to come back")
+        await self.until(lambda: all(one.sibling_descriptors for one in both), "each to know the other")
+        self.assertEqual(self.node.admission.descriptors, 1024 - self.node.admission.sibling_descriptors)
+        self.assertLess(abs(self.second.admission.sibling_descriptors - count_open_descriptors()), 8)
+        self.second.hot_restart.registry.unregister()
+        await self.until(lambda: self.node.admission.descriptors == 1024, "its share to come back")
 
     def test_files_of_the_dead_and_of_others_harm_nobody(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name) / "processes"
-            dead, first, second = Generation(folder), Generation(folder), Generation(folder)
-            dead.begin()
-            dead.tell(True)
+            dead, first, second = ProcessRegistry(folder), ProcessRegistry(folder), ProcessRegistry(folder)
+            dead.register()
+            dead.publish_state(True)
             for junk in ("x", "7-x", ".1", "-"):
                 (folder / junk).write_text("1 no\n")
-            first.begin()
-            second.begin()
-            second.tell(True)
+            first.register()
+            second.register()
+            second.publish_state(True)
             os.close(dead._file)  # as the system does when a process is killed
-            self.assertEqual([other[:2] for other in first.others()], [(True, True)])
-            self.assertEqual([other[:2] for other in second.others()], [(False, False)])
+            self.assertEqual([other[:2] for other in first.siblings()], [(True, True)])
+            self.assertEqual([other[:2] for other in second.siblings()], [(False, False)])
             self.assertFalse((folder / dead.name).exists())
-            first.end()
-            self.assertEqual(second.others(), [])
-            second.leave_word({"h0": 4.5, "h1": None}, now=9000.0)
-            self.assertEqual(second.word(now=9100.0), {"h0": 4.5, "h1": None})
-            self.assertEqual(second.word(now=90000.0), {})  # what was left long ago
+            first.unregister()
+            self.assertEqual(second.siblings(), [])
+            second.write_handover_state({"h0": 4.5, "h1": None}, now_ms=9000.0)
+            self.assertEqual(second.read_handover_state(now_ms=9100.0), {"h0": 4.5, "h1": None})
+            self.assertEqual(second.read_handover_state(now_ms=90000.0), {})  # what was left long ago
             (folder / "word").write_text("{")
-            self.assertEqual(second.word(now=9100.0), {})
-            second.end()
+            self.assertEqual(second.read_handover_state(now_ms=9100.0), {})
+            second.unregister()
 
     def test_what_is_no_listening_socket_is_named(self) -> None:
         with (
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -28,7 +28,16 @@
     Outcome,
     SettingsChanged,
 )
-from puffindeck.net import admission, client_connection, discovery, listening, logs, node
+from puffindeck.net import (
+    admission,
+    client_connection,
+    discovery,
+    listening,
+    logs,
+    node,
+    served_classes,
+    silence_monitor,
+)
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.request_line import RequestLine, RequestLineError
 from tests.support.node_story import Listener, Story, reactor
@@ -69,7 +78,7 @@
         self.build()
         watch = await self.watched()
         self.news(watch, 2, False)
-        await self.until(lambda: self.node.ready, "readiness")
+        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         for line, answer in ((b"PING\r\n", b"PONG"), (b"OPEN 1 2 c=none,d=5\r\n", b"ERR")):
             for cut in range(1, len(line)):
                 client = await self.client()
@@ -79,7 +88,7 @@
                 client.write(line[cut:])
                 self.assertEqual(await client.line(), answer)
                 client.transport.abortConnection()
-                await self.until(lambda: not self.node.clients, "its end")
+                await self.until(lambda: not self.node.connections.clients, "its end")
 
     @staticmethod
     def held(stranger: Any, piece: bytes) -> bool:
@@ -107,13 +116,13 @@
         self.build()
         client = await self.client("PING")
         watch = await self.watched()
-        self.assertFalse(self.node.ready)
+        self.assertFalse(self.node.lifecycle.is_ready)
         self.news(watch, 2, False)
         self.assertEqual(await client.line(), b"PONG")
-        self.assertEqual(self.node.port.getHost().host, "127.0.0.1")
+        self.assertEqual(self.main_port.getHost().host, "127.0.0.1")
 
     async def test_a_silent_hosts_client_is_moved(self) -> None:
-        with patch.object(node, "SILENT", milliseconds(100)):
+        with patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(100)):
             self.build()
             client, _, host = await self.served(ASK)
             client.write(b"M 1\r\n")
@@ -141,7 +150,7 @@
             late, _, _ = await self.served(ASK)  # other nodes may be stopping too, or not be back yet
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
-            await self.until(lambda: self.node.shut, "the end of accepting")
+            await self.until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
             slow.write(ASK.encode() + b"\r\n")
             self.assertRegex(await slow.line(), rb"^BUSY \d+$")
             self.assertEqual(client.end, None)
@@ -183,7 +192,7 @@
 
     async def test_each_outcome_of_the_table(self) -> None:
         self.build(hosts=1, max_attempts=1)
-        self.node.connect_patience = milliseconds(200)
+        self.node.client_services.connect_timeout = milliseconds(200)
         for said, outcome in (
             (b"ERR\r\n", Outcome.ERROR),
             (b"BUSY\r\n", Outcome.FULL),
@@ -266,7 +275,7 @@
             client.write(ASK.encode() + b"\r\n")
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
         await self.served(ASK)
-        with patch.object(admission, "SPARE", 1024):  # no room for a client and its host
+        with patch.object(admission, "RESERVED_FOR_NODE", 1024):  # no room for a client and its host
             other = await self.client(ASK)
             self.assertRegex(await other.line(), rb"^BUSY \d+$")
 
@@ -293,17 +302,17 @@
 
     async def test_hundreds_of_silent_clients_leave_room_for_the_usual_ones(self) -> None:
         self.build()
-        self.node.admission.limit(256)
+        self.node.admission.set_descriptor_limit(256)
         # a third of all, and their hosts
-        with patch.object(self.node.admission, "_used", lambda: 2 * 256 // 3):
-            self.assertFalse(self.node.admission.full())
+        with patch.object(self.node.admission, "_descriptors_in_use", lambda: 2 * 256 // 3):
+            self.assertFalse(self.node.admission.is_out_of_descriptors())
         told = [await self.client("PING") for _ in range(20)]
         watch = await self.watched()
         self.news(watch, 2, False)
         for front in told:
             self.assertEqual(await front.line(), b"PONG")
         usual = await self.client()  # its line takes its time
-        room = 256 - admission.SPARE - admission.NEXT
+        room = 256 - admission.RESERVED_FOR_NODE - admission.RESERVED_FOR_REQUESTS
         rude = [await self.client() for _ in range(room - 1)]
         await self.until(lambda: all(front.end for front in told), "who was told PONG to go first")
         self.assertEqual(sum(peer.end is not None for peer in (usual, *rude)), 0)
@@ -316,10 +325,10 @@
         await self.until(lambda: sum(peer.end is not None for peer in rude) >= 40, "the first ones to go")
         self.assertEqual(len(self.node.admission.waiting), room - 2)  # a served one's two are taken off
         self.assertIsNone(more[-1].end)  # who came last may yet ask
-        with patch.object(self.node.admission, "_used", lambda: 300):
+        with patch.object(self.node.admission, "_descriptors_in_use", lambda: 300):
             await self.client()
             control = self.node.admission
-            await self.until(lambda: len(control.waiting) == control.least, "its giving way")
+            await self.until(lambda: len(control.waiting) == control.min_waiting, "its giving way")
 
     async def test_the_start_of_a_line_is_owed_no_answer(self) -> None:
         # a client that stopped short in a line was moved, and its host cut, for the host's silence
@@ -327,12 +336,12 @@
         client, _, host = await self.served(ASK)
         client.write(b"half a li")
         await self.until(lambda: host.left(b"half a li"), "its passing")
-        later = self.node.deadlines.clock.now() + node.SILENT * 2
-        (link,) = self.node.links
-        self.assertLess(link.waited(later), node.SILENT)
+        later = self.node.deadlines.clock.now() + silence_monitor.SILENCE_LIMIT * 2
+        (link,) = self.node.connections.upstreams
+        self.assertLess(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
         client.write(b"ne\r\n")
         self.assertEqual(await host.line(), b"half a line")
-        self.assertGreater(link.waited(later), node.SILENT)
+        self.assertGreater(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
 
     async def test_a_client_that_sends_on_and_on_still_reads_its_answer(self) -> None:
         self.build()
@@ -341,7 +350,7 @@
             client.write(start + b"y" * 3_000_000)
             self.assertEqual(await client.line(), b"ERR")
             await client.ended()
-        await self.until(lambda: not self.node.clients, "all to go")
+        await self.until(lambda: not self.node.connections.clients, "all to go")
 
     async def test_lines_sent_at_once_or_before_an_answer_reach_no_host(self) -> None:
         self.build()
@@ -364,13 +373,16 @@
         first.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         first.transport.abortConnection()
-        await self.until(lambda: not self.node.open_ids, "its end")
+        await self.until(lambda: not self.node.connections.open_ids, "its end")
 
     async def test_a_turn_takes_in_few_and_their_lines_are_few(self) -> None:
         self.build()
-        self.node.port.numberAccepts = 500  # as the library would set it
-        self.assertEqual(self.node.port.numberAccepts, listening.ACCEPTS)
-        with patch.object(self.node.few, "_log") as written, patch.object(logs, "PERIOD", milliseconds(300)):
+        self.main_port.numberAccepts = 500  # as the library would set it
+        self.assertEqual(self.main_port.numberAccepts, listening.ACCEPTS)
+        with (
+            patch.object(self.node.client_services.rejected_lines, "_log") as written,
+            patch.object(logs, "PERIOD", milliseconds(300)),
+        ):
             for _ in range(logs.LINES + 5):
                 await (await self.client("HI")).line()
             await self.until(lambda: written.warn.call_count > logs.LINES, "the count of the rest")
@@ -486,7 +498,7 @@
         self.build()
         path = self.configured()
         read = config.node({"EDGE_CONFIG": path})
-        self.node.told = msgspec.structs.replace(self.node.told, file=read.file)
+        self.node.config = msgspec.structs.replace(self.node.config, file=read.file)
         client, uid, host = await self.served(ASK)
         old = await self.watched()
         other = Listener()
@@ -502,7 +514,7 @@
         self.assertIs(self.node.watch, before)
 
         self.reread(self.configured(discovery=other.address, limits={"sockets": 300}, seed="5"))
-        self.assertEqual(self.node.told.sockets, 300)
+        self.assertEqual(self.node.config.sockets, 300)
         await old.ended()
         self.discovery, gone = other, self.discovery
         listing = await other.next()
@@ -537,30 +549,32 @@
         self.build()
         read = config.node({"EDGE_CONFIG": self.configured()})
         table = read.keys["settings"]
-        self.node.told = msgspec.structs.replace(self.node.told, file=read.file, keys=read.keys)
+        self.node.config = msgspec.structs.replace(self.node.config, file=read.file, keys=read.keys)
         one = table["classes"][0]
         two = {**one, "name": "two"}
         self.reread(self.configured(settings=table | {"classes": [one, two, {**one, "name": "chat"}]}))
-        numbers = dict(self.node.classes)
+        numbers = dict(self.node.classes.numbers)
         client, _, host = await self.served(ASK)
         old = self.node.engine.balancer.requests[next(iter(self.node.engine.requests)).number]
         new = {**two, "name": "new", "repeat": "side_effect", "hardLimitMs": 700.0}
         limits = table["limits"] | {"maxAttempts": 1}
-        with patch.object(node, "DROPPED", milliseconds(300)):
+        with patch.object(served_classes, "DROP_DELAY", milliseconds(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
         self.assertEqual([e.settings.max_attempts for e in self.ends(SettingsChanged)][-1], 1)
         self.assertEqual((old.most, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
         now = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
-        self.assertEqual(tuple(now[self.node.classes[name]].name for name in served), served)
-        self.assertEqual(len(set(self.node.classes.values())), len(self.node.classes))
-        self.assertEqual(now[self.node.classes["new"]].effect, Effect.NOT_IDEMPOTENT)
-        await self.until(lambda: "chat" not in self.node.classes, "the end of the dropped class")
+        self.assertEqual(tuple(now[self.node.classes.numbers[name]].name for name in served), served)
+        self.assertEqual(len(set(self.node.classes.numbers.values())), len(self.node.classes.numbers))
+        self.assertEqual(now[self.node.classes.numbers["new"]].effect, Effect.NOT_IDEMPOTENT)
+        await self.until(lambda: "chat" not in self.node.classes.numbers, "the end of the dropped class")
         late = await self.client(ASK)
         self.assertEqual(await late.line(), b"ERR")
         third = {**one, "name": "third"}
         self.reread(self.configured(settings=table | {"classes": [two, new, third], "limits": limits}))
-        self.assertNotEqual(self.node.classes["third"], numbers["chat"])  # which a connection still has
+        self.assertNotEqual(
+            self.node.classes.numbers["third"], numbers["chat"]
+        )  # which a connection still has
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         client.transport.abortConnection()
--- a/tests/net/test_operator_calls.py
+++ b/tests/net/test_operator_calls.py
@@ -13,7 +13,7 @@
 from puffindeck.config import Node as Told
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import EndpointAttached, EndpointDetached
-from puffindeck.net import node, operator
+from puffindeck.net import admin_api, lifecycle
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from tests.net.test_node import ASK
 from tests.support.node_story import Peer, Story
@@ -32,13 +32,15 @@
         return msgspec.structs.replace(told, operator=("127.0.0.1", 0), folder=self.folder)
 
     async def close(self) -> None:
-        for caller in list(self.node.operator.callers):
+        for caller in list(self.node.admin_api.callers):
             caller.evict()
-        await self.node.operator_port.stopListening()
+        assert self.node.admin_port is not None
+        await self.node.admin_port.stopListening()
         await super().close()
 
     async def caller(self) -> Peer:
-        return await self.client(port=self.node.operator_port.getHost().port)
+        assert self.node.admin_port is not None
+        return await self.client(port=self.node.admin_port.getHost().port)
 
     async def call(self, text: str, rest: str = "") -> int:
         """A call; its status. Its connection has ended then."""
@@ -51,7 +53,7 @@
     async def serving(self) -> Peer:
         watch = await self.watched()
         self.news(watch, 2, False)
-        await self.until(lambda: self.node.ready, "readiness")
+        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         return watch
 
     async def test_ready_is_no_while_starting_and_draining_and_odd_calls_get_a_no(self) -> None:
@@ -81,12 +83,14 @@
     async def test_callers_that_stall_keep_no_whole_call_out(self) -> None:
         self.build()
         await self.serving()
-        stalled = [await self.caller() for _ in range(2 * operator.CALLERS)]
+        stalled = [await self.caller() for _ in range(2 * admin_api.MAX_CALLERS)]
         stalled[-1].write(b"GET /_ready HT")
         self.assertEqual(await self.call("GET /_ready"), 200)
-        await self.until(lambda: sum(p.end is not None for p in stalled) >= operator.CALLERS, "their end")
-        self.assertLessEqual(len(self.node.operator.callers), operator.CALLERS)
-        with patch.object(operator, "PATIENCE", milliseconds(50)):
+        await self.until(
+            lambda: sum(p.end is not None for p in stalled) >= admin_api.MAX_CALLERS, "their end"
+        )
+        self.assertLessEqual(len(self.node.admin_api.callers), admin_api.MAX_CALLERS)
+        with patch.object(admin_api, "CALL_TIMEOUT", milliseconds(50)):
             late = await self.caller()
             await late.ended()
 
@@ -113,8 +117,8 @@
         self.build(hosts=1, drain_grace_ms=0)
         number = self.node.directory.number("h0")
         client = await self.client(ASK)
-        await self.until(lambda: self.node.links, "the attempt")
-        self.node.detach("h0")
+        await self.until(lambda: self.node.connections.upstreams, "the attempt")
+        self.node.detachment.detach("h0")
         _, host = await self.host_of()
         await host.ended()
         self.assertEqual(host.buffer, b"")
@@ -147,7 +151,7 @@
         self.build()
         await self.serving()
         errors = [OSError(errno.ENOSPC, "No space left on device")] * 4
-        with patch.object(self.node.records, "put", side_effect=[*errors, None]) as put:
+        with patch.object(self.node.detachment.store, "put", side_effect=[*errors, None]) as put:
             self.assertEqual(await self.call("PUT /_hosts/detach?member=h0"), 200)
         self.assertEqual(put.call_count, 5)
 
@@ -169,7 +173,7 @@
         self.assertEqual(await front.line(), b"PONG")
         first, _, _ = await self.served(ASK)
         with patch.object(
-            node,
+            lifecycle,
             "DRAIN",
             DrainSchedule(milliseconds(1000), milliseconds(1100), milliseconds(100), milliseconds(1800)),
         ):
@@ -179,11 +183,11 @@
         late, _, host = await self.served(ASK)
         host.write(b"half a li")
         half = await self.client(ASK)  # its hosts say nothing
-        leaving = self.node.leaving
+        leaving = self.node.lifecycle.shutdown
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
-        self.assertIs(self.node.leaving, leaving)  # the clock goes on
+        self.assertIs(self.node.lifecycle.shutdown, leaving)  # the clock goes on
         self.assertEqual(await first.line(), b"MOVE")
-        await self.until(lambda: self.node.shut, "its end of serving")
+        await self.until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
         refused = await self.client(ASK)
         self.assertRegex(await refused.line(), rb"^BUSY \d+$")
         self.assertEqual([await late.ended(), await half.ended()], ["ConnectionDone", "ConnectionDone"])
@@ -203,12 +207,12 @@
         await self.serving()
         client, _, host = await self.served(ASK)
         with patch.object(
-            node,
+            lifecycle,
             "DRAIN",
             DrainSchedule(milliseconds(50), milliseconds(150), milliseconds(100), milliseconds(300)),
         ):
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
-        await self.until(lambda: self.node.shut, "its end of serving")
+        await self.until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
         self.assertEqual(await self.call("PUT /_lameduck/off"), 200)
         with self.assertRaises(AssertionError):
             await self.until(lambda: client.end, "no end")
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -69,7 +69,7 @@
         await host.line()
         client.transport.loseConnection()
         await host.ended()
-        self.node.shut = True
+        self.node.lifecycle.is_accepting = False
         await (await self.client(ASK)).line()
         self.assertIn(f"{1:016x}: closed: the client left", seen)
         self.assertIn(f"{2:016x}: refused: this node stops", seen)
@@ -108,7 +108,7 @@
         clock = WallClock(lambda: now[0])
         for ahead in (0.0, 0.1, -3600.0, -3600.0):
             now[0] = 1000.0 + ahead
-            clock.look()
+            clock.check()
     finally:
         globalLogPublisher.removeObserver(observer)
     assert wall_clock.STEP.total_seconds() > 0.1
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -10,9 +10,10 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import AttemptEnded, ClientDisconnected, Effect, Outcome
-from puffindeck.net import upstream_connection
-from puffindeck.net.client_connection import ConnectionState
-from puffindeck.net.upstream_connection import HostLine, Link
+from puffindeck.net import upstream_protocol
+from puffindeck.net.connection_state import ConnectionState
+from puffindeck.net.upstream_connection import UpstreamConnection
+from puffindeck.net.upstream_protocol import UpstreamProtocol
 from tests.support.crossing_story import ASK, CHAT, CrossingStory
 
 
@@ -21,13 +22,13 @@
 
     def at_connect(self, do: Callable[[], None]) -> Any:
         """Have something happen in the moment in which a host's connection comes up."""
-        made = HostLine.connectionMade
+        made = UpstreamProtocol.connectionMade
 
-        def first(line: HostLine) -> None:
+        def first(line: UpstreamProtocol) -> None:
             do()
             made(line)
 
-        return patch.object(HostLine, "connectionMade", first)
+        return patch.object(UpstreamProtocol, "connectionMade", first)
 
     async def test_no_attempt_for_a_client_that_closed_right_behind_its_request(self) -> None:
         self.build()
@@ -35,7 +36,7 @@
         plain.sendall(ASK.encode() + b"\r\n")
         plain.close()
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
-        self.assertFalse(self.node.links)
+        self.assertFalse(self.node.connections.upstreams)
         self.assertFalse(self.reached())
         self.assertEqual(len(self.ends(ClientDisconnected)), 1)
 
@@ -55,8 +56,8 @@
         self.build()
 
         def given_up() -> None:
-            for link in self.node.links:
-                self.node.engine.client_disconnected(link.ticket.request)
+            for link in self.node.connections.upstreams:
+                self.node.engine.client_disconnected(link.attempt_id.request)
 
         with self.at_connect(given_up):
             await self.client(ASK)
@@ -71,7 +72,7 @@
         plain.sendall(ASK.encode() + b"\r\n")
         _, host = await self.host_of()
         await host.line()
-        (link,) = self.node.links
+        (link,) = self.node.connections.upstreams
         plain.close()
         link.finish(Outcome.ERROR)  # the host's word, in the turn in which the client's end has come
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
@@ -82,7 +83,7 @@
         client = await self.client()
 
         def late() -> None:
-            for link in self.node.links:
+            for link in self.node.connections.upstreams:
                 link._begin = self.node.deadlines.clock.now()
 
         with self.at_connect(late):
@@ -98,13 +99,13 @@
         uid, host = await self.host_of()
         await host.line()
         begins: list[Any] = []
-        connect = Link.connect
+        connect = UpstreamConnection.connect
 
-        def noted(link: Link, *args: Any) -> None:
+        def noted(link: UpstreamConnection, *args: Any) -> None:
             begins.append(link._begin - self.node.deadlines.clock.now())
             connect(link, *args)
 
-        with patch.object(Link, "connect", noted):
+        with patch.object(UpstreamConnection, "connect", noted):
             host.transport.abortConnection()
             _, second = await self.host_of(uid)
             await second.line()
@@ -119,7 +120,7 @@
     async def test_up_that_has_come_when_the_deadline_expires_is_handed_on(self) -> None:
         # timers go before octets: a node that was held up gave up what had been answered in time
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         host.transport.getHandle().send(b"UP r9\r\n")
         self.node.engine._expired(AttemptId(line.request, 0))
         self.assertEqual(await client.line(), b"UP r9")
@@ -127,22 +128,23 @@
 
     async def test_an_attempt_without_an_answer_ends_with_its_deadline(self) -> None:
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         self.node.engine._expired(AttemptId(line.request, 0))
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_a_head_that_has_not_left_is_thrown_away(self) -> None:
-        made = HostLine.connectionMade
+        made = UpstreamProtocol.connectionMade
 
-        def then(line: HostLine) -> None:
+        def then(line: UpstreamProtocol) -> None:
             made(line)
-            self.node.engine.client_disconnected(line.link.ticket.request)
+            assert isinstance(line.link, UpstreamConnection)
+            self.node.engine.client_disconnected(line.link.attempt_id.request)
 
         self.build()
         with (
-            patch.object(upstream_connection, "flush", lambda transport: None),
-            patch.object(HostLine, "connectionMade", then),
+            patch.object(upstream_protocol, "flush", lambda transport: None),
+            patch.object(UpstreamProtocol, "connectionMade", then),
         ):
             await self.client(ASK)
             _, host = await self.host_of()
@@ -165,7 +167,7 @@
 
     async def test_an_answer_behind_the_end_of_an_attempt_is_not_heard(self) -> None:
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
-        (link,) = self.node.links
+        (link,) = self.node.connections.upstreams
         host.transport.getHandle().send(b"ERR\r\nUP r9\r\n")
         self.assertEqual(await client.line(), b"ERR")
         await client.ended()
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -187,7 +187,7 @@
             at = "127.0.0.1", box.port.getHost().port
             self.node.directory.addresses[self.node.directory.number(uid)] = at
         ids = {box.server_id: uid for uid, box in self.boxes.items()}
-        self.node._start_quic(
+        self.node.start_quic(
             Quic(
                 ("127.0.0.1", 0),
                 0,
@@ -204,6 +204,7 @@
         )
         assert self.node.quic is not None
         self.front = self.node.quic
+        assert self.node.quic_port is not None
         self.at = self.node.quic_port.getHost().port
         self.callers: list[Caller] = []
         for box in self.boxes.values():
@@ -217,6 +218,7 @@
             flow.end()
             if flow.link is not None:
                 flow.link.abandon()
+        assert self.node.quic_port is not None
         await self.node.quic_port.stopListening()
 
     def target(self, uid: str, state: str = "SERVING") -> Any:
--- a/tests/support/crossing_story.py
+++ b/tests/support/crossing_story.py
@@ -11,8 +11,8 @@
 
 from twisted.internet.threads import deferToThread
 
-from puffindeck.net.client import ClientLine
-from puffindeck.net.client_connection import ConnectionState
+from puffindeck.net.client import ClientProtocol
+from puffindeck.net.connection_state import ConnectionState
 from tests.support.node_story import SETTINGS, Peer, Story
 
 ASK = "OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=1100"
@@ -23,17 +23,17 @@
     """A node, and clients on plain sockets."""
 
     def raw(self) -> socket.socket:
-        plain = socket.create_connection(("127.0.0.1", self.node.port.getHost().port))
+        plain = socket.create_connection(("127.0.0.1", self.main_port.getHost().port))
         plain.settimeout(5)
         self.addCleanup(plain.close)
         return plain
 
-    async def met(self) -> tuple[socket.socket, ClientLine]:
+    async def met(self) -> tuple[socket.socket, ClientProtocol]:
         """A client that has said nothing, and the node's side of it."""
-        before = set(self.node.clients)
+        before = set(self.node.connections.clients)
         plain = self.raw()
-        await self.until(lambda: self.node.clients - before, "the accept")
-        (line,) = self.node.clients - before
+        await self.until(lambda: self.node.connections.clients - before, "the accept")
+        (line,) = self.node.connections.clients - before
         return plain, line
 
     async def reads(self, plain: socket.socket) -> bytes:
@@ -50,10 +50,10 @@
     def reached(self) -> bool:
         return any(host.peers for host in self.hosts.values())
 
-    async def resting(self) -> tuple[socket.socket, ClientLine]:
+    async def resting(self) -> tuple[socket.socket, ClientProtocol]:
         watch = await self.watched()
         self.news(watch, 2, False)
-        await self.until(lambda: self.node.ready, "readiness")
+        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
         await self.until(lambda: line.state is ConnectionState.IDLE, "PONG")
--- a/tests/support/node_story.py
+++ b/tests/support/node_story.py
@@ -15,6 +15,8 @@
 from puffindeck.config import Members, Node, Target
 from puffindeck.core.clock import Clock
 from puffindeck.interface import ClassSettings, Event, Settings
+from puffindeck.net.graceful_shutdown import GracefulShutdown
+from puffindeck.net.listening import Port
 from puffindeck.net.node import Node as NetNode
 from tests.support.gateway import SETTINGS as WORLD
 
@@ -147,6 +149,18 @@
         self.node.start()
         self.addCleanup(self.close)
 
+    @property
+    def main_port(self) -> Port:
+        """The node's port for clients, which is open."""
+        assert self.node.listeners.main is not None
+        return self.node.listeners.main
+
+    @property
+    def shutdown(self) -> GracefulShutdown:
+        """The node's shutdown, which has begun."""
+        assert self.node.lifecycle.shutdown is not None
+        return self.node.lifecycle.shutdown
+
     def changed(self, told: Node) -> Node:
         """What a story has its node told otherwise."""
         return told
@@ -158,14 +172,16 @@
         if self.node.watch:
             self.node.watch.stop()
         peers = [p for listener in (*self.hosts.values(), self.discovery) for p in listener.peers]
-        for transport in [p.transport for p in peers] + [c.transport for c in self.node.clients]:
+        for transport in [p.transport for p in peers] + [c.transport for c in self.node.connections.clients]:
             transport.abortConnection()
-        ports = [listener.port for listener in (*self.hosts.values(), self.discovery)] + [self.node.port]
-        for port in ports:
+        ports = [listener.port for listener in (*self.hosts.values(), self.discovery)]
+        for port in (*ports, self.node.listeners.main):
             if port is not None:
                 await maybeDeferred(port.stopListening)
-        self.node.generation.end()
-        await self.until(lambda: not self.node.clients and all(p.end for p in peers), "all to close")
+        self.node.hot_restart.registry.unregister()
+        await self.until(
+            lambda: not self.node.connections.clients and all(p.end for p in peers), "all to close"
+        )
         self.node.deadlines.clear()
 
     async def until(self, met: Callable[[], Any], what: str) -> None:
@@ -180,7 +196,7 @@
 
     async def client(self, line: str = "", port: int = 0) -> Peer:
         dial = Dial()
-        reactor.connectTCP("127.0.0.1", port or self.node.port.getHost().port, dial)
+        reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, dial)
         peer: Peer = await dial.up
         self.addCleanup(peer.transport.abortConnection)
         if line:
