--- a/packages/fleet/src/puffindeck_fleet/governor.py
+++ b/packages/fleet/src/puffindeck_fleet/governor.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any
 
-from puffindeck.core.engine import Decisions
+from puffindeck.core.dispatcher import Decisions
 from puffindeck.interface import (
     NOT_PROCESSED,
     Action,
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -1,4 +1,4 @@
-"""What the engine deals in: requests, their attempts, and what it wants of a front's clients and links."""
+"""Requests, their attempts, and what the engine needs of a front's clients and links."""
 
 from __future__ import annotations
 
@@ -21,41 +21,41 @@
     """A front's side of an attempt, and of the connection that it becomes."""
 
     def abandon(self) -> None:
-        """End it; nothing more is told of it."""
+        """End it; nothing more is reported of it."""
 
     def read_available(self) -> None:
-        """Take in what the server has said by now: an answer that came in time counts, read late or not."""
+        """Read what the server has sent by now: an answer that came in time counts, even if read late."""
 
 
 class Client(Protocol):
-    """A front's side of a request: whoever waits for its answer."""
+    """A front's side of a request: it waits for the answer."""
 
     def is_waiting(self) -> bool:
-        """Is it still there, at this very moment? One that has left gets no further attempt."""
+        """Is it still there, at this very moment? One that has gone gets no further attempt."""
 
     def start_attempt(
         self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
     ) -> UpstreamLink | None:
-        """Start an attempt, whose first byte may go out until `begin`. None if it has ended already.
+        """Start an attempt that is due its answer by `until`, and whose first byte may go out until `begin`.
 
-        Its end has then been told.
+        Both are times of the engine's clock. None if it has ended already; that has been reported then.
         """
 
     def on_established(self, link: UpstreamLink) -> None:
-        """The final answer: served by what this link leads to."""
+        """Take the final answer: served through this link."""
 
-    def reject(self, wait: timedelta) -> None:
-        """The final answer: trying again, after a wait, does no harm."""
+    def reject(self, retry_after: timedelta) -> None:
+        """Take the final answer: rejected; trying again, after a wait, does no harm."""
 
     def fail(self) -> None:
-        """The final answer: failed, and nothing is known of what was done."""
+        """Take the final answer: failed, and it is not known what was done."""
 
     def migrate(self) -> bool:
-        """Its connection stands; send it away politely and end the link. False if this front can't."""
+        """Send a client whose connection stands to another place, and end the link. False if it can't be."""
 
 
 class Request(NamedTuple):
-    """What a client asks for."""
+    """What a client asks for. `left`: the time until its deadline."""
 
     cls: int
     key: int
@@ -63,8 +63,8 @@
     hint: float = 0.0
     group: int = 0
     returning: bool = False
-    facts: ConnectionInfo | None = None  # what routes may go by
-    id: str = ""  # the client's own, where its wire has one: the log names the request by it
+    facts: ConnectionInfo | None = None  # for the conditions of routes and tenants
+    id: str = ""  # the client's own, where its wire has one; the log names the request by it
 
 
 class RequestState:
@@ -88,11 +88,19 @@
         "number",
     )
 
-    def __init__(self, client: Client, cls: int, deadline: timedelta, most: int, id: str) -> None:
-        self.client, self.cls, self.deadline, self.max_attempts, self.id = client, cls, deadline, most, id
-        self.number = self.attempts = self.endpoint = 0
-        self.answered = self.attempt_active = self.established = False
+    def __init__(self, client: Client, cls: int, deadline: timedelta, max_attempts: int, id: str) -> None:
+        self.client = client
+        self.cls = cls
+        self.deadline = deadline
+        self.max_attempts = max_attempts
+        self.id = id
+        self.number = 0
+        self.attempts = 0  # begun so far
+        self.endpoint = 0  # of the last attempt
+        self.answered = False
+        self.established = False  # by a connection that stands or stood
+        self.attempt_active = False  # an attempt is out, or the connection that it became stands
         self.attempt_started = ZERO
         self.link: UpstreamLink | None = None
         self.attempt_expiry: Deadline | None = None
-        self.deadline_guard: Deadline | None = None
+        self.deadline_guard: Deadline | None = None  # fails the request if the module does not answer it
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -10,7 +10,8 @@
 
 from puffindeck.config import Node as NodeConfig
 from puffindeck.core.clock import to_ms
-from puffindeck.core.engine import Decisions, Engine
+from puffindeck.core.dispatcher import Decisions
+from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ConnectionInfo, RequestArrived
 from puffindeck.service_discovery.directory import Directory
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -122,14 +122,14 @@
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.connections.clients
         host.transport.getHandle().send(b"UP r9\r\n")
-        self.node.engine._expired(AttemptId(line.request, 0))
+        self.node.engine.attempts.expire(AttemptId(line.request, 0))
         self.assertEqual(await client.line(), b"UP r9")
         self.assertIs(line.state, ConnectionState.RELAYING)
 
     async def test_an_attempt_without_an_answer_ends_with_its_deadline(self) -> None:
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.connections.clients
-        self.node.engine._expired(AttemptId(line.request, 0))
+        self.node.engine.attempts.expire(AttemptId(line.request, 0))
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
