--- a/puffindeck/net/closing.py
+++ b/puffindeck/net/closing.py
@@ -1,4 +1,4 @@
-"""How connections end, so that the last line leaves whole and nothing starts for somebody who has gone.
+"""How connections end, so that the last line leaves whole and nothing starts for a client that has gone.
 
 A transport of the reactor writes, shuts and closes in a later turn. Between turns the other side may send,
 end or break, and an abort throws away what is still to be written. What must not wait is done at once.
@@ -21,13 +21,13 @@
 
 
 def flush(transport: Any) -> None:
-    """Hand what was written to the system now. What it does not take follows when it does."""
+    """Hand what was written to the system now. What it does not take follows later."""
     if transport.connected and not transport.disconnecting:
         transport.doWrite()  # a failure shows again in the reactor's next turn, which ends the connection
 
 
 def drain_receive_buffer(transport: Any) -> None:
-    """Read what has come by now: what came before we end a connection is still owed an answer."""
+    """Read what has come by now: it is still owed an answer, though we end the connection."""
     if transport.connected and not transport.disconnecting:
         transport.doRead()  # an end shows again in the reactor's next turn
 
@@ -57,21 +57,23 @@
 
 
 @implementer(IPullProducer)
-class _Break:
+class _ResetWhenSent:
     """Asked for more when it is registered, and again once every byte before it is written."""
 
     def __init__(self, transport: Any) -> None:
-        self._transport, self._asked = transport, False
+        self._transport = transport
+        self._asked_once = False
 
     def resumeProducing(self) -> None:
-        if self._asked:
+        """Reset the connection when asked the second time (Twisted's hook)."""
+        if self._asked_once:
             self._transport.abortConnection()
         else:
-            self._asked = True
+            self._asked_once = True
             self._transport.startWriting()
 
     def stopProducing(self) -> None:
-        """The transport is gone."""
+        """Do nothing: the transport is gone (Twisted's hook)."""
 
 
 def break_off(transport: Any, deadlines: TimerQueue, connected: Callable[[], bool]) -> None:
@@ -80,5 +82,5 @@
     A transport writes in a later turn of the reactor, and an abort throws away what it still holds.
     """
     transport.unregisterProducer()
-    transport.registerProducer(_Break(transport), False)
+    transport.registerProducer(_ResetWhenSent(transport), False)
     deadlines.after(LINGER, lambda: connected() and transport.abortConnection())
--- a/puffindeck/net/detachment.py
+++ b/puffindeck/net/detachment.py
@@ -46,7 +46,7 @@
 
     def detach(self, host: str) -> bool:
         """Send nothing more to a host, whatever the list says. False if the list has never named it."""
-        is_known = self._directory.known(host)
+        is_known = self._directory.is_known(host)
         if is_known:
             self._detach_now(host)
             self._record(host)
@@ -54,7 +54,7 @@
 
     def attach(self, host: str) -> bool:
         """Use a host again. False if the list has never named it and it is not detached."""
-        is_known = self._directory.known(host) or host in self._hosts
+        is_known = self._directory.is_known(host) or host in self._hosts
         if is_known:
             self._attach_now(host)
             self._record(host)
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -15,30 +15,32 @@
 from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import ListUpdateKind
-from puffindeck.net.discovery_responses import Endpoints, WatchLines, WholeList
+from puffindeck.net.discovery_responses import AddressEndpoints, ListResponse, WatchResponse
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.watch import (
-    AGAIN,
-    ANSWER,
-    AT_ONCE,
-    BESIDE,
-    LIST,
-    SILENT,
+    AGENT_ANSWER_TIMEOUT,
+    AGENT_RETRY_DELAY,
+    ANSWER_TIMEOUT,
+    LIST_TIMEOUT,
+    MAX_PARALLEL_CALLS,
+    SILENCE_TIMEOUT,
     WatchError,
     WatchState,
-    kind,
+    update_kind,
 )
 
 log = Logger("puffindeck")
 
 
-class Watch:
-    """One watch at a time. When it breaks the module is told, and says when to ask again.
+class DiscoveryWatch:
+    """One watch at a time. When it breaks, the decision module is told, and says when to poll again.
 
-    With no version to watch from, the whole list is asked for first. Where lists are pushed nobody says when
-    to ask: what the agent on this machine holds counts as told whether it is watched or not. So it is watched
-    from the start, and when a watch has broken all that it holds is read anew. One that is silent is asked
-    again and again, beside the calls that are out: what it gets when it is back counts at once.
+    With no version to watch from, the whole list is asked for first. Where lists are pushed (`pushed`),
+    nobody says when to poll, and what the agent on this machine has counts as known, watched or not. So it is
+    watched from the start, and after a break its whole list is read again. A silent agent is called again and
+    again, in parallel with the calls that are out: what it receives when it is back counts at once.
+
+    `on_answer` is called with each answer, and with each failure.
     """
 
     def __init__(
@@ -49,155 +51,159 @@
         directory: Directory,
         engine: Engine,
         version: int | None,
-        heard: Callable[[], None],
+        on_answer: Callable[[], None],
         pushed: bool,
     ) -> None:
         host, port = discovery
         self._base = f"http://[{host}]:{port}" if ":" in host else f"http://{host}:{port}"
         pool = HTTPConnectionPool(reactor, persistent=False)
-        self._agent = Agent.usingEndpointFactory(reactor, Endpoints(reactor), pool)
-        self._deadlines, self._directory, self._engine = deadlines, directory, engine
+        self._agent = Agent.usingEndpointFactory(reactor, AddressEndpoints(reactor), pool)
+        self._deadlines = deadlines
+        self._directory = directory
+        self._engine = engine
         self._pushed = pushed
-        self._state, self._heard = WatchState(None if pushed else version), heard
+        self._state = WatchState(None if pushed else version)
+        self._on_answer = on_answer
         self._calls: list[Deferred[Any]] = []  # oldest first; only a silent agent has more than one
-        self._lines: WatchLines | None = None
-        self._patience: Deadline | None = None
-        self._ending: Deadline | None = None  # when a list that has begun must have ended
-        self._again: Deadline | None = None
+        self._response: WatchResponse | None = None
+        self._timeout: Deadline | None = None
+        self._list_timeout: Deadline | None = None  # when a list that has begun must have ended
+        self._retry: Deadline | None = None
         self._stopped = False
 
     def start(self) -> None:
-        """Watch an agent that has lists pushed to it; where lists are asked for, the module says when."""
+        """Poll an agent that has lists pushed to it; otherwise the decision module says when."""
         if self._pushed:
-            self.ask()
+            self.poll()
 
     @property
     def version(self) -> int | None:
-        """How far the list is known."""
+        """The version of the list that is known; None for none."""
         return self._state.version
 
-    def ask(self) -> None:
-        """Watch from what is known on. A call while one is out would cost discovery twice."""
-        if self._calls or self._lines is not None or self._stopped:
+    def poll(self) -> None:
+        """Watch from the known version on. Nothing is done while a call is out or a response comes in."""
+        if self._calls or self._response is not None or self._stopped:
             return
-        self._deadlines.cancel(self._again)
+        self._deadlines.cancel(self._retry)
         if self._pushed:
-            self._patience = self._deadlines.after(AT_ONCE, self._ask_beside)
+            self._timeout = self._deadlines.after(AGENT_ANSWER_TIMEOUT, self._call_in_parallel)
         else:
-            self._patience = self._deadlines.after(ANSWER, self.broken, "no answer")
+            self._timeout = self._deadlines.after(ANSWER_TIMEOUT, self.on_failure, "no answer")
         self._call()
 
-    def _ask_beside(self) -> None:
-        """The agent is silent, or this process too busy to read: whichever call is answered counts."""
+    def _call_in_parallel(self) -> None:
+        """Call once more: the agent is silent, or this process too busy to read. Any answer counts."""
         if len(self._calls) == 1:
-            self._failed("no answer")
-        while len(self._calls) >= BESIDE:
+            self._report_failure("no answer")
+        while len(self._calls) >= MAX_PARALLEL_CALLS:
             self._calls.pop(0).cancel()
         self._state = WatchState()
-        self._patience = self._deadlines.after(AT_ONCE, self._ask_beside)
+        self._timeout = self._deadlines.after(AGENT_ANSWER_TIMEOUT, self._call_in_parallel)
         self._call()
 
     def _call(self) -> None:
         watching, url = self._state.watching, self._base + self._state.target()
         call = self._agent.request(b"GET", url.encode())
         self._calls.append(call)
-        call.addCallbacks(self._answered, self._refused, (call, watching), None, (call,))
+        call.addCallbacks(self._on_response, self._on_call_failed, (call, watching), None, (call,))
 
-    def _answered(self, response: Any, call: Deferred[Any], watching: bool) -> None:
+    def _on_response(self, response: Any, call: Deferred[Any], watching: bool) -> None:
         if call not in self._calls:  # given up, and answered in that very moment
-            lines = WatchLines(None)
-            response.deliverBody(lines)
-            lines.drop()
+            response_lines = WatchResponse(None)
+            response.deliverBody(response_lines)
+            response_lines.drop()
             return
         self._calls.remove(call)
         self._give_up_calls()
-        self._lines = lines = WatchLines(self) if watching else WholeList(self)
+        self._response = response_lines = WatchResponse(self) if watching else ListResponse(self)
         if response.code != 200:  # one failure, not a second one when its body ends
-            lines.reader = None
-            response.deliverBody(lines)
-            self.broken(f"status {response.code}")
+            response_lines.handler = None
+            response.deliverBody(response_lines)
+            self.on_failure(f"status {response.code}")
             return
         if watching:
-            self.alive()
+            self.on_heartbeat()
         elif self._pushed:  # where lists are asked for, its end is due as its answer is
-            self._wait(ANSWER)
-        response.deliverBody(lines)
+            self._expect_bytes(ANSWER_TIMEOUT)
+        response.deliverBody(response_lines)
 
-    def _refused(self, failure: Failure, call: Deferred[Any]) -> None:
+    def _on_call_failed(self, failure: Failure, call: Deferred[Any]) -> None:
         if call in self._calls:
             self._calls.remove(call)
             if not self._calls:
-                self.broken(failure.getErrorMessage())
-
-    def _wait(self, patience: timedelta) -> None:
-        """Octets are due within this."""
-        self._deadlines.cancel(self._patience)
-        self._patience = self._deadlines.after(patience, self.broken, "silent")
-
-    def alive(self) -> None:
-        """Octets have come. Silence counts from the last of them, be they half a line."""
-        self._wait(SILENT)
-
-    def line(self, line: bytes) -> None:
-        """An empty line says only that the watch is alive, and that nothing is news."""
-        if self._read(self._state.line, line) and not self._state.begun:
-            self._cancel_ending()
-            self._directory.hear(self._deadlines.clock.now())
-            self._heard()
-
-    def unfinished(self, goes_on: bool) -> None:
-        """A list that trickles in is one that does not come."""
-        if not goes_on and not self._state.begun:
-            self._cancel_ending()
-        elif self._ending is None:
-            self._ending = self._deadlines.after(LIST, self.broken, "a list that does not end")
-
-    def whole(self, text: bytes) -> None:
-        """The whole list has come, and what changes in it from now on is watched."""
-        if self._read(self._state.whole, text):
-            self._heard()
+                self.on_failure(failure.getErrorMessage())
+
+    def _expect_bytes(self, timeout: timedelta) -> None:
+        """Fail unless bytes come within the time-out."""
+        self._deadlines.cancel(self._timeout)
+        self._timeout = self._deadlines.after(timeout, self.on_failure, "silent")
+
+    def on_heartbeat(self) -> None:
+        """Note that bytes have come. Silence counts from the last of them, even of half a line."""
+        self._expect_bytes(SILENCE_TIMEOUT)
+
+    def on_line(self, line: bytes) -> None:
+        """Read a line of a watch. An empty one says that nothing has changed."""
+        if self._read(self._state.read_line, line) and not self._state.list_begun:
+            self._cancel_list_timeout()
+            self._directory.record_contact(self._deadlines.clock.now())
+            self._on_answer()
+
+    def on_truncated(self, is_truncated: bool) -> None:
+        """Limit the time of a list that trickles in."""
+        if not is_truncated and not self._state.list_begun:
+            self._cancel_list_timeout()
+        elif self._list_timeout is None:
+            why = "a list that does not end"
+            self._list_timeout = self._deadlines.after(LIST_TIMEOUT, self.on_failure, why)
+
+    def on_complete(self, text: bytes) -> None:
+        """Read a whole list, then watch its changes."""
+        if self._read(self._state.read_list, text):
+            self._on_answer()
             self._drop()
-            self.ask()
+            self.poll()
 
     def _read(self, read: Callable[[bytes], Members | None], text: bytes) -> bool:
         try:
             members = read(text)
         except WatchError as error:
-            self.broken(str(error))
+            self.on_failure(str(error))
             return False
         if members is not None:
             now = self._deadlines.clock.now()
             entries = self._directory.entries(members, now)
-            self._directory.hear(now)
-            self._engine.update_endpoints(kind(members), members.rev, entries)
+            self._directory.record_contact(now)
+            self._engine.update_endpoints(update_kind(members), members.rev, entries)
         return True
 
-    def _cancel_ending(self) -> None:
-        self._deadlines.cancel(self._ending)
-        self._ending = None
+    def _cancel_list_timeout(self) -> None:
+        self._deadlines.cancel(self._list_timeout)
+        self._list_timeout = None
 
-    def broken(self, why: str) -> None:
-        """The call or the watch has failed."""
+    def on_failure(self, why: str) -> None:
+        """Give up the call or the watch, and report its failure."""
         self._drop()
         if not self._stopped:
             if self._pushed:
                 self._state = WatchState()
-                self._deadlines.cancel(self._again)
-                self._again = self._deadlines.after(AGAIN, self.ask)
-            self._failed(why)
+                self._deadlines.cancel(self._retry)
+                self._retry = self._deadlines.after(AGENT_RETRY_DELAY, self.poll)
+            self._report_failure(why)
 
-    def _failed(self, why: str) -> None:
+    def _report_failure(self, why: str) -> None:
         log.warn("discovery: watch broken: {why}", why=why)
         self._engine.update_endpoints(ListUpdateKind.FAILED)
-        self._heard()
+        self._on_answer()
 
     def _drop(self) -> None:
-        self._deadlines.cancel(self._patience)
-        self._cancel_ending()
+        self._deadlines.cancel(self._timeout)
+        self._cancel_list_timeout()
         self._give_up_calls()
-        lines, self._lines = self._lines, None
-        if lines is not None:
-            lines.drop()
+        response_lines, self._response = self._response, None
+        if response_lines is not None:
+            response_lines.drop()
 
     def _give_up_calls(self) -> None:
         calls, self._calls = self._calls, []
@@ -205,6 +211,7 @@
             call.cancel()
 
     def stop(self) -> None:
+        """Close all calls, and poll no more."""
         self._stopped = True
-        self._deadlines.cancel(self._again)
+        self._deadlines.cancel(self._retry)
         self._drop()
--- a/puffindeck/net/discovery_responses.py
+++ b/puffindeck/net/discovery_responses.py
@@ -1,4 +1,4 @@
-"""Discovery's answers as they come in: the lines of a watch, or a whole list to its end."""
+"""Discovery's responses as they come in: the lines of a watch, or a whole list to its end."""
 
 from __future__ import annotations
 
@@ -10,88 +10,98 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-from puffindeck.service_discovery.watch import MOST
+from puffindeck.service_discovery.watch import MAX_BYTES
 
 
 @implementer(IAgentEndpointFactory)
-class Endpoints:
-    """Straight to an address: hosts here have no names to look up."""
+class AddressEndpoints:
+    """Connects straight to an address: hosts here have no names to look up."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
 
     def endpointForURI(self, uri: URI) -> Any:
+        """Return the endpoint of a URL whose host is an address (Twisted's hook)."""
         host = uri.host.decode()
         kind = endpoints.TCP6ClientEndpoint if ":" in host else endpoints.TCP4ClientEndpoint
         return kind(self._reactor, host, uri.port, timeout=2)
 
 
-class Reader(Protocol):
-    """Whoever reads the list."""
+class ResponseHandler(Protocol):
+    """Reads the list out of a response."""
 
-    def alive(self) -> None:
-        """Octets have come."""
+    def on_heartbeat(self) -> None:
+        """Note that bytes have come."""
 
-    def line(self, line: bytes) -> None: ...
+    def on_line(self, line: bytes) -> None:
+        """Read a whole line of a watch; an empty one is a heartbeat only."""
 
-    def whole(self, text: bytes) -> None: ...
+    def on_complete(self, text: bytes) -> None:
+        """Read a whole list."""
 
-    def unfinished(self, goes_on: bool) -> None:
-        """Does a line, or a list of many, still wait for its end?"""
+    def on_truncated(self, is_truncated: bool) -> None:
+        """Note whether the last line has not ended yet."""
 
-    def broken(self, why: str) -> None: ...
+    def on_failure(self, why: str) -> None:
+        """Note that the response is of no use."""
 
 
-class WatchLines(LineOnlyReceiver):
-    """The lines of a watch."""
+class WatchResponse(LineOnlyReceiver):
+    """The lines of a watch. Without a handler what comes is ignored."""
 
     delimiter = b"\n"
-    MAX_LENGTH = MOST
+    MAX_LENGTH = MAX_BYTES
     transport: Any = None
 
-    def __init__(self, reader: Reader | None) -> None:
-        self.reader = reader
+    def __init__(self, handler: ResponseHandler | None) -> None:
+        self.handler = handler
 
     def dataReceived(self, data: bytes) -> None:
-        if self.reader is not None:
-            self.reader.alive()
+        """Read a piece of the response (Twisted's hook)."""
+        if self.handler is not None:
+            self.handler.on_heartbeat()
         super().dataReceived(data)
-        if self.reader is not None:  # a line may have ended the reading
-            self.reader.unfinished(bool(self._buffer))
+        if self.handler is not None:  # a line may have ended the reading
+            self.handler.on_truncated(bool(self._buffer))
 
     def lineReceived(self, line: bytes) -> None:
-        if self.reader is not None:
-            self.reader.line(line)
+        """Pass on a whole line (Twisted's hook)."""
+        if self.handler is not None:
+            self.handler.on_line(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        if self.reader is not None:
-            self.reader.broken("a line over 4 MiB")
+        """Fail a watch whose line is too long (Twisted's hook)."""
+        if self.handler is not None:
+            self.handler.on_failure("a line over 4 MiB")
 
     def connectionLost(self, reason: Any = None) -> None:
-        if self.reader is not None:
-            self.reader.broken("it ended")
+        """Note the end of the response (Twisted's hook)."""
+        if self.handler is not None:
+            self.handler.on_failure("it ended")
 
     def drop(self) -> None:
-        """Close it; nothing more is heard of it."""
-        self.reader = None
+        """Close the connection; nothing more is passed on."""
+        self.handler = None
         if self.transport is not None:
             self.transport.loseConnection()
 
 
-class WholeList(WatchLines):
-    """The answer that has the whole list, read to its end. It is due as the answer is: octets buy no time."""
+class ListResponse(WatchResponse):
+    """A whole list, read to its end. It is due as the answer is: further bytes extend no time-out."""
 
-    def __init__(self, reader: Reader | None) -> None:
-        super().__init__(reader)
+    def __init__(self, handler: ResponseHandler | None) -> None:
+        super().__init__(handler)
         self._parts: list[bytes] = []
         self._size = 0
 
     def dataReceived(self, data: bytes) -> None:
+        """Keep a piece of the response (Twisted's hook)."""
         self._parts.append(data)
         self._size += len(data)
-        if self._size > self.MAX_LENGTH and self.reader is not None:
-            self.reader.broken("a list over 4 MiB")
+        if self._size > self.MAX_LENGTH and self.handler is not None:
+            self.handler.on_failure("a list over 4 MiB")
 
     def connectionLost(self, reason: Any = None) -> None:
-        if self.reader is not None:  # one cut short can't be read
-            self.reader.whole(b"".join(self._parts))
+        """Pass the list on at its end (Twisted's hook)."""
+        if self.handler is not None:  # one cut short can't be read
+            self.handler.on_complete(b"".join(self._parts))
--- a/puffindeck/net/listening.py
+++ b/puffindeck/net/listening.py
@@ -23,37 +23,39 @@
 
 log = Logger("puffindeck")
 
-ACCEPTS = 16  # connections taken in one turn of the reactor
-ROUNDS = 80  # of so many, when a port is to close: more than may wait there, and an end to them
-PAUSE_S = 0.01  # how soon it is tried again to accept, where the machine lacked what it takes
-TRIES, TRY_AGAIN_S = 20, 0.05  # how often, and how soon, a socket is tried again at a start
+ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the reactor
+CLOSE_ROUNDS = 80  # of so many accepts, when a port is to close: more than can wait there
+ACCEPT_RETRY_S = 0.01  # seconds until the next accept, after one that a local shortage failed
+LISTEN_ATTEMPTS = 20  # at a start
+LISTEN_RETRY_S = 0.05  # seconds between them
 
 
 class Port(tcp.Port):
-    """A listening port that takes in a few connections at a time, however many wait."""
+    """A listening port that accepts a few connections at a time, however many wait."""
 
     transport = ClientTransport
     factory: Any
-    blocked = False  # the last accept failed for want of something of this machine
+    blocked = False  # the last accept failed for a shortage of this machine
     on_blocked: Callable[[], None] = staticmethod(lambda: None)  # may free a descriptor
-    _spare: int | None = None  # a descriptor that is given up for one connection when there is no other
+    _reserved: int | None = None  # a descriptor that is given up for one connection when there is no other
 
     @property
     def numberAccepts(self) -> int:
-        return ACCEPTS
+        """How many connections a turn accepts (Twisted's attribute)."""
+        return ACCEPTS_PER_TURN
 
     @numberAccepts.setter
     def numberAccepts(self, count: int) -> None:
-        """The library would take in ever more."""
+        """Keep the bound: the library would accept ever more."""
 
     def startListening(self) -> None:
         """Open the socket, and keep a descriptor back for a connection that finds none."""
         super().startListening()
-        self._keep_spare()
+        self._reserve_descriptor()
 
     def doRead(self) -> None:
         """Accept what waits, up to a bound."""
-        for _ in range(ACCEPTS):
+        for _ in range(ACCEPTS_PER_TURN):
             try:
                 accepted, peer = self.socket.accept()
             except BlockingIOError:
@@ -61,15 +63,15 @@
             except OSError as error:
                 if error.errno in CONNECTION_GONE:
                     continue
-                if not self._freed(error):
+                if not self._release_reserved(error):
                     self._pause(error)
                     return
                 continue
-            self._welcome(accepted, peer)
+            self._take_in(accepted, peer)
         self.blocked = False
-        self._keep_spare()
+        self._reserve_descriptor()
 
-    def _welcome(self, accepted: socket.socket, peer: Any) -> None:
+    def _take_in(self, accepted: socket.socket, peer: Any) -> None:
         try:
             protocol = self.factory.buildProtocol(self._buildAddr(peer[:2]))
             number, self.sessionno = self.sessionno, self.sessionno + 1
@@ -79,19 +81,19 @@
             log.failure("a connection could not be taken in")
             accepted.close()
 
-    def _keep_spare(self) -> None:
-        if self._spare is None:
+    def _reserve_descriptor(self) -> None:
+        if self._reserved is None:
             try:
-                self._spare = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
+                self._reserved = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
             except OSError:
-                self._spare = None  # tried again with the next turn
+                self._reserved = None  # tried again with the next turn
 
-    def _freed(self, error: OSError) -> bool:
+    def _release_reserved(self, error: OSError) -> bool:
         """Give the spare descriptor up, so that one more connection can be accepted."""
-        if self._spare is None or error.errno not in NO_RESOURCE:
+        if self._reserved is None or error.errno not in NO_RESOURCE:
             return False
-        os.close(self._spare)
-        self._spare = None
+        os.close(self._reserved)
+        self._reserved = None
         return True
 
     def _pause(self, error: OSError) -> None:
@@ -101,16 +103,16 @@
         self.blocked = True
         self.on_blocked()
         self.stopReading()
-        self.reactor.callLater(PAUSE_S, self._resume)
+        self.reactor.callLater(ACCEPT_RETRY_S, self._resume)
 
     def _resume(self) -> None:
         if self.connected and not self.disconnecting:
             self.startReading()
 
     def accept_all(self) -> int:
-        """Accept all whose connections stand by now: a port that closes resets those. How many there were."""
+        """Accept all connections that stand: a closing port would reset them. Returns their number."""
         begun = self.sessionno
-        for _ in range(ROUNDS):
+        for _ in range(CLOSE_ROUNDS):
             before = self.sessionno
             if self.connected and not self.disconnecting:
                 self.doRead()
@@ -128,13 +130,13 @@
     def connectionLost(self, reason: Failure) -> None:
         """The socket is closed; so is the spare descriptor."""
         super().connectionLost(reason)
-        if self._spare is not None:
-            os.close(self._spare)
-            self._spare = None
+        if self._reserved is not None:
+            os.close(self._reserved)
+            self._reserved = None
 
 
 def adopt(reactor: Any, descriptor: int, factory: Any) -> Port:
-    """A socket that others hold too, as the reactor's adoptStreamPort does it, with our Port.
+    """Listen on a socket that others hold too, as the reactor's adoptStreamPort does, with our Port.
 
     It is never shut down, as that would end it for all of them, and from now on it does not block.
     """
@@ -152,14 +154,14 @@
     What the machine lacks for a moment is waited for, up to a second. Raises CannotListenError.
     """
     host, port = address
-    for left in reversed(range(TRIES)):
+    for left in reversed(range(LISTEN_ATTEMPTS)):
         opened = Port(port, factory, backlog, host, reactor)
         try:
             opened.startListening()
         except CannotListenError as error:
             if not left or errno_of(error.socketError) not in NO_RESOURCE:
                 raise
-            time.sleep(TRY_AGAIN_S)  # nothing else is served yet
+            time.sleep(LISTEN_RETRY_S)  # nothing else is served yet
         else:
             return opened
     raise AssertionError("unreachable")
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -25,7 +25,7 @@
 from puffindeck.net.decision_module import build_decision_module
 from puffindeck.net.detachment import Detachment
 from puffindeck.net.detachment_store import DetachmentStore
-from puffindeck.net.discovery import Watch
+from puffindeck.net.discovery import DiscoveryWatch
 from puffindeck.net.fleet_member import FleetMember
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule
 from puffindeck.net.hot_restart import HotRestart
@@ -140,9 +140,9 @@
         )
         self.admin_api = AdminApi(self.lifecycle, self.detachment, self.fleet_member, self.deadlines)
 
-    def _build_watch(self, version: int | None) -> Watch:
+    def _build_watch(self, version: int | None) -> DiscoveryWatch:
         assert self.config.discovery is not None
-        return Watch(
+        return DiscoveryWatch(
             self.reactor,
             self.config.discovery,
             self.deadlines,
@@ -234,7 +234,7 @@
 
     def _poll_discovery(self) -> None:
         if self.watch is not None:
-            self.watch.ask()
+            self.watch.poll()
 
     def _on_discovery_answer(self) -> None:
         """Become ready with discovery's first answer, be it that there is none."""
@@ -287,7 +287,7 @@
             if self.watch is not None:
                 self.watch.stop()
             self.watch = self._build_watch(None)
-            self.watch.ask()
+            self.watch.poll()
         elif config.discovery is None and config.known != previous.known:
             entries = self.directory.entries(config.known, self.deadlines.clock.now())
             self.engine.update_endpoints(ListUpdateKind.FULL, config.known.rev, entries)
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -13,22 +13,24 @@
 from puffindeck.interface import Outcome
 from puffindeck.net.logs import RateLimitedLog
 
-LINES = 100  # of one kind in a period of `RateLimitedLog`; more are counted, so that a storm costs no time
+MAX_LINES = (
+    100  # of one kind in a period of `RateLimitedLog`; more are counted, so that a storm costs no time
+)
 
 
 class RequestLog:
     """Writes what the engine reports, a bounded number of lines of each kind."""
 
-    def __init__(self, log: Logger, deadlines: TimerQueue, server_name: Callable[[int], str]) -> None:
-        self._server_name = server_name
+    def __init__(self, log: Logger, deadlines: TimerQueue, endpoint_name: Callable[[int], str]) -> None:
+        self._endpoint_name = endpoint_name
 
-        def few(what: str) -> RateLimitedLog:
-            return RateLimitedLog(log, deadlines, what, LINES, "info")
+        def limited(what: str) -> RateLimitedLog:
+            return RateLimitedLog(log, deadlines, what, MAX_LINES, "info")
 
-        self._attempts = few("requests: attempts")
-        self._ends = few("requests: ends of attempts")
-        self._answers = few("requests: answers")
-        self._closes = few("requests: closes")
+        self._attempts = limited("requests: attempts")
+        self._ends = limited("requests: ends of attempts")
+        self._answers = limited("requests: answers")
+        self._closes = limited("requests: closes")
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
         """An attempt is on its way; a number above 0 is a retry."""
@@ -36,7 +38,7 @@
             "request {id}: attempt {attempt} at {host}",
             id=request,
             attempt=attempt,
-            host=self._server_name(endpoint),
+            host=self._endpoint_name(endpoint),
         )
 
     def attempt_ended(
@@ -47,7 +49,7 @@
             "request {id}: attempt {attempt} at {host} ended: {outcome} after {took_ms} ms",
             id=request,
             attempt=attempt,
-            host=self._server_name(endpoint),
+            host=self._endpoint_name(endpoint),
             outcome=outcome.name.lower(),
             took_ms=round(to_ms(took)),
         )
--- a/puffindeck/net/transports.py
+++ b/puffindeck/net/transports.py
@@ -1,4 +1,4 @@
-"""Connections that are not ended by a moment's lack of memory or buffers."""
+"""Connections that a passing lack of memory or buffers does not end."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from puffindeck.core.local_resource_errors import TRANSIENT
 
 
-class _Steady:
+class _TransientErrors:
     """Reads and writes as the library does, but goes on after errors that pass."""
 
     socket: Any
@@ -32,20 +32,20 @@
             return 0 if error.errno in TRANSIENT else main.CONNECTION_LOST
 
 
-class ClientTransport(_Steady, tcp.Server):
+class ClientTransport(_TransientErrors, tcp.Server):
     """A connection that was accepted."""
 
 
-class ServerTransport(_Steady, tcp.Client):
-    """A connection to a server."""
+class UpstreamTransport(_TransientErrors, tcp.Client):
+    """A connection to a host."""
 
 
 class Connector(tcp.Connector):
-    """A connect with no time-out of the reactor's: its maker has one."""
+    """A connect without a time-out of the reactor's: its owner has one."""
 
     def __init__(self, reactor: Any, address: tuple[str, int], factory: Any) -> None:
         no_timeout: Any = None
         super().__init__(*address, factory, timeout=no_timeout, bindAddress=None, reactor=reactor)
 
-    def _makeTransport(self) -> ServerTransport:
-        return ServerTransport(self.host, self.port, self.bindAddress, self, self.reactor)
+    def _makeTransport(self) -> UpstreamTransport:
+        return UpstreamTransport(self.host, self.port, self.bindAddress, self, self.reactor)
--- a/puffindeck/net/wall_clock.py
+++ b/puffindeck/net/wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the machine's wall clock, for the log: nothing in a node may hang on that clock."""
+"""Steps of the machine's wall clock, for the log: nothing in a node may depend on that clock."""
 
 from __future__ import annotations
 
@@ -12,9 +12,8 @@
 
 log = Logger("puffindeck")
 
-STEP = milliseconds(
-    250
-)  # a smaller difference is the clock being trimmed, or this process held up between two reads
+# A smaller difference is the clock being trimmed, or this process held up between two reads.
+MIN_STEP = milliseconds(250)
 
 
 class WallClock:
@@ -31,5 +30,5 @@
         """Write a line if the wall clock has been stepped since the last check."""
         ahead = self._read()
         step, self._ahead = ahead - self._ahead, ahead
-        if abs(step) > STEP:
+        if abs(step) > MIN_STEP:
             log.warn("clock: the wall clock was stepped by {step_s} s", step_s=round(step.total_seconds(), 3))
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -72,7 +72,7 @@
         members = Members(self._version, True, list(targets))
         now = self.deadlines.clock.now()
         entries = self.directory.entries(members, now)
-        self.directory.hear(now)
+        self.directory.record_contact(now)
         self.engine.update_endpoints(ListUpdateKind.FULL, self._version, entries)
 
     def unlisted(self) -> None:
--- a/puffindeck/rpc/roster.py
+++ b/puffindeck/rpc/roster.py
@@ -15,7 +15,14 @@
 from puffindeck.core.engine import Engine
 from puffindeck.interface import ListUpdateKind
 from puffindeck.service_discovery.directory import Directory
-from puffindeck.service_discovery.watch import ANSWER, MOST, SILENT, WatchError, WatchState, kind
+from puffindeck.service_discovery.watch import (
+    ANSWER_TIMEOUT,
+    MAX_BYTES,
+    SILENCE_TIMEOUT,
+    WatchError,
+    WatchState,
+    update_kind,
+)
 
 log = Logger("puffindeck")
 
@@ -50,8 +57,8 @@
     async def _run(self) -> None:
         why = "it ended"
         try:
-            silent = SILENT.total_seconds()
-            timeout = httpx.Timeout(silent, connect=ANSWER.total_seconds())
+            silent = SILENCE_TIMEOUT.total_seconds()
+            timeout = httpx.Timeout(silent, connect=ANSWER_TIMEOUT.total_seconds())
             # plain HTTP by the protocol: no certificates to load, which takes longer than the call
             async with httpx.AsyncClient(timeout=timeout, trust_env=False, verify=False) as client:
                 if not self._state.watching:
@@ -68,36 +75,36 @@
             self._engine.update_endpoints(ListUpdateKind.FAILED)
 
     async def _whole(self, client: httpx.AsyncClient) -> None:
-        async with asyncio.timeout(ANSWER.total_seconds()):
+        async with asyncio.timeout(ANSWER_TIMEOUT.total_seconds()):
             async with client.stream("GET", self._base + self._state.target()) as answer:
                 self._check(answer)
                 parts, size = [], 0
                 async for part in answer.aiter_bytes():
                     parts.append(part)
                     size += len(part)
-                    if size > MOST:
+                    if size > MAX_BYTES:
                         break  # too long to be read: the state says so
-        self._take(self._state.whole(b"".join(parts)))
+        self._take(self._state.read_list(b"".join(parts)))
 
     async def _watch(self, client: httpx.AsyncClient) -> None:
         request = client.build_request("GET", self._base + self._state.target())
-        async with asyncio.timeout(ANSWER.total_seconds()):
+        async with asyncio.timeout(ANSWER_TIMEOUT.total_seconds()):
             answer = await client.send(request, stream=True)
         try:
             self._check(answer)
             rest = b""
             async for part in answer.aiter_bytes():
                 *lines, rest = (rest + part).split(b"\n")
-                if len(rest) > MOST:
-                    raise WatchError(f"a line over {MOST >> 20} MiB")
+                if len(rest) > MAX_BYTES:
+                    raise WatchError(f"a line over {MAX_BYTES >> 20} MiB")
                 for line in lines:
-                    self._take(self._state.line(line))
+                    self._take(self._state.read_line(line))
                     self._hear()
         finally:
             await answer.aclose()
 
     def _hear(self) -> None:
-        self._directory.hear(self._engine.clock.now())
+        self._directory.record_contact(self._engine.clock.now())
         self._alive()
 
     @staticmethod
@@ -108,7 +115,7 @@
     def _take(self, members: Members | None) -> None:
         if members is not None:
             entries = self._directory.entries(members, self._engine.clock.now())
-            self._engine.update_endpoints(kind(members), members.rev, entries)
+            self._engine.update_endpoints(update_kind(members), members.rev, entries)
             self._hear()
 
     async def stop(self) -> None:
--- a/puffindeck/service_discovery/__init__.py
+++ b/puffindeck/service_discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which servers there are: discovery's words, its names as numbers, and keys, whatever front asks."""
+"""Which endpoints there are: discovery's protocol, its names as numbers, and keys, for every front."""
--- a/puffindeck/service_discovery/directory.py
+++ b/puffindeck/service_discovery/directory.py
@@ -22,18 +22,18 @@
 
 
 class Directory:
-    """What the list said last of each host that it has named."""
+    """Each host that the list has named: its number, its address and its start."""
 
     def __init__(self, zones: Iterable[str], kinds: Iterable[str]) -> None:
         self.addresses: dict[int, tuple[str, int]] = {}
         self._names: dict[int, str] = {}
         self._starts = StartTimes()
-        self._heard_ms: float | None = None  # when discovery was last heard of; None: never
+        self._last_contact_ms: float | None = None  # when discovery last answered; None: never
         self._zones = {name: i for i, name in enumerate(zones)}
         self._kinds = {name: i for i, name in enumerate(kinds)}
 
     def number(self, uid: str) -> int:
-        """A host's number: from its name alone, so that nodes place hosts alike on the ring."""
+        """Return a host's number, made from its name alone: all nodes place hosts alike on the ring."""
         for turn in range(256):
             digest = blake2b(uid.encode(), digest_size=4, salt=turn.to_bytes(1, "little")).digest()
             endpoint = int.from_bytes(digest, "little")
@@ -42,25 +42,27 @@
         raise OverflowError("no number is left")  # pragma: no cover
 
     def zone(self, name: str) -> int:
+        """Return the number of a zone; a new name gets the next one."""
         return self._zones.setdefault(name, len(self._zones))
 
     def zone_name(self, zone: int) -> str:
-        """The name behind a zone's number; empty for none."""
+        """Return the name of a zone by its number; empty for none."""
         return next((name for name, number in self._zones.items() if number == zone), "")
 
-    def known(self, uid: str) -> bool:
+    def is_known(self, uid: str) -> bool:
         """Has the list ever named it?"""
         return self.number(uid) in self.addresses
 
     def name(self, endpoint: int) -> str:
+        """Return a host's name; its number as text if it has none."""
         return self._names.get(endpoint, str(endpoint))
 
-    def hear(self, now: timedelta) -> None:
-        """At this moment discovery has said that all its news is told."""
-        self._heard_ms = to_ms(now)
+    def record_contact(self, now: timedelta) -> None:
+        """Note that the list was up to date at this moment of the engine's clock."""
+        self._last_contact_ms = to_ms(now)
 
     def entries(self, members: Members, now: timedelta) -> list[EndpointEntry]:
-        """A piece of list news for the module. An entry that can't be used is left out, with a line."""
+        """Return a list's entries for the decision module. One that can't be used is left out and logged."""
         return [entry for target in members.targets if (entry := self._entry(target, to_ms(now))) is not None]
 
     def _entry(self, target: Target, now_ms: float) -> EndpointEntry | None:
@@ -81,5 +83,5 @@
             self._starts.forget((endpoint,))
             started_ms = target.boot_ms
         else:
-            started_ms = self._starts.started(endpoint, target.boot_ms, now_ms, self._heard_ms)
+            started_ms = self._starts.started(endpoint, target.boot_ms, now_ms, self._last_contact_ms)
         return EndpointEntry(endpoint, zone, kind, target.pod_group, state, target.capacity_hint, started_ms)
--- a/puffindeck/service_discovery/watch.py
+++ b/puffindeck/service_discovery/watch.py
@@ -1,8 +1,8 @@
 """Discovery's protocol without any I/O: what to ask next, what an answer says, how long to wait for one.
 
-A front brings the HTTP: it asks for `target()`, hands over what comes (`whole` for the whole list, `line` for
-each line of a watch), and tells the engine what the members returned say. Both fronts that speak to discovery
-(Twisted's in `net/discovery.py`, asyncio's in `rpc/roster.py`) read it here.
+A front brings the HTTP: it asks for `target()`, hands over what comes (`read_list` for a whole list,
+`read_line` for each line of a watch), and gives the engine the members returned. Twisted's front
+(`net/discovery.py`) and asyncio's both use it.
 """
 
 from __future__ import annotations
@@ -17,32 +17,30 @@
 # What changes counts as told 6 s after discovery had it and could be reached, whatever failed before. So a
 # call that was lost while it was down, the module's wait (at most a second) and the next answer fit in that,
 # and so do a watch that has fallen silent, a wait and an answer. A call may wait 2 s for its turn.
-ANSWER = milliseconds(2250)  # how long a call may go without an answer, headers and, of a list, all
-SILENT = milliseconds(3000)  # an empty line comes each 2 s
-LIST = milliseconds(3000)  # how long a list that has begun may take to end, however alive its watch is
-AT_ONCE = milliseconds(
-    300
-)  # an agent on the same machine waits for nobody: by now it is silent, and asked beside
-BESIDE = 4  # calls to a silent agent at once; the oldest is given up
-AGAIN = milliseconds(250)  # how soon such an agent, which costs nothing, is asked again
-MOST = 1 << 22  # octets of a line, or of the whole list
+ANSWER_TIMEOUT = milliseconds(2250)  # of a call: its headers, and all of it where it is a list
+SILENCE_TIMEOUT = milliseconds(3000)  # of a watch, which has an empty line each 2 s
+LIST_TIMEOUT = milliseconds(3000)  # of a list that has begun, however alive its watch is
+AGENT_ANSWER_TIMEOUT = milliseconds(300)  # of an agent on the same machine, which waits for nobody
+MAX_PARALLEL_CALLS = 4  # to a silent agent; the oldest is given up
+AGENT_RETRY_DELAY = milliseconds(250)  # short, as a call to an agent costs nothing
+MAX_BYTES = 1 << 22  # of a line, or of a whole list
 TRUNCATED = "Input data was truncated"  # as msgspec says that an object goes on
 DECODER = msgspec.json.Decoder(Members)
 
 
 class WatchError(ValueError):
-    """What discovery said can't be used. What it meant is lost, so the watch must begin anew."""
+    """An answer of discovery can't be used. A change may be lost with it, so the watch must begin anew."""
 
 
 class WatchState:
-    """How far the list is known, and so what is asked next."""
+    """The version of the list that is known, which says what is asked next."""
 
     def __init__(self, version: int | None = None) -> None:
         self.version = version  # None: nothing is known, the whole list comes first
         self._begun = b""  # the first lines of an indented list
 
     @property
-    def begun(self) -> bool:
+    def list_begun(self) -> bool:
         """Has a list begun that has not ended?"""
         return bool(self._begun)
 
@@ -52,12 +50,12 @@
         return self.version is not None
 
     def target(self) -> str:
-        """The path and query of the next call, with which reading begins anew."""
+        """Return the path and query of the next call, and begin reading anew."""
         self._begun = b""
         return PATH if self.version is None else f"{PATH}?watch=1&after={self.version}"
 
-    def line(self, line: bytes) -> Members | None:
-        """A watch's line; None if it only says that the watch is alive, or if an indented list goes on.
+    def read_line(self, line: bytes) -> Members | None:
+        """Read a line of a watch. None for a heartbeat, or while an indented list goes on.
 
         Raises WatchError.
         """
@@ -65,8 +63,8 @@
         if not line:
             return None
         text = self._begun + line
-        if len(text) > MOST:
-            raise WatchError(f"a list over {MOST >> 20} MiB")
+        if len(text) > MAX_BYTES:
+            raise WatchError(f"a list over {MAX_BYTES >> 20} MiB")
         if not line.endswith(b"}"):
             self._begun = text  # only a brace can end it
             return None
@@ -77,18 +75,18 @@
                 raise WatchError(f"a line that can't be read: {error}") from None
             self._begun = text
             return None
-        return self._know(members)
+        return self._accept(members)
 
-    def whole(self, text: bytes) -> Members:
-        """A list that has ended, whole or of what has changed. Raises WatchError, and knows what it knew."""
-        if len(text) > MOST:
-            raise WatchError(f"a list over {MOST >> 20} MiB")
+    def read_list(self, text: bytes) -> Members:
+        """Read a list that has ended, whole or of changes. Raises WatchError, and keeps the known version."""
+        if len(text) > MAX_BYTES:
+            raise WatchError(f"a list over {MAX_BYTES >> 20} MiB")
         try:
-            return self._know(DECODER.decode(text))
+            return self._accept(DECODER.decode(text))
         except msgspec.MsgspecError as error:
             raise WatchError(f"a list that can't be read: {error}") from None
 
-    def _know(self, members: Members) -> Members:
+    def _accept(self, members: Members) -> Members:
         self._begun = b""
         if not members.all and self.version is not None and members.rev < self.version:
             known, self.version = self.version, None
@@ -97,6 +95,6 @@
         return members
 
 
-def kind(members: Members) -> ListUpdateKind:
-    """What a piece of list news is to the decision module."""
+def update_kind(members: Members) -> ListUpdateKind:
+    """Return what kind of update this list is for the decision module."""
     return ListUpdateKind.FULL if members.all else ListUpdateKind.CHANGES
--- a/tests/net/test_change_notification.py
+++ b/tests/net/test_change_notification.py
@@ -16,7 +16,14 @@
 from puffindeck.interface import ListUpdateKind, WatchEndpoints
 from puffindeck.net import discovery
 from puffindeck.policy import balancer
-from puffindeck.service_discovery.watch import ANSWER, BESIDE, LIST, SILENT, WatchError, WatchState
+from puffindeck.service_discovery.watch import (
+    ANSWER_TIMEOUT,
+    LIST_TIMEOUT,
+    MAX_PARALLEL_CALLS,
+    SILENCE_TIMEOUT,
+    WatchError,
+    WatchState,
+)
 from tests.net.test_discovery import ListStory, chunk, listing
 from tests.support.gateway import SETTINGS, Gateway, listed
 from tests.support.node_story import Peer
@@ -33,10 +40,10 @@
         milliseconds(2000),
         milliseconds(2000),
     )  # a call may wait so long for its turn; an empty line comes so often
-    assert turn < ANSWER
-    assert TOLD - spare >= ANSWER + MOST_WAIT + ANSWER
-    assert beat + spare < SILENT
-    assert max(SILENT, LIST) + FIRST_WAIT + ANSWER <= TOLD - spare
+    assert turn < ANSWER_TIMEOUT
+    assert TOLD - spare >= ANSWER_TIMEOUT + MOST_WAIT + ANSWER_TIMEOUT
+    assert beat + spare < SILENCE_TIMEOUT
+    assert max(SILENCE_TIMEOUT, LIST_TIMEOUT) + FIRST_WAIT + ANSWER_TIMEOUT <= TOLD - spare
 
 
 @pytest.mark.parametrize("seed", range(20))
@@ -52,7 +59,10 @@
     """Lists that are asked for, at a tenth of the times."""
 
     def quick(self) -> None:
-        times = (discovery, ("ANSWER", "SILENT", "LIST")), (balancer, ("ASK_MS", "ASK_MOST_MS"))
+        times = (
+            (discovery, ("ANSWER_TIMEOUT", "SILENCE_TIMEOUT", "LIST_TIMEOUT")),
+            (balancer, ("ASK_MS", "ASK_MOST_MS")),
+        )
         for module, names in times:
             for name in names:
                 self.patch(module, name, getattr(module, name) / 10)
@@ -123,7 +133,7 @@
         assert self.node.watch is not None
         self.node.watch.stop()
         self.node.watch = self.node._build_watch(None)
-        self.node.watch.ask()
+        self.node.watch.poll()
 
     async def test_versions_that_count_anew_bring_the_whole_list(self) -> None:
         # a lower version was passed over by the module, drains with it
@@ -191,20 +201,20 @@
         await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
 
     async def test_a_silent_agent_is_asked_by_a_few_calls_at_once(self) -> None:
-        with patch.object(discovery, "AT_ONCE", milliseconds(20)):
+        with patch.object(discovery, "AGENT_ANSWER_TIMEOUT", milliseconds(20)):
             self.build(must_watch_endpoints=False)
-            calls = [await self.silent() for _ in range(3 * BESIDE)]
-            await calls[BESIDE].ended()
-        self.assertLessEqual(sum(call.end is None for call in self.discovery.peers), BESIDE + 1)
+            calls = [await self.silent() for _ in range(3 * MAX_PARALLEL_CALLS)]
+            await calls[MAX_PARALLEL_CALLS].ended()
+        self.assertLessEqual(sum(call.end is None for call in self.discovery.peers), MAX_PARALLEL_CALLS + 1)
 
 
 def test_a_change_of_a_lower_version_is_an_error_and_the_next_call_is_for_the_whole_list() -> None:
     state = WatchState(40)
-    assert state.line(listing(40, False)) is not None  # the same once more is none
+    assert state.read_line(listing(40, False)) is not None  # the same once more is none
     with pytest.raises(WatchError, match="counts anew"):
-        state.line(listing(3, False))
+        state.read_line(listing(3, False))
     assert not state.watching
     assert msgspec.json.decode(listing(3, True))["all"]
     state = WatchState(40)
-    assert state.line(listing(3, True)) is not None  # a whole list says all there is
+    assert state.read_line(listing(3, True)) is not None  # a whole list says all there is
     assert state.version == 3
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -10,7 +10,7 @@
 from puffindeck.net import silence_monitor
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import FINISHED, TRANSITIONS, ConnectionState
-from puffindeck.service_discovery.watch import ANSWER
+from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
 from tests.support.crossing_story import ASK, CrossingStory
 
 
@@ -139,10 +139,10 @@
         plain, line = await self.asking()
         # the time for an answer passes now: a short one may pass before the question on a busy machine
         assert self.node.watch is not None
-        patience = self.node.watch._patience
+        patience = self.node.watch._timeout
         assert patience is not None
         assert patience.act is not None
-        self.assertLessEqual(patience.when, self.node.deadlines.clock.now() + ANSWER)
+        self.assertLessEqual(patience.when, self.node.deadlines.clock.now() + ANSWER_TIMEOUT)
         patience.act(*patience.args)
         await self.until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.exactly(plain, 6), b"PONG\r\n")
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -67,7 +67,7 @@
     """Lists that are pushed to an agent on the node's machine: nobody asks the node to watch it."""
 
     async def test_the_agent_is_read_whole_from_the_start_and_anew_after_each_silence(self) -> None:
-        with patch.object(discovery, "SILENT", milliseconds(100)):
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
             self.build(must_watch_endpoints=False)
             ping = await self.client("PING")
             await self.whole(41, *self.all())
@@ -89,7 +89,7 @@
         self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
 
     async def test_silence_counts_from_the_last_octet(self) -> None:
-        with patch.object(discovery, "SILENT", milliseconds(150)):
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(150)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
@@ -111,7 +111,7 @@
         await self.until(lambda: self.lists()[-1] == (ListUpdateKind.CHANGES, 43), "the indented list")
 
     async def test_a_list_that_does_not_end_breaks_the_watch_though_it_is_alive(self) -> None:
-        with patch.object(discovery, "LIST", milliseconds(150)):
+        with patch.object(discovery, "LIST_TIMEOUT", milliseconds(150)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
@@ -128,7 +128,7 @@
         self.folder = Path(folder.name)
         self.held = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.addCleanup(self.held.close)
-        with patch.object(discovery, "SILENT", milliseconds(300)):
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(300)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             await self.followed(41)
@@ -177,9 +177,9 @@
     state, found = WatchState(0), []
     for version, (targets, indent, beat) in enumerate(lists):
         for line in listing(version, False, *targets, indent=indent).split(b"\n") + [b""] * beat:
-            if (members := state.line(line)) is not None:
+            if (members := state.read_line(line)) is not None:
                 found.append((members.rev, members.targets))
-        assert not state.begun
+        assert not state.list_begun
     assert found == [(i, targets) for i, (targets, _, _) in enumerate(lists)]
 
 
@@ -187,13 +187,13 @@
     for text in (b"{]}", b'{"rev": "x"}', b'{"rev": 1, "all": true, "targets": []}}'):
         state = WatchState(7)
         try:
-            state.line(text)
+            state.read_line(text)
         except WatchError:
             assert state.version == 7
         else:
             raise AssertionError(text)
     state = WatchState(7)
-    assert state.line(b'{"rev": 8,') is None
-    assert state.begun
+    assert state.read_line(b'{"rev": 8,') is None
+    assert state.list_begun
     assert "after=7" in state.target()
-    assert not state.begun  # a new call reads from its start
+    assert not state.list_begun  # a new call reads from its start
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -378,14 +378,14 @@
     async def test_a_turn_takes_in_few_and_their_lines_are_few(self) -> None:
         self.build()
         self.main_port.numberAccepts = 500  # as the library would set it
-        self.assertEqual(self.main_port.numberAccepts, listening.ACCEPTS)
+        self.assertEqual(self.main_port.numberAccepts, listening.ACCEPTS_PER_TURN)
         with (
             patch.object(self.node.client_services.rejected_lines, "_log") as written,
             patch.object(logs, "PERIOD", milliseconds(300)),
         ):
-            for _ in range(logs.LINES + 5):
+            for _ in range(logs.MAX_LINES + 5):
                 await (await self.client("HI")).line()
-            await self.until(lambda: written.warn.call_count > logs.LINES, "the count of the rest")
+            await self.until(lambda: written.warn.call_count > logs.MAX_LINES, "the count of the rest")
         self.assertEqual(written.warn.call_args.kwargs["more"], 5)
 
 
@@ -421,7 +421,7 @@
         self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_watch_that_breaks_or_falls_silent_or_talks_nonsense_is_asked_for_again(self) -> None:
-        with patch.object(discovery, "SILENT", milliseconds(100)):
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
             self.build()
             self.node.engine.balancer.random.seed(1)
             watch = await self.discovery.next()
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -88,9 +88,9 @@
 
     log: Any = Lines()
     requests = RequestLog(log, TimerQueue(Clock(), Timers()), str)
-    for number in range(request_log.LINES + 3):
+    for number in range(request_log.MAX_LINES + 3):
         requests.answered(str(number), Answer.REFUSED, Reason.DECISION)
-    assert len(written) == request_log.LINES
+    assert len(written) == request_log.MAX_LINES
     requests._answers._report()
     assert written[-1] == "requests: answers: 3 more like these"
 
@@ -111,5 +111,5 @@
             clock.check()
     finally:
         globalLogPublisher.removeObserver(observer)
-    assert wall_clock.STEP.total_seconds() > 0.1
+    assert wall_clock.MIN_STEP.total_seconds() > 0.1
     assert [text.rpartition("stepped by ")[2][:6] for text in seen] == ["-3600."]
--- a/tests/service_discovery/test_start_times.py
+++ b/tests/service_discovery/test_start_times.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from puffindeck.service_discovery.start_times import LATE_MS, StartTimes
+from puffindeck.service_discovery.start_times import MAX_NOTIFICATION_DELAY_MS, StartTimes
 
 NOW = 1_700_000_000_000.0
 HEARD = NOW - 1000.0
@@ -25,7 +25,7 @@
 def test_after_discovery_was_away_starts_may_be_as_old_as_that() -> None:
     starts = StartTimes()
     away_ms = 24_000.0
-    told = NOW - away_ms - LATE_MS / 2
+    told = NOW - away_ms - MAX_NOTIFICATION_DELAY_MS / 2
     assert starts.started(1, told, NOW, NOW - away_ms) == told
 
 
