--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -6,6 +6,7 @@
 from typing import Any
 
 from twisted.internet.error import ConnectionDone
+from twisted.internet.protocol import Factory
 
 from puffindeck.core.clock import ZERO
 from puffindeck.core.request_observer import Answer, Reason
@@ -185,3 +186,17 @@
             self.relay.send_move()
         elif self.state is ConnectionState.WAITING and not self.upstream.abandon_restore():
             self.engine.abort_request(self.request)
+
+
+class ClientFactory(Factory):
+    """Makes the protocol of each connection that a listener accepts."""
+
+    noisy = False
+
+    def __init__(self, services: ClientServices, listener: str = "listen") -> None:
+        self._services = services
+        self._listener = listener
+
+    def buildProtocol(self, addr: object) -> ClientProtocol:
+        """Make a connection's protocol (Twisted's hook)."""
+        return ClientProtocol(self._services, self._listener)
--- /dev/null
+++ b/puffindeck/net/config_reload.py
@@ -0,0 +1,60 @@
+"""Reads the configuration file anew under a running node."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from twisted.logger import Logger
+
+from puffindeck.config import ConfigError, ConfigUnreadable
+from puffindeck.config import Node as NodeConfig
+from puffindeck.core.clock import milliseconds
+from puffindeck.core.timer_queue import Deadline, TimerQueue
+from puffindeck.net.lifecycle import Lifecycle
+
+log = Logger("puffindeck")
+
+RETRY_DELAY = milliseconds(500)  # after a reload whose file the system could not read
+
+# Returns the new settings, and the keys that only a restart takes up. Raises ConfigError.
+ReadConfig = Callable[[NodeConfig], tuple[NodeConfig, list[str]]]
+
+
+class ConfigReload:
+    """A file that can't be used changes nothing; one that the system can't read now is read again.
+
+    `config` returns the settings in force, `apply` takes up new ones.
+    """
+
+    def __init__(
+        self,
+        deadlines: TimerQueue,
+        lifecycle: Lifecycle,
+        config: Callable[[], NodeConfig],
+        apply: Callable[[NodeConfig], None],
+    ) -> None:
+        self._deadlines = deadlines
+        self._lifecycle = lifecycle
+        self._config = config
+        self._apply = apply
+        self._retry: Deadline | None = None
+
+    def run(self, read: ReadConfig) -> None:
+        """Read the file and take up what has changed in it."""
+        self._deadlines.cancel(self._retry)
+        if self._lifecycle.has_ended:
+            return
+        try:
+            config, later = read(self._config())
+        except ConfigUnreadable as error:
+            self._retry = self._deadlines.after(RETRY_DELAY, self.run, read)
+            log.error("reload: tried again, the old settings stay in force till then: {error}", error=error)
+            return
+        except ConfigError as error:
+            log.error("reload: the old settings stay in force: {error}", error=error)
+            return
+        if later:
+            log.warn("reload: these take a restart: {keys}", keys=", ".join(later))
+        self._apply(config)
+        host, port = config.discovery or ("none", 0)
+        log.info("reload: done, discovery {host}:{port}", host=host, port=port)
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -2,25 +2,24 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from twisted.internet.protocol import Factory
 from twisted.logger import Logger
 
-from puffindeck.config import ConfigError, ConfigUnreadable, Quic
 from puffindeck.config import Node as NodeConfig
+from puffindeck.config import Quic
 from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.core.datagram_port import DatagramPort, listen_datagrams
 from puffindeck.core.engine import Engine
-from puffindeck.core.timer_queue import Deadline, TimerQueue
+from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ListUpdateKind, Settings
 from puffindeck.net.admin_api import MAX_CALLERS, AdminApi
 from puffindeck.net.admission import AdmissionControl
-from puffindeck.net.client import ClientProtocol
+from puffindeck.net.client import ClientFactory
 from puffindeck.net.client_listeners import ClientListeners
 from puffindeck.net.client_services import ClientServices
+from puffindeck.net.config_reload import ConfigReload, ReadConfig
 from puffindeck.net.connection_table import ConnectionTable
 from puffindeck.net.decision_module import build_decision_module
 from puffindeck.net.detachment import Detachment
@@ -45,24 +44,9 @@
 log = Logger("puffindeck")
 
 MAX_DATAGRAM = 65535  # bytes
-RELOAD_RETRY_DELAY = milliseconds(500)  # after a reload whose file the system could not read
 CLOSE_DELAY = milliseconds(300)  # for the last connections, between the end and the reactor's stop
 
 
-class ClientFactory(Factory):
-    """Makes the protocol of each connection that a listener accepts."""
-
-    noisy = False
-
-    def __init__(self, services: ClientServices, listener: str = "listen") -> None:
-        self._services = services
-        self._listener = listener
-
-    def buildProtocol(self, addr: object) -> ClientProtocol:
-        """Make a connection's protocol (Twisted's hook)."""
-        return ClientProtocol(self._services, self._listener)
-
-
 class Node:
     """The program's parts, joined. Each part owns its state."""
 
@@ -76,7 +60,6 @@
         self.admin_port: Port | None = None
         self.quic: QuicFront | None = None
         self.quic_port: DatagramPort | None = None
-        self._reload_retry: Deadline | None = None
         self._build_engine()
         self._build_client_side()
         self._build_operations()
@@ -138,6 +121,9 @@
             errors,
             self._hand_over,
         )
+        self._config_reload = ConfigReload(
+            self.deadlines, self.lifecycle, lambda: self.config, self._apply_config
+        )
         self.admin_api = AdminApi(self.lifecycle, self.detachment, self.fleet_member, self.deadlines)
 
     def _build_watch(self, version: int | None) -> DiscoveryWatch:
@@ -250,32 +236,12 @@
 
     # Reloads
 
-    def reload(self, read: Callable[[NodeConfig], tuple[NodeConfig, list[str]]]) -> None:
-        """Take up what has changed in the file. One that can't be used changes nothing.
+    def reload(self, read: ReadConfig) -> None:
+        """Take up what has changed in the file. One that can't be used changes nothing."""
+        self._config_reload.run(read)
 
-        `read` returns the new settings, and the keys that only a restart takes up; it raises ConfigError.
-        """
-        self.deadlines.cancel(self._reload_retry)
-        if self.lifecycle.has_ended:
-            return
-        try:
-            config, later = read(self.config)
-        except ConfigUnreadable as error:
-            self._reload_retry = self.deadlines.after(RELOAD_RETRY_DELAY, self.reload, read)
-            log.error("reload: tried again, the old settings stay in force till then: {error}", error=error)
-            return
-        except ConfigError as error:
-            log.error("reload: the old settings stay in force: {error}", error=error)
-            return
-        if later:
-            log.warn("reload: these take a restart: {keys}", keys=", ".join(later))
+    def _apply_config(self, config: NodeConfig) -> None:
         previous, self.config = self.config, config
-        self._apply_config(previous)
-        host, port = config.discovery or ("none", 0)
-        log.info("reload: done, discovery {host}:{port}", host=host, port=port)
-
-    def _apply_config(self, previous: NodeConfig) -> None:
-        config = self.config
         if bool(config.settings.evenness) != bool(previous.settings.evenness):
             log.warn("reload: settings.evenness is taken up or given up at a restart only")
         if config.settings != previous.settings:
