--- a/tests/net/test_operator_calls.py
+++ b/tests/net/test_admin_api.py
@@ -1,4 +1,4 @@
-"""Staff's calls on the second address, over loopback: hosts taken out and put back, and a lame duck."""
+"""Operators' calls on the second address, over loopback: hosts taken out and put back, and a lame duck."""
 
 from __future__ import annotations
 
@@ -15,11 +15,10 @@
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import admin_api, lifecycle
 from puffindeck.net.graceful_shutdown import DrainSchedule
-from tests.net.test_node import ASK
-from tests.support.node_story import Peer, Story
+from tests.support.node_story import ASK, Peer, Story
 
 
-class StaffStories(Story):
+class AdminApiStories(Story):
     """A node with a second address."""
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
--- /dev/null
+++ b/tests/net/test_client.py
@@ -0,0 +1,89 @@
+"""A client's first line over loopback: what is read of it, and what is answered at once."""
+
+from __future__ import annotations
+
+from functools import partial
+from typing import Any
+
+from puffindeck.interface import (
+    AttemptEnded,
+    Outcome,
+)
+from tests.support.node_story import ASK, Story
+
+
+class FirstLineStories(Story):
+    """Clients and their first lines."""
+
+    async def test_a_line_reads_the_same_wherever_it_is_cut(self) -> None:
+        self.build()
+        watch = await self.watched()
+        self.news(watch, 2, False)
+        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
+        for line, answer in ((b"PING\r\n", b"PONG"), (b"OPEN 1 2 c=none,d=5\r\n", b"ERR")):
+            for cut in range(1, len(line)):
+                client = await self.client()
+                client.write(line[:cut])
+                (stranger,) = self.node.admission.waiting
+                await self.until(partial(self.held, stranger, line[:cut]), "its first piece")
+                client.write(line[cut:])
+                self.assertEqual(await client.line(), answer)
+                client.transport.abortConnection()
+                await self.until(lambda: not self.node.connections.clients, "its end")
+
+    @staticmethod
+    def held(stranger: Any, piece: bytes) -> bool:
+        return bool(stranger._buffer == piece)
+
+    async def test_pong_comes_only_once_ready_and_not_while_stopping(self) -> None:
+        self.build()
+        client = await self.client("PING")
+        watch = await self.watched()
+        self.assertFalse(self.node.lifecycle.is_ready)
+        self.news(watch, 2, False)
+        self.assertEqual(await client.line(), b"PONG")
+        self.assertEqual(self.main_port.getHost().host, "127.0.0.1")
+
+    async def test_lines_that_cant_be_read_get_a_plain_failure(self) -> None:
+        self.build()
+        for line in (
+            "OPEN",
+            "OPEN 1 2 c=chat",
+            "OPEN 1 2 c=none,d=5",
+            "OPEN 1 2 c=chat,d=nan",
+            "x" * 5000,
+            "OPEN 1 2 c=chat,d=5,d=6",
+            "OPEN 1 2 c=chat,d=-5",
+            "OPEN 1 2 c=chat,d=1_0",
+            "OPEN 1 2 c=chat,d=1e3",
+            "OPEN  2 c=chat,d=5",
+            "OPEN 1 2 c=chat,d=5,\x01=2",
+            "HI",
+        ):
+            client = await self.client(line)
+            self.assertEqual(await client.line(), b"ERR")
+            await client.ended()
+        await self.served(ASK)
+
+    async def test_lines_sent_at_once_or_before_an_answer_reach_no_host(self) -> None:
+        self.build()
+        client = await self.client("\r\n".join([ASK] * 300))
+        self.assertEqual(await client.line(), b"ERR")
+        client = await self.client(ASK)
+        _, host = await self.host_of()
+        await host.line()
+        client.write(ASK.encode() + b"\r\n")
+        self.assertEqual(await client.line(), b"ERR")
+        self.assertEqual(await host.ended(), "ConnectionDone")
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual(len(self.node.engine.requests), 0)
+
+    async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
+        self.build()
+        first, _, host = await self.served(ASK.replace("9b1f03aa5c7e2d41", "77"))
+        second = await self.client(ASK.replace("9b1f03aa5c7e2d41", "77"))
+        self.assertEqual(await second.line(), b"ERR")
+        first.write(b"still here\r\n")
+        self.assertEqual(await host.line(), b"still here")
+        first.transport.abortConnection()
+        await self.until(lambda: not self.node.connections.open_ids, "its end")
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -6,12 +6,19 @@
 from unittest.mock import patch
 
 from puffindeck.core.clock import milliseconds
-from puffindeck.interface import AttemptEnded, Outcome
-from puffindeck.net import silence_monitor
+from puffindeck.interface import (
+    AttemptEnded,
+    Outcome,
+)
+from puffindeck.net import (
+    client_connection,
+    silence_monitor,
+)
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import FINISHED, TRANSITIONS, ConnectionState
 from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
 from tests.support.crossing_story import ASK, CrossingStory
+from tests.support.node_story import Story
 
 
 class CloseStories(CrossingStory):
@@ -181,3 +188,33 @@
     last = ConnectionState.GONE
     assert all(last in TRANSITIONS[state] for state in ConnectionState if state is not last)
     assert all(TRANSITIONS[phase] <= FINISHED for phase in FINISHED)
+
+
+class RudeStories(Story):
+    """Strangers that say nothing, or send what can't be read, at full speed."""
+
+    async def test_a_silent_or_dribbling_client_is_closed_soon(self) -> None:
+        # 30 s of patience let them take all descriptors: a day with them lost half of its usual requests
+        self.assertLess(client_connection.FIRST_LINE, milliseconds(3000))
+        self.build()
+        with patch.object(client_connection, "FIRST_LINE", milliseconds(50)):
+            silent = await self.client()
+            dribbling = await self.client()
+            dribbling.write(b"OPEN 9b1f")
+            self.assertEqual(await silent.ended(), "ConnectionDone")
+            self.assertEqual(await dribbling.line(), b"ERR")
+            self.assertEqual(await dribbling.ended(), "ConnectionDone")
+            waiting = await self.client("PING")  # the list is not there yet: it waits for that
+            watch = await self.watched()
+            self.news(watch, 2, False)
+            self.assertEqual(await waiting.line(), b"PONG")
+            self.assertEqual(await waiting.ended(), "ConnectionDone")
+
+    async def test_a_client_that_sends_on_and_on_still_reads_its_answer(self) -> None:
+        self.build()
+        for start in (b"x" * 5000, b"OPEN\r\n", b"OPEN 1 2 c=chat,d=many\r\n"):
+            client = await self.client()
+            client.write(start + b"y" * 3_000_000)
+            self.assertEqual(await client.line(), b"ERR")
+            await client.ended()
+        await self.until(lambda: not self.node.connections.clients, "all to go")
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -16,11 +16,18 @@
 from puffindeck.config import Node as Told
 from puffindeck.config import Target
 from puffindeck.core.clock import Clock, milliseconds
-from puffindeck.interface import EndpointListUpdated, ListUpdateKind
-from puffindeck.net import discovery
+from puffindeck.interface import (
+    AttemptEnded,
+    EndpointListUpdated,
+    ListUpdateKind,
+    Outcome,
+)
+from puffindeck.net import (
+    discovery,
+)
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
-from tests.support.node_story import Peer, Story, reactor
+from tests.support.node_story import ASK, Peer, Story, reactor
 
 WHOLE = b"GET /catalog/members HTTP/1.1"
 
@@ -197,3 +204,62 @@
     assert state.list_begun
     assert "after=7" in state.target()
     assert not state.list_begun  # a new call reads from its start
+
+
+class ListStories(Story):
+    """Discovery, well and ill."""
+
+    async def test_news_counts_at_once_and_a_drain_keeps_what_it_has(self) -> None:
+        self.build()
+        watch = await self.watched()
+        client, uid, host = await self.served(ASK)
+        self.news(watch, 2, False, self.target(uid, "DRAINING"))
+        await self.until(lambda: self.ends(EndpointListUpdated)[-1].version == 2, "the news")
+        for _ in range(4):
+            other = await self.client(ASK)
+            reached, peer = await self.host_of()
+            self.assertNotEqual(reached, uid)
+            peer.write(b"ERR\r\n")
+            other.transport.abortConnection()
+        client.write(b"still here\r\n")
+        self.assertEqual(await host.line(), b"still here")
+
+    async def test_nothing_reaches_a_host_half_a_second_after_its_drain_is_told(self) -> None:
+        # a connect may have been on its way all that time: it is asked again before the first byte
+        self.build(hosts=1, drain_grace_ms=0)
+        with patch.object(self.node.engine, "may_reach", side_effect=self.node.engine.may_reach) as asked:
+            drained = {self.node.directory.number("h0"): milliseconds(0)}
+            with patch.object(self.node.engine.reachability, "unavailable_since", drained):
+                await self.client(ASK)
+                _, host = await self.host_of()
+                await host.ended()
+                self.assertEqual(host.buffer, b"")
+            self.assertTrue(asked.called)
+        self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
+
+    async def test_a_watch_that_breaks_or_falls_silent_or_talks_nonsense_is_asked_for_again(self) -> None:
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
+            self.build()
+            self.node.engine.balancer.random.seed(1)
+            watch = await self.discovery.next()
+            watch.write(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
+            await self.until(
+                lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+            )
+            await watch.ended()
+            self.assertEqual(
+                [e.kind for e in self.ends(EndpointListUpdated)],
+                [ListUpdateKind.CACHED, ListUpdateKind.FAILED],
+            )
+            for ill in (b"", b"3\r\n{]\n\r\n"):
+                watch = await self.watched()
+                self.news(watch, 5, True, *(self.target(uid) for uid in self.hosts))
+                await self.until(
+                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
+                )
+                watch.write(ill)
+                await self.until(
+                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+                )
+            again = await self.discovery.next()
+            self.assertIn(b"after=5", await again.line())
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -3,19 +3,27 @@
 from __future__ import annotations
 
 import socket
+from dataclasses import replace
 from unittest.mock import patch
 
 import msgspec
 
 from puffindeck.config import Node as Told
-from puffindeck.core.clock import milliseconds
-from puffindeck.interface import Effect, Scope
-from puffindeck.net import lifecycle
+from puffindeck.core.clock import ZERO, milliseconds
+from puffindeck.interface import (
+    Effect,
+    Scope,
+)
+from puffindeck.net import (
+    lifecycle,
+    node,
+)
 from puffindeck.net import node as node_module
 from puffindeck.net.connection_state import ConnectionState
-from puffindeck.net.graceful_shutdown import DrainSchedule, GracefulShutdown
+from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
 from tests.support.crossing_story import ASK, CrossingStory
-from tests.support.node_story import Listener, reactor
+from tests.support.node_story import ASK as ROUTED_ASK
+from tests.support.node_story import SETTINGS, Listener, Story, reactor
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
@@ -265,3 +273,67 @@
             fresh.stop()
             await self.until(lambda: stop.called, "its end")
         self.assertIsNone(fresh.listeners.main)
+
+
+class MoveStories(Story):
+    """A node that moves its clients."""
+
+    async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
+        self.build()
+        client, _, host = await self.served(ROUTED_ASK)
+        host.write(b"half a ")
+        await self.until(lambda: client.buffer, "the half line")
+        slow = await self.client()
+        with (
+            patch.object(self.node, "reactor", wraps=reactor) as program,
+            patch.object(
+                node,
+                "RESTART",
+                DrainSchedule(milliseconds(200), milliseconds(400), milliseconds(100), milliseconds(3300)),
+            ),
+            patch.object(program, "stop") as stop,
+        ):
+            self.node.stop()
+            late, _, _ = await self.served(ROUTED_ASK)  # other nodes may be stopping too, or not be back yet
+            client.write(b"still here\r\n")
+            self.assertEqual(await host.line(), b"still here")
+            await self.until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
+            slow.write(ROUTED_ASK.encode() + b"\r\n")
+            self.assertRegex(await slow.line(), rb"^BUSY \d+$")
+            self.assertEqual(client.end, None)
+            self.assertEqual(await late.line(), b"MOVE")
+            host.write(b"line\r\nand more\r\n")
+            self.assertEqual([await client.line(), await client.line()], [b"half a line", b"MOVE"])
+            self.assertEqual(await host.ended(), "ConnectionDone")
+            await self.until(lambda: stop.called, "its end")
+
+
+def test_all_is_moved_before_the_kill_whatever_the_longest_deadline() -> None:
+    for pace in (RESTART, UPGRADE):
+        for longest in (100, 500, 1000, 2000, 3000, 60000):
+            kill = milliseconds(min(longest, 3000) + 700)
+            found = pace.before_kill(milliseconds(longest))
+            assert found.end <= kill - milliseconds(400)
+            assert ZERO < found.send_from + found.send_over < found.end
+            assert found.accept <= found.end
+        assert pace.before_kill(milliseconds(3000)) == pace
+
+
+class ShortDeadlineStories(Story):
+    """A node that is told to stop where requests have half a second."""
+
+    async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
+        chat = replace(SETTINGS.classes[0], deadline_ms=500)
+        self.build(classes=(chat,))
+        client, _, host = await self.served(ROUTED_ASK.replace("d=1100", "d=450"))
+        with (
+            patch.object(self.node, "reactor", wraps=reactor) as program,
+            patch.object(program, "stop") as stop,
+        ):
+            begun = self.node.deadlines.clock.now()
+            self.node.stop()
+            self.assertEqual(await client.line(), b"MOVE")
+            self.assertEqual(await host.ended(), "ConnectionDone")
+            client.transport.loseConnection()
+            await self.until(lambda: stop.called, "its end")
+            self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(500 + 700))
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -10,12 +10,10 @@
 from puffindeck.core.clock import Clock
 from puffindeck.core.request_observer import Answer, Reason
 from puffindeck.core.timer_queue import TimerQueue
-from puffindeck.net import request_log, wall_clock
+from puffindeck.net import request_log
 from puffindeck.net.logs import line
 from puffindeck.net.request_log import RequestLog
-from puffindeck.net.wall_clock import WallClock
-from tests.net.test_node import ASK
-from tests.support.node_story import Story
+from tests.support.node_story import ASK, Story
 
 
 class RequestLogStories(Story):
@@ -93,23 +91,3 @@
     assert len(written) == request_log.MAX_LINES
     requests._answers._report()
     assert written[-1] == "requests: answers: 3 more like these"
-
-
-def test_a_step_of_the_wall_clock_is_written_once_and_no_trimming_of_it() -> None:
-    seen: list[str] = []
-
-    def observe(event: Any) -> None:
-        seen.append(line(event) or "")
-
-    now = [1000.0]
-    observer: Any = observe
-    globalLogPublisher.addObserver(observer)
-    try:
-        clock = WallClock(lambda: now[0])
-        for ahead in (0.0, 0.1, -3600.0, -3600.0):
-            now[0] = 1000.0 + ahead
-            clock.check()
-    finally:
-        globalLogPublisher.removeObserver(observer)
-    assert wall_clock.MIN_STEP.total_seconds() > 0.1
-    assert [text.rpartition("stepped by ")[2][:6] for text in seen] == ["-3600."]
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -9,12 +9,22 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.core.requests import AttemptId
-from puffindeck.interface import AttemptEnded, ClientDisconnected, Effect, Outcome
-from puffindeck.net import upstream_protocol
+from puffindeck.interface import (
+    AttemptEnded,
+    ClientDisconnected,
+    ConnectionRestored,
+    Effect,
+    Outcome,
+)
+from puffindeck.net import (
+    upstream_protocol,
+)
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.upstream_connection import UpstreamConnection
 from puffindeck.net.upstream_protocol import UpstreamProtocol
 from tests.support.crossing_story import ASK, CHAT, CrossingStory
+from tests.support.node_story import ASK as ROUTED_ASK
+from tests.support.node_story import Story
 
 
 class LeaverStories(CrossingStory):
@@ -174,3 +184,25 @@
         self.assertTrue(client.left(b""))
         self.assertTrue(link.done)
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
+
+
+class RestoreStories(Story):
+    """Connections from before the run."""
+
+    async def test_a_connection_from_before_the_run_goes_to_its_host_with_any_time(self) -> None:
+        # the first day lost all of these: their d is 4294967
+        self.build()
+        client = await self.client(f"{ROUTED_ASK},at=h1".replace("d=1100", "d=4294967"))
+        host = await self.hosts["h1"].next()
+        await host.line()
+        host.transport.abortConnection()  # it is tried again: nobody else has it
+        host = await self.hosts["h1"].next()
+        await host.line()
+        host.write(b"UP r\r\n")
+        self.assertEqual(await client.line(), b"UP r")
+        self.assertEqual(
+            [e.endpoint for e in self.ends(ConnectionRestored)], [self.node.directory.number("h1")]
+        )
+        host.transport.abortConnection()
+        self.assertEqual(await client.ended(), "ConnectionLost")
+        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
--- a/tests/support/node_story.py
+++ b/tests/support/node_story.py
@@ -21,6 +21,7 @@
 from tests.support.gateway import SETTINGS as WORLD
 
 reactor: Any = default_reactor
+ASK = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
 SETTINGS: Settings = replace(
     WORLD,
     classes=(ClassSettings(300, 1200, message_latency_objective_ms=60, name="chat"),),
