--- a/puffindeck/core/__init__.py
+++ b/puffindeck/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes, whatever wire they come over."""
+"""Requests, attempts and outcomes, independent of the wire."""
--- a/puffindeck/core/datagram_port.py
+++ b/puffindeck/core/datagram_port.py
@@ -1,4 +1,4 @@
-"""A UDP socket that a moment's lack of memory or buffers does not close.
+"""A UDP socket that a passing lack of memory or buffers does not close.
 
 Twisted's own port (`twisted.internet.udp.Port`, 26.10) closes itself on any error of recvfrom(2) that is not
 ECONNREFUSED, EAGAIN or EINTR, and tells its protocol no more than that it has stopped.
@@ -15,10 +15,10 @@
 
 
 class DatagramPort(udp.Port):
-    """Reads on after errors that pass."""
+    """Goes on reading after errors that pass."""
 
     def doRead(self) -> None:
-        """Read what has come; an error that does not pass is raised, and closes the socket."""
+        """Read what has come (Twisted's hook). Raises OSError for an error that closes the socket."""
         try:
             super().doRead()
         except OSError as error:
--- a/puffindeck/core/generational_arena.py
+++ b/puffindeck/core/generational_arena.py
@@ -1,4 +1,4 @@
-"""Numbered slots: what is late for one that has been given away again finds nothing."""
+"""Numbered slots with generations: a late callback finds nothing in a slot that was reused."""
 
 from __future__ import annotations
 
@@ -6,50 +6,51 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-INDEX_BITS = 16  # slots at once; the rest of a number is its generation, so no number comes twice
+INDEX_BITS = 16  # of a number for the slot; the rest is its generation, so no number comes twice
 
 
 class GenerationalArena(Generic[T]):
-    """A table of things by number. A number is a slot's index and the slot's generation."""
+    """A table of items by number. A number is a slot's index and the slot's generation."""
 
     def __init__(self) -> None:
-        self._things: list[T | None] = []
+        self._items: list[T | None] = []
         self._generations: list[int] = []
         self._free: list[int] = []
 
     def __len__(self) -> int:
-        return len(self._things) - len(self._free)
+        return len(self._items) - len(self._free)
 
     def full(self) -> bool:
+        """Are all slots taken?"""
         return len(self) >= 1 << INDEX_BITS
 
-    def add(self, thing: T) -> int:
-        """Put it into a free slot; its number, which is never 0."""
+    def add(self, item: T) -> int:
+        """Put an item into a free slot. Returns its number, never 0. Raises OverflowError."""
         if self.full():
             raise OverflowError("all slots are taken")
         if self._free:
             index = self._free.pop()
-            self._things[index] = thing
+            self._items[index] = item
         else:
-            index = len(self._things)
-            self._things.append(thing)
+            index = len(self._items)
+            self._items.append(item)
             self._generations.append(1)
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, number: int) -> T | None:
-        """What has this number; None once it is gone, whoever has its slot now."""
+        """Return the item with this number; None once it is dropped, even if its slot is used again."""
         index = number & (1 << INDEX_BITS) - 1
-        if index >= len(self._things) or self._generations[index] != number >> INDEX_BITS:
+        if index >= len(self._items) or self._generations[index] != number >> INDEX_BITS:
             return None
-        return self._things[index]
+        return self._items[index]
 
     def drop(self, number: int) -> None:
-        """Free the slot; its number is spent."""
+        """Free the slot; its number is never used again."""
         if self.get(number) is not None:
             index = number & (1 << INDEX_BITS) - 1
-            self._things[index] = None
+            self._items[index] = None
             self._generations[index] += 1
             self._free.append(index)
 
     def __iter__(self) -> Iterator[T]:
-        return iter([thing for thing in self._things if thing is not None])
+        return iter([item for item in self._items if item is not None])
--- a/puffindeck/core/local_resource_errors.py
+++ b/puffindeck/core/local_resource_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that say nothing of the other side: this machine lacks something for a moment.
+"""Errors of system calls that say nothing of the other side: a passing shortage of this machine.
 
 From the Linux manual pages accept(2), socket(2), connect(2), recv(2) and send(2).
 """
@@ -44,7 +44,7 @@
 
 
 def errno_of(error: Any) -> int:
-    """The number in an error of a socket, as the system or Twisted raises it; 0 for none."""
+    """Return the errno of a socket's error, as the system or Twisted raises it; 0 for none."""
     number = getattr(error, "osError", None) or getattr(error, "errno", None)
     arguments: tuple[Any, ...] = getattr(error, "args", ())
     if number is None and arguments:
--- a/puffindeck/core/request_observer.py
+++ b/puffindeck/core/request_observer.py
@@ -1,4 +1,4 @@
-"""What the engine reports of each request's life, for logs. Whoever observes decides nothing."""
+"""What the engine reports of each request, for logs. An observer decides nothing."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 
 class RequestObserver(Protocol):
-    """Told of each step. `request` is the client's own id where its wire has one, else a number."""
+    """Notified of each step. `request` is the client's own id where its wire has one, else a number."""
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
         """An attempt is on its way to a server; the first of a request is number 0."""
@@ -52,18 +52,18 @@
 
 
 class Unobserved:
-    """An observer that keeps nothing."""
+    """An observer that ignores everything."""
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
-        """Nobody looks."""
+        """Ignore it."""
 
     def attempt_ended(
         self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
     ) -> None:
-        """Nobody looks."""
+        """Ignore it."""
 
     def answered(self, request: str, answer: Answer, why: Reason) -> None:
-        """Nobody looks."""
+        """Ignore it."""
 
     def closed(self, request: str, why: Reason) -> None:
-        """Nobody looks."""
+        """Ignore it."""
--- a/puffindeck/core/timer_queue.py
+++ b/puffindeck/core/timer_queue.py
@@ -13,23 +13,26 @@
 
 log = Logger("puffindeck")
 
+MIN_CANCELLED = 64  # before the heap is rebuilt without them
 LATE_WARNING_THRESHOLD = milliseconds(250)  # a timer that runs later than this is logged
 
 
 class Timer(Protocol):
     """The one timer, as the reactor hands it out."""
 
-    def cancel(self) -> None: ...
+    def cancel(self) -> None:
+        """Do not run it."""
 
 
 class Timers(Protocol):
     """The part of the reactor that hands out timers."""
 
-    def callLater(self, delay: float, callable: Callable[..., Any]) -> Any: ...
+    def callLater(self, delay: float, callable: Callable[..., Any]) -> Any:
+        """Call it after a delay in seconds (Twisted's IReactorTime)."""
 
 
 class Deadline:
-    """Something to be done at a time, unless it is taken back before."""
+    """A call to be made at a time of the clock, unless it is cancelled before."""
 
     __slots__ = ("act", "args", "when")
 
@@ -40,38 +43,43 @@
 
 
 class TimerQueue:
-    """A heap of deadlines. One taken back stays until its time, or until most of the heap is such."""
+    """A heap of deadlines. A cancelled one stays until its time, or until most of the heap is cancelled."""
 
     def __init__(self, clock: Clock, timers: Timers) -> None:
-        self.clock, self._timers = clock, timers
+        self.clock = clock
+        self._timers = timers
         self._heap: list[tuple[timedelta, int, Deadline]] = []
-        self._count = self._idle = 0
+        self._count = 0  # of deadlines so far, which orders those at the same time
+        self._cancelled = 0  # of those in the heap
         self._timer: Timer | None = None
         self._timer_at = ZERO
 
     def after(self, wait: timedelta, act: Callable[..., Any], *args: Any) -> Deadline:
+        """Call `act` after a wait."""
         return self.at(self.clock.now() + wait, act, *args)
 
     def at(self, when: timedelta, act: Callable[..., Any], *args: Any) -> Deadline:
+        """Call `act` at a time of the clock; of two at the same time the first requested comes first."""
         deadline = Deadline(when, act, args)
-        self._count += 1  # of two at one time the first asked for comes first
+        self._count += 1
         heappush(self._heap, (when, self._count, deadline))
         self._set()
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
+        """Do not make this call. None, or a call that has been made, changes nothing."""
         if deadline is not None and deadline.act is not None:
-            deadline.act, deadline.args = None, ()  # lets go of what it would have acted on
-            self._idle += 1
-            if self._idle > 64 and 2 * self._idle > len(self._heap):
+            deadline.act, deadline.args = None, ()  # releases what they refer to
+            self._cancelled += 1
+            if self._cancelled > MIN_CANCELLED and 2 * self._cancelled > len(self._heap):
                 self._heap = [item for item in self._heap if item[2].act is not None]
                 heapify(self._heap)
-                self._idle = 0
+                self._cancelled = 0
 
     def clear(self) -> None:
-        """Forget them all: nothing is left to be done."""
+        """Cancel all calls."""
         self._heap.clear()
-        self._idle = 0
+        self._cancelled = 0
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -89,9 +97,9 @@
         self._timer = self._timers.callLater(wait, self.run)
 
     def _stuck(self) -> bool:
-        """Is the timer that waits long overdue? One on a wall clock that was set back is.
+        """Is the pending timer long overdue? One on a wall clock that was set back is.
 
-        In a program of somebody else's the reactor may measure its timers on that clock.
+        In another program, as a library, the reactor may measure its timers on that clock.
         """
         return self.clock.now() - self._timer_at > LATE_WARNING_THRESHOLD
 
@@ -104,7 +112,7 @@
             )
 
     def run(self) -> None:
-        """Do all that is due. What one of them raises must not keep the others from their time."""
+        """Make all calls that are due. What one of them raises must not delay the others."""
         self._timer = None
         now = self.clock.now()
         self._log_late(now)
@@ -112,7 +120,7 @@
             deadline = heappop(self._heap)[2]
             act, deadline.act = deadline.act, None
             if act is None:
-                self._idle -= 1
+                self._cancelled -= 1
                 continue
             try:
                 act(*deadline.args)
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -46,8 +46,8 @@
 
     def wrap(self, balancer: Any) -> Decisions:
         """Return the decision module, behind the quotas and rules where there are any."""
-        told = self._config()
-        installed = told.installation
+        config = self._config()
+        installed = config.installation
         if installed is None:
             decisions: Decisions = balancer
             return decisions
@@ -56,7 +56,13 @@
 
         life = new_life(to_ms(self._deadlines.clock.now()))
         self.fleet = Fleet(
-            self._reactor, self._deadlines, told.name, installed.fleet, life, told.seed, self._usurped
+            self._reactor,
+            self._deadlines,
+            config.name,
+            installed.fleet,
+            life,
+            config.seed,
+            self._end_after_takeover,
         )
         if installed.quota is None and installed.residency is None:
             return balancer  # type: ignore[no-any-return]
@@ -66,8 +72,8 @@
     def _build_governor(self, balancer: Any, life: int) -> Any:
         from puffindeck_fleet import Governor
 
-        told = self._config()
-        installed = told.installation
+        config = self._config()
+        installed = config.installation
         rules = installed.residency
         quota = self._build_quota(life) if installed.quota is not None else None
         books = None
@@ -75,12 +81,12 @@
             from puffindeck.config.fleet import read_book
             from puffindeck_residency import Books, RegionalBalancer
 
-            books = Books(told.name, rules.book, read_book, installed.voters, rules.stale_ms, rules.refuses)
-            balancer = RegionalBalancer(told.settings, told.seed)
+            books = Books(config.name, rules.book, read_book, installed.voters, rules.stale_ms, rules.refuses)
+            balancer = RegionalBalancer(config.settings, config.seed)
             balancer.region_of = self._region_of(books)
         return Governor(
             balancer,
-            told.settings,
+            config.settings,
             quota,
             self._tenant,
             view=self._view,
@@ -93,16 +99,16 @@
         from puffindeck_quota import Quota
         from puffindeck_quota import Settings as QuotaSettings
 
-        told = self._config()
-        limits = told.installation.quota
+        config = self._config()
+        limits = config.installation.quota
         return Quota(
-            told.name,
+            config.name,
             life=life,
             voters=limits.voters,
             limits=limits.limits,
-            seed=told.seed,
+            seed=config.seed,
             settings=QuotaSettings(skew_ms=limits.skew_ms, epoch_ms=limits.epoch_ms),
-            region=told.installation.fleet.region,
+            region=config.installation.fleet.region,
         )
 
     def join(self, engine: Engine) -> None:
@@ -140,7 +146,7 @@
                 return str(name)
         return "default"
 
-    def _usurped(self, error: Exception) -> None:
+    def _end_after_takeover(self, error: Exception) -> None:
         """Another process has this instance's name: this one has to end."""
         if not self.failure:
             from puffindeck_errors import OperatorError, described
