--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -181,7 +181,7 @@
             return
         if not state.established:
             state.answered = True
-            self.observer.closed(state.id, Reason.CLIENT_LEFT)
+            self.observer.closed(state.id, Reason.CLIENT_DISCONNECTED)
             self.dispatch(ClientDisconnected(number))
         if state.attempt_active:
             self.attempts.cut(state, Outcome.CANCELLED)
@@ -245,7 +245,7 @@
     def _reject(self, action: Reject) -> None:
         state = self._take_unanswered(action.request)
         if state is not None:
-            self.observer.answered(state.id, Answer.REFUSED, Reason.DECISION)
+            self.observer.answered(state.id, Answer.REJECTED, Reason.DECISION)
             state.client.reject(milliseconds(action.retry_after_ms))
             self.requests.settle(state)
 
--- a/puffindeck/core/request_observer.py
+++ b/puffindeck/core/request_observer.py
@@ -13,7 +13,7 @@
     """A final answer to a request."""
 
     UP = "up"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
@@ -24,11 +24,11 @@
     DECISION = "decided"
     OVERDUE = "no answer by its deadline"
     STOPPING = "this node stops"
-    NO_ROOM = "no descriptors left"
-    CLIENT_LEFT = "the client left"
-    CLIENT_BROKE = "the client's connection broke"
+    NO_CAPACITY = "no descriptors left"
+    CLIENT_DISCONNECTED = "the client left"
+    CLIENT_CONNECTION_BROKE = "the client's connection broke"
     SERVER_ENDED = "the server ended it"
-    SERVER_BROKE = "the server's connection broke"
+    SERVER_CONNECTION_BROKE = "the server's connection broke"
     SERVER_SILENT = "the server is silent"
     MOVED = "moved"
 
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -98,7 +98,7 @@
             return
         why = self._reason_to_reject()
         if why is not None:
-            self.services.request_log.answered(request.id, Answer.REFUSED, why)
+            self.services.request_log.answered(request.id, Answer.REJECTED, why)
             self.reject(RETRY_AFTER)
         else:
             self.request = self.engine.request(self, request)
@@ -108,7 +108,7 @@
         if not self.services.lifecycle.is_accepting:
             return Reason.STOPPING
         if self.services.admission.is_out_of_descriptors() or self.engine.requests.full():
-            return Reason.NO_ROOM
+            return Reason.NO_CAPACITY
         return None
 
     def _connection_info(self) -> ConnectionInfo | None:
@@ -165,7 +165,7 @@
         self.release_id()
         is_clean = reason.check(ConnectionDone) is not None
         if before in SERVED:
-            self.log_close(Reason.CLIENT_LEFT if is_clean else Reason.CLIENT_BROKE)
+            self.log_close(Reason.CLIENT_DISCONNECTED if is_clean else Reason.CLIENT_CONNECTION_BROKE)
         link = self.relay.link
         if link is not None:
             if is_clean:
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 import msgspec
 from twisted.logger import Logger
@@ -16,6 +16,9 @@
 from puffindeck.interface import ConnectionInfo, RequestArrived
 from puffindeck.service_discovery.directory import Directory
 
+if TYPE_CHECKING:
+    from puffindeck_fleet import Fleet
+
 log = Logger("puffindeck")
 
 
@@ -39,7 +42,7 @@
         self._directory = directory
         self._config = config
         self._on_name_taken_over = on_name_taken_over
-        self.fleet: Any = None  # puffindeck_fleet.Fleet, for a member of one
+        self.fleet: Fleet | None = None  # for a member of one
         self.governor: Any = None  # puffindeck_fleet.Governor, where there are quotas or rules
         self.failure = ""  # why this process has to end with an error
         self._engine: Engine | None = None
--- a/puffindeck/net/relay.py
+++ b/puffindeck/net/relay.py
@@ -97,7 +97,7 @@
         client = self._client
         self.release_lines()
         if client.state in SERVED:
-            client.log_close(Reason.SERVER_ENDED if is_clean else Reason.SERVER_BROKE)
+            client.log_close(Reason.SERVER_ENDED if is_clean else Reason.SERVER_CONNECTION_BROKE)
         if client.state is ConnectionState.MOVING:
             self.send_move()
         elif is_clean:
--- a/tests/core/test_generational_arena.py
+++ b/tests/core/test_generational_arena.py
@@ -3,10 +3,7 @@
 from __future__ import annotations
 
 from puffindeck.core.requests import AttemptId
-from puffindeck.interface import (
-    AttemptEnded,
-    Outcome,
-)
+from puffindeck.interface import AttemptEnded, Outcome
 from tests.support.node_story import Story
 
 
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from puffindeck.config import Node as Told
+from puffindeck.config import Node as NodeConfig
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import admin_api, lifecycle
@@ -27,7 +27,7 @@
         self.folder = Path(folder.name)
         super().build(hosts, **settings)
 
-    def changed(self, told: Told) -> Told:
+    def changed(self, told: NodeConfig) -> NodeConfig:
         return msgspec.structs.replace(told, operator=("127.0.0.1", 0), folder=self.folder)
 
     async def close(self) -> None:
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -4,9 +4,7 @@
 
 from unittest.mock import patch
 
-from puffindeck.net import (
-    admission,
-)
+from puffindeck.net import admission
 from tests.support.node_story import ASK, Story
 
 
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -5,10 +5,7 @@
 from functools import partial
 from typing import Any
 
-from puffindeck.interface import (
-    AttemptEnded,
-    Outcome,
-)
+from puffindeck.interface import AttemptEnded, Outcome
 from tests.support.node_story import ASK, Story
 
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -6,16 +6,9 @@
 from unittest.mock import patch
 
 from puffindeck.core.clock import milliseconds
-from puffindeck.interface import (
-    AttemptEnded,
-    Outcome,
-)
-from puffindeck.net import (
-    client_connection,
-    silence_monitor,
-)
+from puffindeck.net import client_connection
 from puffindeck.net.client import ClientProtocol
-from puffindeck.net.connection_state import FINISHED, TRANSITIONS, ConnectionState
+from puffindeck.net.connection_state import ConnectionState
 from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
 from tests.support.crossing_story import ASK, CrossingStory
 from tests.support.node_story import Story
@@ -155,41 +148,6 @@
         self.assertEqual(await self.exactly(plain, 6), b"PONG\r\n")
 
 
-class SilenceStories(CrossingStory):
-    """A host that stops in the middle of its answer."""
-
-    async def test_half_an_answer_is_no_sign_of_life(self) -> None:
-        # the start of a line took the client's line for answered: it waited for two more lines of its own
-        with (
-            patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(150)),
-            patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
-        ):
-            self.build()
-            client, _, host = await self.served(ASK)
-            client.write(b"M 1\r\n")
-            await host.line()
-            host.write(b"M ")
-            self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.left(b"M "))  # no MOVE has its place in the middle of a line
-        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.RESET)
-        self.assertEqual(await host.ended(), "ConnectionDone")
-
-    def test_silence_ends_well_before_seven_seconds(self) -> None:
-        """The first line without an answer may come 2 s after a connection fell silent."""
-        found = milliseconds(2000) + silence_monitor.SILENCE_LIMIT + silence_monitor.SWEEP_INTERVAL
-        self.assertLessEqual(found, milliseconds(5500))
-        self.assertGreater(
-            silence_monitor.SILENCE_LIMIT, milliseconds(2500)
-        )  # one lost line is not yet silence
-
-
-def test_every_phase_has_its_ways_on_and_none_leads_back_from_the_end() -> None:
-    assert set(TRANSITIONS) == set(ConnectionState)
-    last = ConnectionState.GONE
-    assert all(last in TRANSITIONS[state] for state in ConnectionState if state is not last)
-    assert all(TRANSITIONS[phase] <= FINISHED for phase in FINISHED)
-
-
 class RudeStories(Story):
     """Strangers that say nothing, or send what can't be read, at full speed."""
 
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -17,15 +17,8 @@
 
 from puffindeck import config
 from puffindeck.core.clock import milliseconds
-from puffindeck.interface import (
-    Effect,
-    EndpointListUpdated,
-    ListUpdateKind,
-    SettingsChanged,
-)
-from puffindeck.net import (
-    served_classes,
-)
+from puffindeck.interface import Effect, EndpointListUpdated, ListUpdateKind, SettingsChanged
+from puffindeck.net import served_classes
 from tests.support.node_story import ASK, Listener, Story
 
 
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -13,18 +13,11 @@
 from hypothesis import strategies as st
 from twisted.internet.defer import maybeDeferred
 
-from puffindeck.config import Node as Told
+from puffindeck.config import Node as NodeConfig
 from puffindeck.config import Target
 from puffindeck.core.clock import Clock, milliseconds
-from puffindeck.interface import (
-    AttemptEnded,
-    EndpointListUpdated,
-    ListUpdateKind,
-    Outcome,
-)
-from puffindeck.net import (
-    discovery,
-)
+from puffindeck.interface import AttemptEnded, EndpointListUpdated, ListUpdateKind, Outcome
+from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
 from tests.support.node_story import ASK, Peer, Story, reactor
@@ -161,7 +154,7 @@
         second.hot_restart.registry.unregister()
         second.deadlines.clear()
 
-    def changed(self, told: Told) -> Told:
+    def changed(self, told: NodeConfig) -> NodeConfig:
         if hasattr(self, "held"):
             return msgspec.structs.replace(told, inherited=self.held.fileno(), folder=self.folder)
         return told
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -8,16 +8,10 @@
 
 import msgspec
 
-from puffindeck.config import Node as Told
+from puffindeck.config import Node as NodeConfig
 from puffindeck.core.clock import ZERO, milliseconds
-from puffindeck.interface import (
-    Effect,
-    Scope,
-)
-from puffindeck.net import (
-    lifecycle,
-    node,
-)
+from puffindeck.interface import Effect, Scope
+from puffindeck.net import lifecycle, node
 from puffindeck.net import node as node_module
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
@@ -238,7 +232,7 @@
         self.addCleanup(other.port.stopListening)
         name, port = other.address.split(":")
 
-        def read(now: Told) -> tuple[Told, list[str]]:
+        def read(now: NodeConfig) -> tuple[NodeConfig, list[str]]:
             self.node.stop()
             return msgspec.structs.replace(now, discovery=(name, int(port))), []
 
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import maybeDeferred
 
 from puffindeck import config
-from puffindeck.config import Node as Told
+from puffindeck.config import Node as NodeConfig
 from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.net import node
 from puffindeck.net.graceful_shutdown import DrainSchedule
@@ -38,7 +38,7 @@
         self.addCleanup(self.close_second)
         self.second.start()
 
-    def changed(self, told: Told) -> Told:
+    def changed(self, told: NodeConfig) -> NodeConfig:
         return msgspec.structs.replace(told, inherited=self.socket.fileno(), folder=self.folder)
 
     async def made_ready(self, started: Node) -> None:
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -5,10 +5,7 @@
 from unittest.mock import patch
 
 from puffindeck.core.clock import milliseconds
-from puffindeck.net import (
-    listening,
-    logs,
-)
+from puffindeck.net import listening, logs
 from tests.support.node_story import Story
 
 
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -4,11 +4,7 @@
 
 from functools import partial
 
-from puffindeck.interface import (
-    AttemptEnded,
-    LatencyReported,
-    Outcome,
-)
+from puffindeck.interface import AttemptEnded, LatencyReported, Outcome
 from tests.support.node_story import Story
 
 
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -87,7 +87,7 @@
     log: Any = Lines()
     requests = RequestLog(log, TimerQueue(Clock(), Timers()), str)
     for number in range(request_log.MAX_LINES + 3):
-        requests.answered(str(number), Answer.REFUSED, Reason.DECISION)
+        requests.answered(str(number), Answer.REJECTED, Reason.DECISION)
     assert len(written) == request_log.MAX_LINES
     requests._answers._report()
     assert written[-1] == "requests: answers: 3 more like these"
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -5,13 +5,10 @@
 from unittest.mock import patch
 
 from puffindeck.core.clock import milliseconds
-from puffindeck.interface import (
-    AttemptEnded,
-    Outcome,
-)
-from puffindeck.net import (
-    silence_monitor,
-)
+from puffindeck.interface import AttemptEnded, Outcome
+from puffindeck.net import silence_monitor
+from tests.support.crossing_story import ASK as SHORT_ASK
+from tests.support.crossing_story import CrossingStory
 from tests.support.node_story import ASK, Story
 
 
@@ -40,3 +37,30 @@
         client.write(b"ne\r\n")
         self.assertEqual(await host.line(), b"half a line")
         self.assertGreater(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
+
+
+class SilenceStories(CrossingStory):
+    """A host that stops in the middle of its answer."""
+
+    async def test_half_an_answer_is_no_sign_of_life(self) -> None:
+        # the start of a line took the client's line for answered: it waited for two more lines of its own
+        with (
+            patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(150)),
+            patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
+        ):
+            self.build()
+            client, _, host = await self.served(SHORT_ASK)
+            client.write(b"M 1\r\n")
+            await host.line()
+            host.write(b"M ")
+            self.assertEqual(await client.ended(), "ConnectionDone")
+        self.assertTrue(client.left(b"M "))  # no MOVE has its place in the middle of a line
+        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.RESET)
+        self.assertEqual(await host.ended(), "ConnectionDone")
+
+    def test_silence_ends_well_before_seven_seconds(self) -> None:
+        """The first line without an answer may come 2 s after a connection fell silent."""
+        found = milliseconds(2000) + silence_monitor.SILENCE_LIMIT + silence_monitor.SWEEP_INTERVAL
+        self.assertLessEqual(found, milliseconds(5500))
+        # one lost line is not yet silence
+        self.assertGreater(silence_monitor.SILENCE_LIMIT, milliseconds(2500))
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -9,16 +9,8 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.core.requests import AttemptId
-from puffindeck.interface import (
-    AttemptEnded,
-    ClientDisconnected,
-    ConnectionRestored,
-    Effect,
-    Outcome,
-)
-from puffindeck.net import (
-    upstream_protocol,
-)
+from puffindeck.interface import AttemptEnded, ClientDisconnected, ConnectionRestored, Effect, Outcome
+from puffindeck.net import upstream_protocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.upstream_connection import UpstreamConnection
 from puffindeck.net.upstream_protocol import UpstreamProtocol
--- a/tests/support/crossing_story.py
+++ b/tests/support/crossing_story.py
@@ -23,6 +23,7 @@
     """A node, and clients on plain sockets."""
 
     def raw(self) -> socket.socket:
+        """Connect a plain socket."""
         plain = socket.create_connection(("127.0.0.1", self.main_port.getHost().port))
         plain.settimeout(5)
         self.addCleanup(plain.close)
@@ -48,9 +49,11 @@
         return bytes(await deferToThread(read))
 
     def reached(self) -> bool:
+        """Has any host been connected to?"""
         return any(host.peers for host in self.hosts.values())
 
     async def resting(self) -> tuple[socket.socket, ClientProtocol]:
+        """Return a client that has its PONG, and the node's side of it."""
         watch = await self.watched()
         self.news(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
@@ -60,6 +63,7 @@
         return plain, line
 
     async def exactly(self, plain: socket.socket, count: int) -> bytes:
+        """Read so many bytes."""
         return bytes(await deferToThread(plain.recv, count, socket.MSG_WAITALL))
 
     async def hung(self, told: dict[str, Any] | None = None, **rules: Any) -> tuple[Peer, Peer]:
--- a/tests/support/node_story.py
+++ b/tests/support/node_story.py
@@ -56,15 +56,18 @@
         self.made: Callable[[Peer], None] = lambda peer: None
 
     def connectionMade(self) -> None:
+        """Hand over a new connection (Twisted's hook)."""
         self.made(self)
 
     def dataReceived(self, data: bytes) -> None:
+        """Keep what comes, and split it into lines (Twisted's hook)."""
         self.received += data
         *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self._lines.put(line)
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Keep what ended the connection (Twisted's hook)."""
         self.end = reason.type.__name__
         for waiting in self._ended:
             waiting.callback(self.end)
@@ -74,9 +77,11 @@
         return self.buffer == text
 
     def line(self) -> Deferred[bytes]:
+        """Wait for the next whole line."""
         return self._lines.get().addTimeout(5, reactor)
 
     def ended(self) -> Deferred[Any]:
+        """Wait for the end; the name of the error that ended the connection."""
         waiting = deferred("the connection did not end")
         if self.end is not None:
             waiting.callback(self.end)
@@ -85,6 +90,7 @@
         return waiting
 
     def write(self, data: bytes) -> None:
+        """Write bytes as they are."""
         self.transport.write(data)
 
 
@@ -100,15 +106,18 @@
         self.address = f"127.0.0.1:{self.port.getHost().port}"
 
     def buildProtocol(self, addr: object) -> Peer:
+        """Make an accepted connection's protocol (Twisted's hook)."""
         peer = Peer()
         peer.made = self.made
         return peer
 
     def made(self, peer: Peer) -> None:
+        """Queue an accepted connection."""
         self.peers.append(peer)
         self.accepted.put(peer)
 
     def next(self) -> Deferred[Peer]:
+        """Wait for the next accepted connection."""
         return self.accepted.get().addTimeout(5, reactor)
 
 
@@ -122,6 +131,7 @@
         self.up = deferred("no connection")
 
     def buildProtocol(self, addr: object) -> Peer:
+        """Make the connection's protocol (Twisted's hook)."""
         reactor.callLater(0, self.up.callback, self.peer)
         return self.peer
 
@@ -132,6 +142,7 @@
     asked = 0
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
+        """Start a node with hosts and discovery; `settings` replace the usual ones."""
         self.hosts = {f"h{i}": Listener() for i in range(hosts)}
         self.discovery = Listener()
         self.told: list[Event] = []
@@ -163,13 +174,15 @@
         return self.node.lifecycle.shutdown
 
     def changed(self, told: Node) -> Node:
-        """What a story has its node told otherwise."""
+        """Return the configuration that a story gives its node instead of the usual one."""
         return told
 
     def target(self, uid: str, state: str = "SERVING") -> Target:
+        """Return a host's entry in the list."""
         return Target(uid, state, self.hosts[uid].address, "a", "m")
 
     async def close(self) -> None:
+        """Close all that the story has opened."""
         if self.node.watch:
             self.node.watch.stop()
         peers = [p for listener in (*self.hosts.values(), self.discovery) for p in listener.peers]
@@ -186,7 +199,7 @@
         self.node.deadlines.clear()
 
     async def until(self, met: Callable[[], Any], what: str) -> None:
-        """Wait for something that no peer's line tells."""
+        """Wait until a condition holds that no peer's line shows."""
         for _ in range(500):
             if met():
                 return
@@ -196,6 +209,7 @@
         raise AssertionError(f"waited in vain for {what}")
 
     async def client(self, line: str = "", port: int = 0) -> Peer:
+        """Connect a client, and send its line if there is one."""
         dial = Dial()
         reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, dial)
         peer: Peer = await dial.up
@@ -232,9 +246,11 @@
         return watch
 
     def news(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
+        """Send a piece of the list over a watch."""
         rows = [{f: getattr(t, f) for f in t.__struct_fields__} for t in targets]
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
         watch.write(b"%x\r\n%s\r\n" % (len(body), body))
 
     def ends(self, kind: type[Any]) -> list[Any]:
+        """Return the events of one kind that the decision module was given."""
         return [event for event in self.told if isinstance(event, kind)]
