--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -32,8 +32,11 @@
 
     def connectionMade(self) -> None:
         """Note a new connection (Twisted's hook)."""
+        self.transport.setTcpNoDelay(True)
         self.services.connections.clients.add(self)
-        super().connectionMade()
+        self.services.wall_clock.check()  # also where no timer runs
+        self.set_timeout(FIRST_LINE)
+        self.services.admission.on_accepted(self)
 
     # The first line
 
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -56,13 +56,6 @@
         self.state = state
         return True
 
-    def connectionMade(self) -> None:
-        """Note a new connection (Twisted's hook)."""
-        self.transport.setTcpNoDelay(True)
-        self.services.wall_clock.check()  # also where no timer runs
-        self.set_timeout(FIRST_LINE)
-        self.services.admission.on_accepted(self)
-
     def set_timeout(self, duration: timedelta) -> None:
         """Let it stay in this state for no longer than that."""
         self.cancel_timeout()
