--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import Event
 from puffindeck_errors import OperatorError
@@ -23,7 +23,7 @@
 from puffindeck_quota import Tick as QuotaTick
 from puffindeck_residency import LiveMembersUpdated, Ruleset
 
-TICK_INTERVAL = span(50)  # between two ticks of quotas and rules
+TICK_INTERVAL = milliseconds(50)  # between two ticks of quotas and rules
 QUOTA_CHANNEL = "quota"
 RESIDENCY_CHANNEL = "residency"
 RANDOM_BITS = 20  # of a process incarnation, below its milliseconds
@@ -37,7 +37,7 @@
 class EventSink(Protocol):
     """The part of the node's engine that takes events for the decision module."""
 
-    def tell(self, event: Event) -> None:
+    def dispatch(self, event: Event) -> None:
         """Handle an event."""
 
 
@@ -110,7 +110,7 @@
     # Quotas and rules
 
     def _now_ms(self) -> float:
-        return ms(self._timers.clock.now())
+        return to_ms(self._timers.clock.now())
 
     def _tick(self) -> None:
         if self._request_filter is None:
@@ -129,7 +129,7 @@
     def _flush(self) -> None:
         """Have the request filter hand out the actions that have come up between two events."""
         if self._engine is not None:
-            self._engine.tell(FLUSH)
+            self._engine.dispatch(FLUSH)
 
     def _on_payload(self, payload: PayloadReceived) -> None:
         message = MessageReceived(payload.sender, payload.data)
--- a/packages/fleet/src/puffindeck_fleet/incarnation_store.py
+++ b/packages/fleet/src/puffindeck_fleet/incarnation_store.py
@@ -6,7 +6,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck_errors import describe
 from puffindeck_fleet.errors import FleetError
@@ -14,7 +14,7 @@
 
 log = Logger("puffindeck")
 
-RETRY_INTERVAL = span(1000)  # between two attempts to write to a folder that fails
+RETRY_INTERVAL = milliseconds(1000)  # between two attempts to write to a folder that fails
 
 
 class IncarnationStore:
--- a/packages/fleet/src/puffindeck_fleet/membership_driver.py
+++ b/packages/fleet/src/puffindeck_fleet/membership_driver.py
@@ -8,7 +8,7 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck_errors import OperatorError, describe
 from puffindeck_fleet.config import FleetConfig, MemberIdentity
@@ -127,7 +127,7 @@
         return dict(self._dropped + self.membership.dropped)
 
     def _now_ms(self) -> float:
-        return ms(self._timers.clock.now())
+        return to_ms(self._timers.clock.now())
 
     # Events
 
@@ -179,7 +179,7 @@
 
     def _schedule_wakeup(self, at_ms: float) -> None:
         self._timers.cancel(self._wakeup)
-        delay = span(max(0.0, at_ms - self._now_ms()))
+        delay = milliseconds(max(0.0, at_ms - self._now_ms()))
         self._wakeup = self._timers.after(delay, self.handle, TimerFired())
 
     @staticmethod
--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -15,13 +15,13 @@
 from twisted.logger import FileLogObserver, globalLogBeginner
 
 from puffindeck import config
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.core.reactor_clock import use_monotonic_clock
 from puffindeck.net.logs import json_line, line
 from puffindeck.net.node import Node
 
 reactor: Any = default_reactor
-START_DELAY = span(5)  # milliseconds
+START_DELAY = milliseconds(5)  # milliseconds
 EXIT_FAILURE = 2
 
 
@@ -65,13 +65,13 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             _on_signal(number, self._node.stop)
         reactor.run(installSignalHandlers=False)
-        return EXIT_FAILURE if self._start_failed or self._node.failed else 0
+        return EXIT_FAILURE if self._start_failed or self._node.failure else 0
 
     def _reload(self) -> None:
         self._node.reload(lambda now: config.reload_node_config(now, os.environ, self._config_file))
 
     def _start(self) -> None:
-        if self._node.leaving is not None:  # a signal has stopped it before its start
+        if self._node.lifecycle.shutdown is not None:  # a signal has stopped it before its start
             return
         try:
             self._node.start()
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -1,29 +1,28 @@
-"""The life of requests and their attempts: events to the decision module, its actions carried out.
+"""The life of requests: events to the decision module, its actions carried out.
 
 The engine knows no wire. A front brings clients and opens links; the engine holds the module and the front to
 what every wire needs: one final answer for each request, one attempt out at a time, no more attempts than
-allowed, time-outs cut to the client's deadline, and one end told for each attempt.
+allowed, time-outs cut to the client's deadline, and one reported end for each attempt.
 """
 
 from __future__ import annotations
 
-from collections import deque
 from collections.abc import Callable, Iterable
 from dataclasses import replace
-from typing import Any, Protocol
+from typing import Any
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ms, span
-from puffindeck.core.generational_arena import GenerationalArena
+from puffindeck.core.attempts import Attempts
+from puffindeck.core.class_numbering import renumber_classes
+from puffindeck.core.clock import milliseconds, to_ms
+from puffindeck.core.dispatcher import Decisions, Dispatcher
 from puffindeck.core.reachability import Reachability
 from puffindeck.core.request_observer import Answer, Reason, RequestObserver, Unobserved
-from puffindeck.core.requests import AttemptId, Client, Held, Link, Request
+from puffindeck.core.request_table import RequestTable
+from puffindeck.core.requests import AttemptId, Client, Request, RequestState, UpstreamLink
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import (
-    Action,
-    AttemptEnded,
-    AttemptEstablished,
     Cancel,
     ClientDisconnected,
     ConnectionRestored,
@@ -52,134 +51,103 @@
 
 log = Logger("puffindeck")
 
-LATE = span(15)  # how long after its deadline a request that the module has not answered is failed
-
-
-class Decisions(Protocol):
-    """The decision module, or one for each pool."""
-
-    def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]: ...
-
-    def ceilings(self) -> dict[int, float]: ...
+DEADLINE_GRACE = milliseconds(15)  # after its deadline, a request that the module has not answered is failed
 
 
 class Engine:
-    """One gateway: its decision module and the requests it has taken."""
+    """One gateway: its decision module and the requests it has taken.
+
+    `watch_endpoints` is called when the module asks for the list of endpoints.
+    """
 
     def __init__(
         self,
         balancer: Decisions,
         settings: Settings,
         deadlines: TimerQueue,
-        follow: Callable[[], None],
+        watch_endpoints: Callable[[], None],
         observer: RequestObserver | None = None,
     ) -> None:
         self.balancer: Any = balancer
         self.observer: RequestObserver = observer or Unobserved()
-        self.settings, self.deadlines, self.follow = settings, deadlines, follow
+        self.settings = settings
+        self.deadlines = deadlines
         self.clock = deadlines.clock
-        self.held: GenerationalArena[Held] = GenerationalArena()
-        self._events: deque[Event] = deque()
-        self._busy = False
+        self.requests = RequestTable(deadlines)
         self.reachability = Reachability(self.clock, settings)
-        self._do: dict[type[Any], Callable[[Any], None]] = {
+        self.attempts = Attempts(self.requests, deadlines, self.observer, self.dispatch)
+        handlers: dict[type[Any], Callable[[Any], None]] = {
             Send: self._send,
-            Reject: self._refuse,
+            Reject: self._reject,
             Fail: self._fail,
             Cancel: self._cancel,
-            Migrate: self._move,
-            ScheduleTimer: self._wake,
-            WatchEndpoints: lambda action: self.follow(),
+            Migrate: self._migrate,
+            ScheduleTimer: self._schedule_timer,
+            WatchEndpoints: lambda action: watch_endpoints(),
             Log: self._log,
         }
+        self._dispatcher = Dispatcher(balancer, self.clock, handlers)
 
-    # Events in, actions out
+    def dispatch(self, *events: Event) -> None:
+        """Hand events to the module, and carry out its actions."""
+        self._dispatcher.dispatch(*events)
 
-    def tell(self, *events: Event) -> None:
-        """Hand events to the module and do what it says. What that brings about at once comes after."""
-        self._events.extend(events)
-        if self._busy:
-            return
-        self._busy = True
-        try:
-            while self._events:
-                batch = list(self._events)
-                self._events.clear()
-                for action in self._decide(batch):
-                    self._do[type(action)](action)
-        finally:
-            self._busy = False
-
-    def _decide(self, batch: Iterable[Event]) -> list[Action]:
-        try:
-            actions: list[Action] = self.balancer.handle(ms(self.clock.now()), batch)
-            return actions
-        except Exception:  # each request's guard still answers it in time
-            log.failure("decision failed")
-            return []
-
-    # From the front: the list
-
-    def listed(self, kind: ListUpdateKind, version: int = 0, entries: Iterable[EndpointEntry] = ()) -> None:
-        """News of the server list, or that it can't be had."""
+    # From the front: the list of endpoints
+
+    def update_endpoints(
+        self, kind: ListUpdateKind, version: int = 0, entries: Iterable[EndpointEntry] = ()
+    ) -> None:
+        """Take a piece of the endpoint list, or its failure."""
         entries = list(entries)
-        self.reachability.listed(kind, entries)
-        self.tell(EndpointListUpdated(kind, version, entries))
+        self.reachability.update_endpoints(kind, entries)
+        self.dispatch(EndpointListUpdated(kind, version, entries))
 
-    def known(self, endpoint: int) -> bool:
-        """Does the list have it, be it that it drains?"""
-        return self.reachability.known(endpoint)
+    def is_listed(self, endpoint: int) -> bool:
+        """Does the list have it, draining or not?"""
+        return self.reachability.is_listed(endpoint)
 
     def may_reach(self, endpoint: int) -> bool:
-        """Rule 3 again, right before an attempt's first byte: its connect may have taken its time."""
+        """May something new begin there? Asked again right before an attempt's first byte."""
         return self.reachability.may_reach(endpoint)
 
-    # From the front: what staff say
+    # From the front: operators' calls and settings
 
     def detach(self, endpoint: int) -> None:
-        """Nothing new to this server until it is attached, whatever the list says."""
+        """Send nothing new to this endpoint until it is attached, whatever the list says."""
         self.reachability.detach(endpoint)
-        self.tell(EndpointDetached(endpoint))
+        self.dispatch(EndpointDetached(endpoint))
 
     def attach(self, endpoint: int) -> None:
+        """Use a detached endpoint again."""
         self.reachability.attach(endpoint)
-        self.tell(EndpointAttached(endpoint))
+        self.dispatch(EndpointAttached(endpoint))
 
-    def retune(self, new: Settings, kept: Iterable[int] = ()) -> None:
-        """Other settings from now on; what is open keeps the rules that it began with.
+    def apply_settings(self, new: Settings, kept: Iterable[int] = ()) -> None:
+        """Use other settings from now on; what is open keeps the rules that it began with.
 
-        A class keeps its number while it is named, while something open has it, or a front (`kept`).
+        `kept`: numbers of classes that a front still uses.
         """
-        used, places = {*kept, *(held.cls for held in self.held)}, list(self.settings.classes)
-        numbers = {c.name: i for i, c in enumerate(places)}
-        named = {c.name for c in new.classes}
-        free = [i for i, c in enumerate(places) if c.name not in named and i not in used]
-        for c in new.classes:
-            if c.name in numbers:
-                places[numbers[c.name]] = c
-            elif free:
-                places[free.pop(0)] = c
-            else:
-                places.append(c)
-        self.settings = replace(new, classes=tuple(places))
-        self.reachability.retune(new)
-        self.tell(SettingsChanged(self.settings))
+        used = {*kept, *(state.cls for state in self.requests)}
+        classes = renumber_classes(self.settings.classes, new.classes, used)
+        self.settings = replace(new, classes=classes)
+        self.reachability.apply_settings(new)
+        self.dispatch(SettingsChanged(self.settings))
 
     # From the front: requests
 
     def request(self, client: Client, asked: Request) -> int:
-        """Take a request; its number. The client is answered once, before its time is up."""
+        """Take a request; returns its number. The client is answered once, before its time is up."""
         deadline = self.clock.now() + asked.left
-        held = Held(client, asked.cls, deadline, self.settings.max_attempts, asked.id)
-        held.number = number = self._hold(held)
-        held.guard = self.deadlines.at(deadline + LATE, self._overdue, number)
-        self.tell(
+        state = RequestState(client, asked.cls, deadline, self.settings.max_attempts, asked.id)
+        number = self.requests.take(state)
+        state.deadline_guard = self.deadlines.at(deadline + DEADLINE_GRACE, self._fail_overdue, number)
+        self.dispatch(
             RequestArrived(
                 number,
                 asked.cls,
                 0,
                 asked.key,
-                ms(asked.left),
+                to_ms(asked.left),
                 asked.hint,
                 asked.group,
                 returning=asked.returning,
@@ -188,216 +156,145 @@
         )
         return number
 
-    def _hold(self, held: Held) -> int:
-        """Put it into a slot; its number."""
-        number = self.held.add(held)
-        held.id = held.id or str(number)
-        return number
-
-    def opened(self, client: Client, asked: Request, endpoint: int) -> AttemptId:
+    def restore_connection(self, client: Client, asked: Request, endpoint: int) -> AttemptId:
         """Take a connection that was open before the start. Its link is the front's to set up."""
-        held = Held(client, asked.cls, self.clock.now(), 1, asked.id)
-        held.number = number = self._hold(held)
-        held.attempts, held.out, held.begun, held.answered, held.endpoint = 1, True, True, True, endpoint
-        self.tell(ConnectionRestored(number, endpoint, asked.cls, 0, asked.hint, asked.group, asked.key))
+        state = RequestState(client, asked.cls, self.clock.now(), 1, asked.id)
+        number = self.requests.take(state)
+        state.attempts = 1
+        state.attempt_active = True
+        state.established = True
+        state.answered = True
+        state.endpoint = endpoint
+        self.dispatch(ConnectionRestored(number, endpoint, asked.cls, 0, asked.hint, asked.group, asked.key))
         return AttemptId(number, 0)
 
-    def linked(self, ticket: AttemptId, link: Link) -> None:
-        """The link of a connection that was open before the start is up."""
-        held = self._current(ticket)
-        if held is not None:
-            held.link = link
+    def set_restored_link(self, attempt_id: AttemptId, link: UpstreamLink) -> None:
+        """Note the link of a connection that was open before the start."""
+        state = self.attempts.current(attempt_id)
+        if state is not None:
+            state.link = link
 
-    def client_left(self, number: int) -> None:
-        """The client has gone; what is out for it is given up."""
-        held = self.held.get(number)
-        if held is None:
+    def client_disconnected(self, number: int) -> None:
+        """Abandon what is out for a client that has gone."""
+        state = self.requests.get(number)
+        if state is None:
             return
-        if not held.begun:
-            held.answered = True
-            self.observer.closed(held.id, Reason.CLIENT_LEFT)
-            self.tell(ClientDisconnected(number))
-        if held.out:
-            self._cut(held, Outcome.CANCELLED)
-        self._settle(held)
-
-    def dismiss(self, number: int) -> None:
-        """This gateway ends, and can wait for nothing more: the module says with which answer."""
-        held = self.held.get(number)
-        if held is None or held.begun:
+        if not state.established:
+            state.answered = True
+            self.observer.closed(state.id, Reason.CLIENT_DISCONNECTED)
+            self.dispatch(ClientDisconnected(number))
+        if state.attempt_active:
+            self.attempts.cut(state, Outcome.CANCELLED)
+        self.requests.settle(state)
+
+    def abort_request(self, number: int) -> None:
+        """Answer a request now, as this gateway ends: the module says with which answer."""
+        state = self.requests.get(number)
+        if state is None or state.established:
             return
-        self.tell(RequestAborted(number))
-        self._overdue(number, Reason.STOPPING)  # whatever the module has done, it is answered
-        if self.held.get(number) is held and held.out:
-            self._cut(held, Outcome.CANCELLED)
+        self.dispatch(RequestAborted(number))
+        self._fail_overdue(number, Reason.STOPPING)  # whatever the module has done, it is answered
+        if self.requests.get(number) is state and state.attempt_active:
+            self.attempts.cut(state, Outcome.CANCELLED)
 
     # From the front: attempts and connections
 
-    def _current(self, ticket: AttemptId) -> Held | None:
-        held = self.held.get(ticket.request)
-        return held if held is not None and held.out and ticket.attempt == held.attempts - 1 else None
-
-    def began(self, ticket: AttemptId) -> bool:
-        """The connection stands. False if nobody waits for it any more."""
-        held = self._current(ticket)
-        if held is None or held.answered or held.link is None:
-            return False
-        held.begun = held.answered = True
-        self.deadlines.cancel(held.expiry)
-        self.deadlines.cancel(held.guard)
-        held.client.began(held.link)
-        self.observer.answered(held.id, Answer.UP, Reason.SERVED)
-        took = ms(self.clock.now() - held.sent)
-        self.tell(AttemptEstablished(ticket.request, held.endpoint, took, ticket.attempt))
-        return True
-
-    def ended(self, ticket: AttemptId, outcome: Outcome) -> None:
-        """An attempt, or the connection that it became, has ended. Told once; later word is ignored."""
-        held = self._current(ticket)
-        if held is None:
-            return
-        held.out, held.link = False, None
-        self.deadlines.cancel(held.expiry)
-        if outcome == Outcome.OK:
-            held.answered = True
-        if outcome == Outcome.NO_RESOURCE:
-            held.most += 1  # it reached nobody, and is none of the attempts that are allowed
-        took = self.clock.now() - held.sent
-        if not held.begun:
-            self.observer.attempt_ended(held.id, held.endpoint, ticket.attempt, outcome, took)
-        self._settle(held)
-        self.tell(
-            AttemptEnded(ticket.request, outcome, held.endpoint, ticket.attempt, held.answered, ms(took))
-        )
+    def attempt_established(self, attempt_id: AttemptId) -> bool:
+        """Answer the client by a connection that stands. False if nobody waits for it any more."""
+        return self.attempts.established(attempt_id)
+
+    def attempt_ended(self, attempt_id: AttemptId, outcome: Outcome) -> None:
+        """Report the end of an attempt, or of the connection that it became. Only the first report counts."""
+        self.attempts.ended(attempt_id, outcome)
+
+    def record_report(self, attempt_id: AttemptId, figure: float) -> None:
+        """Take a server's figure on an open connection: load, or a message's latency in milliseconds.
 
-    def noted(self, ticket: AttemptId, figure: float) -> None:
-        """What a server tells of an open connection: the settings say whether load or a message's delay."""
-        held = self._current(ticket)
-        if held is None:
+        The settings say which of them it is.
+        """
+        state = self.attempts.current(attempt_id)
+        if state is None:
             return
         if self.settings.reports_load:
-            self.tell(LoadReported(ticket.request, held.endpoint, figure))
+            self.dispatch(LoadReported(attempt_id.request, state.endpoint, figure))
         elif self.settings.reports_latency:
-            self.tell(LatencyReported(ticket.request, held.endpoint, figure))
+            self.dispatch(LatencyReported(attempt_id.request, state.endpoint, figure))
 
     # The module's actions
 
     def _send(self, action: Send) -> None:
-        held = self.held.get(action.request)
-        if held is None:
-            return
-        ticket = AttemptId(action.request, held.attempts)
-        if held.answered or held.out or held.attempts >= held.most:
-            held.attempts += not held.out
-            self.tell(
-                AttemptEnded(
-                    action.request, Outcome.MOOT, action.endpoint, ticket.attempt, held.answered, 0.0
-                )
-            )
-            return
-        if not held.client.waits():
-            self.client_left(action.request)
-            return
-        now = self.clock.now()
-        until = min(held.deadline, now + span(action.timeout_ms)) if action.timeout_ms else held.deadline
-        begin = min(until, now + span(action.start_within_ms)) if action.start_within_ms else until
-        held.attempts += 1
-        held.out, held.endpoint, held.sent = True, action.endpoint, now
-        if until <= now:
-            self.ended(ticket, Outcome.TIMEOUT)
+        state = self.requests.get(action.request)
+        if state is None:
             return
-        self.observer.attempt_began(held.id, action.endpoint, ticket.attempt)
-        held.expiry = self.deadlines.at(until, self._expired, ticket)
-        link = held.client.open(ticket, action.endpoint, until, begin)
-        if self._current(ticket) is held:
-            held.link = link
-
-    def _expired(self, ticket: AttemptId) -> None:
-        held = self._without_answer(ticket)
-        if held is not None:
-            self._cut(held, Outcome.TIMEOUT)
-
-    def _without_answer(self, ticket: AttemptId) -> Held | None:
-        """The holder of an attempt that is out, if its server has indeed said nothing by this moment."""
-        held = self._current(ticket)
-        if held is not None and held.link is not None and not held.begun:
-            held.link.look()
-            held = self._current(ticket)
-        return held if held is not None and not held.begun else None
-
-    def _cut(self, held: Held, outcome: Outcome) -> None:
-        link = held.link
-        self.ended(AttemptId(held.number, held.attempts - 1), outcome)
-        if link is not None:
-            link.give_up()
-
-    def _settle(self, held: Held) -> None:
-        """Free the slot of a request that is owed nothing and waits for nothing."""
-        if held.answered and not held.out:
-            self.deadlines.cancel(held.guard)
-            self.held.drop(held.number)
-
-    def _unanswered(self, number: int) -> Held | None:
-        held = self.held.get(number)
-        if held is None or held.answered:
+        if state.answered or state.attempt_active or state.attempts >= state.max_attempts:
+            self.attempts.reject_start(state, action)
+        elif not state.client.is_waiting():
+            self.client_disconnected(action.request)
+        else:
+            self.attempts.start(state, action)
+
+    def _take_unanswered(self, number: int) -> RequestState | None:
+        """Return a request that is owed its answer, and note that it gets one."""
+        state = self.requests.get(number)
+        if state is None or state.answered:
             return None
-        held.answered = True
-        self.deadlines.cancel(held.guard)
-        return held
+        state.answered = True
+        self.deadlines.cancel(state.deadline_guard)
+        return state
 
-    def _refuse(self, action: Reject) -> None:
-        held = self._unanswered(action.request)
-        if held is not None:
-            self.observer.answered(held.id, Answer.REFUSED, Reason.DECISION)
-            held.client.refuse(span(action.retry_after_ms))
-            self._settle(held)
+    def _reject(self, action: Reject) -> None:
+        state = self._take_unanswered(action.request)
+        if state is not None:
+            self.observer.answered(state.id, Answer.REJECTED, Reason.DECISION)
+            state.client.reject(milliseconds(action.retry_after_ms))
+            self.requests.settle(state)
 
     def _fail(self, action: Fail) -> None:
-        held = self._unanswered(action.request)
-        if held is not None:
-            self.observer.answered(held.id, Answer.FAILED, Reason.DECISION)
-            held.client.fail()
-            self._settle(held)
-
-    def _overdue(self, number: int, why: Reason = Reason.OVERDUE) -> None:
-        """Rule 1 does not hang on the module alone."""
-        held = self._unanswered(number)
-        if held is not None:
-            log.warn("request {id} was not answered in time: failed", id=held.id)
-            self.observer.answered(held.id, Answer.FAILED, why)
-            held.client.fail()
-            if held.out:
-                self._cut(held, Outcome.TIMEOUT)
+        state = self._take_unanswered(action.request)
+        if state is not None:
+            self.observer.answered(state.id, Answer.FAILED, Reason.DECISION)
+            state.client.fail()
+            self.requests.settle(state)
+
+    def _fail_overdue(self, number: int, why: Reason = Reason.OVERDUE) -> None:
+        """Fail a request that the module has not answered: one answer in time does not hang on it alone."""
+        state = self._take_unanswered(number)
+        if state is not None:
+            log.warn("request {id} was not answered in time: failed", id=state.id)
+            self.observer.answered(state.id, Answer.FAILED, why)
+            state.client.fail()
+            if state.attempt_active:
+                self.attempts.cut(state, Outcome.TIMEOUT)
             else:
-                self.tell(ClientDisconnected(number))
-            self._settle(held)
+                self.dispatch(ClientDisconnected(number))
+            self.requests.settle(state)
 
     def _cancel(self, action: Cancel) -> None:
-        held = self._without_answer(AttemptId(action.request, action.attempt))
-        if held is not None:
-            self._cut(held, Outcome.CANCELLED)
+        state = self.attempts.unanswered(AttemptId(action.request, action.attempt))
+        if state is not None:
+            self.attempts.cut(state, Outcome.CANCELLED)
 
-    def _move(self, action: Migrate) -> None:
-        self._move_away(action.request, Reason.MOVED)
+    def _migrate(self, action: Migrate) -> None:
+        self._migrate_away(action.request, Reason.MOVED)
 
-    def _move_away(self, number: int, why: Reason) -> None:
-        held = self.held.get(number)
-        if held is not None and held.begun and held.out and held.client.move():
-            self.observer.closed(held.id, why)
-            self.ended(AttemptId(held.number, held.attempts - 1), Outcome.CANCELLED)
+    def _migrate_away(self, number: int, why: Reason) -> None:
+        state = self.requests.get(number)
+        if state is not None and state.established and state.attempt_active and state.client.migrate():
+            self.observer.closed(state.id, why)
+            self.attempts.ended(AttemptId(state.number, state.attempts - 1), Outcome.CANCELLED)
 
-    def _wake(self, action: ScheduleTimer) -> None:
-        self.deadlines.after(span(action.delay_ms), self.tell, TimerFired(action.token))
+    def _schedule_timer(self, action: ScheduleTimer) -> None:
+        self.deadlines.after(milliseconds(action.delay_ms), self.dispatch, TimerFired(action.token))
 
     def _log(self, action: Log) -> None:
         log.info("module: {text}", text=action.text)
 
     # The end
 
-    def standing(self) -> list[int]:
-        """The requests whose connections stand."""
-        return [held.number for held in self.held if held.begun and held.out]
+    def established_requests(self) -> list[int]:
+        """Return the numbers of the requests whose connections stand."""
+        return [state.number for state in self.requests if state.established and state.attempt_active]
 
-    def send_away(self, number: int) -> None:
-        """Move a client because this gateway stops."""
-        self._move_away(number, Reason.STOPPING)
+    def migrate_before_stop(self, number: int) -> None:
+        """Send a client away because this gateway stops."""
+        self._migrate_away(number, Reason.STOPPING)
--- a/puffindeck/core/request_observer.py
+++ b/puffindeck/core/request_observer.py
@@ -1,4 +1,4 @@
-"""What the engine reports of each request's life, for logs. Whoever observes decides nothing."""
+"""What the engine reports of each request, for logs. An observer decides nothing."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     """A final answer to a request."""
 
     UP = "up"
-    REFUSED = "refused"
+    REJECTED = "refused"
     FAILED = "failed"
 
 
@@ -24,17 +24,17 @@
     DECISION = "decided"
     OVERDUE = "no answer by its deadline"
     STOPPING = "this node stops"
-    NO_ROOM = "no descriptors left"
-    CLIENT_LEFT = "the client left"
-    CLIENT_BROKE = "the client's connection broke"
+    NO_CAPACITY = "no descriptors left"
+    CLIENT_DISCONNECTED = "the client left"
+    CLIENT_CONNECTION_BROKE = "the client's connection broke"
     SERVER_ENDED = "the server ended it"
-    SERVER_BROKE = "the server's connection broke"
+    SERVER_CONNECTION_BROKE = "the server's connection broke"
     SERVER_SILENT = "the server is silent"
     MOVED = "moved"
 
 
 class RequestObserver(Protocol):
-    """Told of each step. `request` is the client's own id where its wire has one, else a number."""
+    """Notified of each step. `request` is the client's own id where its wire has one, else a number."""
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
         """An attempt is on its way to a server; the first of a request is number 0."""
@@ -52,18 +52,18 @@
 
 
 class Unobserved:
-    """An observer that keeps nothing."""
+    """An observer that ignores everything."""
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
-        """Nobody looks."""
+        """Ignore it."""
 
     def attempt_ended(
         self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
     ) -> None:
-        """Nobody looks."""
+        """Ignore it."""
 
     def answered(self, request: str, answer: Answer, why: Reason) -> None:
-        """Nobody looks."""
+        """Ignore it."""
 
     def closed(self, request: str, why: Reason) -> None:
-        """Nobody looks."""
+        """Ignore it."""
--- a/puffindeck/net/transports.py
+++ b/puffindeck/net/transports.py
@@ -1,4 +1,4 @@
-"""Connections that are not ended by a moment's lack of memory or buffers."""
+"""Connections that a passing lack of memory or buffers does not end."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 from twisted.internet import main, tcp
 
-from puffindeck.core.machine_errors import NOT_NOW
+from puffindeck.core.local_resource_errors import TRANSIENT
 
 
-class _Steady:
+class _TransientErrors:
     """Reads and writes as the library does, but goes on after errors that pass."""
 
     socket: Any
@@ -21,7 +21,7 @@
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as error:
-            return None if error.errno in NOT_NOW else main.CONNECTION_LOST
+            return None if error.errno in TRANSIENT else main.CONNECTION_LOST
         return self._dataReceived(data)  # type: ignore[attr-defined]
 
     def writeSomeData(self, data: bytes) -> Any:
@@ -29,23 +29,23 @@
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as error:
-            return 0 if error.errno in NOT_NOW else main.CONNECTION_LOST
+            return 0 if error.errno in TRANSIENT else main.CONNECTION_LOST
 
 
-class ClientTransport(_Steady, tcp.Server):
+class ClientTransport(_TransientErrors, tcp.Server):
     """A connection that was accepted."""
 
 
-class ServerTransport(_Steady, tcp.Client):
-    """A connection to a server."""
+class UpstreamTransport(_TransientErrors, tcp.Client):
+    """A connection to a host."""
 
 
 class Connector(tcp.Connector):
-    """A connect with no time-out of the reactor's: its maker has one."""
+    """A connect without a time-out of the reactor's: its owner has one."""
 
     def __init__(self, reactor: Any, address: tuple[str, int], factory: Any) -> None:
         no_timeout: Any = None
         super().__init__(*address, factory, timeout=no_timeout, bindAddress=None, reactor=reactor)
 
-    def _makeTransport(self) -> ServerTransport:
-        return ServerTransport(self.host, self.port, self.bindAddress, self, self.reactor)
+    def _makeTransport(self) -> UpstreamTransport:
+        return UpstreamTransport(self.host, self.port, self.bindAddress, self, self.reactor)
--- a/puffindeck/quic/endpoint_link.py
+++ b/puffindeck/quic/endpoint_link.py
@@ -114,19 +114,19 @@
 
     def establish(self) -> bool:
         """Report the endpoint's first valid response. False if nobody waits for it any more."""
-        return self._engine.began(self._attempt_id)
+        return self._engine.attempt_established(self._attempt_id)
 
     def finish(self, outcome: Outcome) -> None:
         """End the link and report its outcome, once."""
         if not self._done:
-            self.give_up()
+            self.abandon()
             self._flow.on_link_ended()
-            self._engine.ended(self._attempt_id, outcome)
+            self._engine.attempt_ended(self._attempt_id, outcome)
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """No datagram waits unread here."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """End the link; nothing more is reported of it."""
         if not self._done:
             self._done = True
--- a/puffindeck/quic/flow.py
+++ b/puffindeck/quic/flow.py
@@ -9,9 +9,9 @@
 
 from twisted.logger import Logger
 
-from puffindeck.core.clock import ZERO, Clock, ms, span
+from puffindeck.core.clock import ZERO, Clock, milliseconds, to_ms
 from puffindeck.core.engine import Engine
-from puffindeck.core.requests import AttemptId, Link
+from puffindeck.core.requests import AttemptId, UpstreamLink
 from puffindeck.interface import Outcome
 from puffindeck.quic import packets
 from puffindeck.quic.dropped_datagrams import DroppedDatagrams
@@ -22,7 +22,9 @@
 
 log = Logger("puffindeck")
 
-UNCONFIRMED_TIMEOUT = span(3000)  # how long a flow taken over may go without a datagram of its endpoint
+UNCONFIRMED_TIMEOUT = milliseconds(
+    3000
+)  # how long a flow taken over may go without a datagram of its endpoint
 FIRST_FLIGHT_DATAGRAMS = 4  # of a client's first flight, kept for another attempt
 MIN_UNANSWERED_DATAGRAMS = 4  # fewer may be acknowledgements, which no response is due to
 AMPLIFICATION_LIMIT = (
@@ -74,11 +76,13 @@
 
     # The engine's client
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Has the flow not ended?"""
         return not self._ended
 
-    def open(self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+    def start_attempt(
+        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         """Start an attempt: send the client's first flight to the endpoint. None if it has ended already."""
         context = self._context
         link = self.new_link(attempt_id, endpoint)
@@ -97,7 +101,7 @@
         """A link to an endpoint, not yet open."""
         return EndpointLink(self, attempt_id, endpoint, self._context.engine, self._context.dropped)
 
-    def began(self, link: Link) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         """The endpoint has sent its first valid response: pass it on."""
         self.established = True
         self.index_by_endpoint()
@@ -105,16 +109,16 @@
         self._first_flight = []
         self._first_response = b""
 
-    def refuse(self, wait: timedelta) -> None:
-        """Rejected by the decision module; a retry after `wait` does no harm."""
-        reason = f"busy, come back in {ms(wait):.0f} ms" if wait > ZERO else "busy"
+    def reject(self, retry_after: timedelta) -> None:
+        """Rejected by the decision module; a retry after `retry_after` does no harm."""
+        reason = f"busy, come back in {to_ms(retry_after):.0f} ms" if retry_after > ZERO else "busy"
         self._close(packets.CONNECTION_REFUSED, reason)
 
     def fail(self) -> None:
         """Given up by the decision module."""
         self._close(packets.INTERNAL_ERROR, "failed")
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """Only an endpoint can migrate a QUIC client; docs/quic.md says what stands in."""
         return False
 
@@ -180,7 +184,7 @@
             context.table.add_id(self, packet.source_id)
             self._first_response = datagram
             if not link.establish():
-                link.give_up()
+                link.abandon()
 
     def _send_to_client(self, datagram: bytes) -> None:
         """An address that is not validated gets no more than a few times the octets that came from it."""
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -18,7 +18,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from puffindeck.config import QuicConfig
-from puffindeck.core.clock import ZERO, span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.core.engine import Engine
 from puffindeck.core.requests import Request
 from puffindeck.core.timer_queue import TimerQueue
@@ -32,8 +32,8 @@
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.keys import number
 
-SWEEP_INTERVAL = span(500)  # how often flows are checked for time-outs
-REPORT_INTERVAL = span(10000)  # how often dropped datagrams are logged
+SWEEP_INTERVAL = milliseconds(500)  # how often flows are checked for time-outs
+REPORT_INTERVAL = milliseconds(10000)  # how often dropped datagrams are logged
 LATER_PACKETS = (PacketKind.SHORT, PacketKind.HANDSHAKE)  # of a connection that an endpoint has
 
 
@@ -102,7 +102,7 @@
         if host is None:
             return None
         endpoint = self._directory.number(host)
-        is_listed = endpoint in self._directory.addresses and self._engine.known(endpoint)
+        is_listed = endpoint in self._directory.addresses and self._engine.is_listed(endpoint)
         return endpoint if is_listed else None
 
     # Datagrams of clients
@@ -150,7 +150,7 @@
         if len(datagram) < packets.MIN_INITIAL_OCTETS or id_octets < packets.MIN_FIRST_ID_OCTETS:
             self.dropped.count("no valid Initial")
             return
-        if self._stopping() or self.flows.is_full() or self._engine.held.full():
+        if self._stopping() or self.flows.is_full() or self._engine.requests.full():
             self._write(packets.connection_close(packet, packets.CONNECTION_REFUSED, "busy"), address)
             self.dropped.count("refused: no room")
             return
@@ -180,7 +180,7 @@
             self.dropped.count("no room")
             return
         flow = Flow(self._context, address, None)
-        attempt_id = self._engine.opened(flow, self._request(address, ZERO), endpoint)
+        attempt_id = self._engine.restore_connection(flow, self._request(address, ZERO), endpoint)
         flow.request = attempt_id.request
         link = flow.new_link(attempt_id, endpoint)
         if not link.open(self._context.reactor, self._directory):
@@ -188,7 +188,7 @@
             link.finish(Outcome.RESET)
             return
         flow.link = link
-        self._engine.linked(attempt_id, link)
+        self._engine.set_restored_link(attempt_id, link)
         self.flows.add_id(flow, packet.destination_id)
         flow.index_by_endpoint()
         flow.on_client_datagram(packet, datagram)
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -9,7 +9,7 @@
 import grpc
 from grpc.aio import AioRpcError, Metadata
 
-from puffindeck.core.clock import ZERO, span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import Outcome
 from puffindeck.rpc.library_call import LibraryCall
@@ -123,10 +123,10 @@
 
     # The engine's link
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """No response waits unread here."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """End the attempt; nothing more is reported of it."""
         if not self._abandoned:
             self._abandoned = True
@@ -197,7 +197,7 @@
         """Wait for the connection. False if there is none, or the endpoint began to drain meanwhile."""
         if not self._subchannel.ready():
             shared = self._call.shared
-            connect_timeout = span(self._engine.settings.connect_timeout_ms)
+            connect_timeout = milliseconds(self._engine.settings.connect_timeout_ms)
             timeout = min(connect_timeout, self._deadline - shared.clock.now())
             if not await self._subchannel.connect(max(ZERO, timeout)):
                 return False
@@ -235,7 +235,7 @@
         self.response = response
         if self._call.is_served_by(self):  # committed before, as more was sent than is buffered
             self._call.on_response()
-        elif not self._engine.began(self._attempt_id):
+        elif not self._engine.attempt_established(self._attempt_id):
             return
         self._report_end(Outcome.OK)
 
@@ -252,11 +252,11 @@
             return
         if library_call.done() and not head:
             await self._on_status(library_call, response_started=False)
-        elif self._engine.began(self._attempt_id):
+        elif self._engine.attempt_established(self._attempt_id):
             await library_call.code()
             await self._on_status(library_call, response_started=True)
         else:
-            self.give_up()
+            self.abandon()
 
     async def _on_status(self, library_call: LibraryCall, response_started: bool) -> None:
         """The library's call has ended with a status: end the call with it, or report a failed attempt."""
@@ -267,7 +267,9 @@
         migrated = trailing.get(MIGRATED_TRAILER) is not None
         outcome = outcome_of_status(status.code.value[0], status.details, response_started, migrated)
         if response_started or outcome == Outcome.OK:
-            self._engine.began(self._attempt_id)  # where it has not begun: this status is the call's answer
+            self._engine.attempt_established(
+                self._attempt_id
+            )  # where it has not begun: this status is the call's answer
             self._call.finish(status)
             self._report_end(outcome)
             return
@@ -281,7 +283,7 @@
 
     def _report_end(self, outcome: Outcome) -> None:
         if not self._abandoned:
-            self._engine.ended(self._attempt_id, outcome)
+            self._engine.attempt_ended(self._attempt_id, outcome)
 
 
 async def _read_status(library_call: LibraryCall) -> FinalStatus:
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -9,8 +9,8 @@
 import grpc
 from grpc.aio import Metadata
 
-from puffindeck.core.clock import ZERO, span
-from puffindeck.core.requests import AttemptId, Link, Request
+from puffindeck.core.clock import ZERO, milliseconds
+from puffindeck.core.requests import AttemptId, Request, UpstreamLink
 from puffindeck.interface import ConnectionInfo, Outcome
 from puffindeck.rpc.attempt import NO_RESPONSE, Attempt
 from puffindeck.rpc.call_completion import CallCompletion
@@ -25,7 +25,7 @@
 from puffindeck.rpc.subchannel_pool import Subchannel, SubchannelPool
 
 CONNECTION_INFO = ConnectionInfo(listener="rpc")  # what routes may go by, beside the class
-READY_POLL_INTERVAL = span(50)  # the shortest wait of a `wait_for_ready` call between two placements
+READY_POLL_INTERVAL = milliseconds(50)  # the shortest wait of a `wait_for_ready` call between two placements
 
 
 class BalancedCall:
@@ -68,7 +68,7 @@
         remaining = self._time_to_answer()
         if remaining <= ZERO:
             self.finish(rejected(ZERO, self._attempts, deadline_passed=True))
-        elif engine.held.full():
+        elif engine.requests.full():
             self.finish(TOO_MANY_CALLS)
         else:
             key, group = self._routing_keys
@@ -79,7 +79,7 @@
 
     def _time_to_answer(self) -> timedelta:
         """How long the call may take to its answer, or, for a response stream, to its beginning."""
-        limit = span(self.shared.engine.settings.classes[self.method.cls].deadline_ms)
+        limit = milliseconds(self.shared.engine.settings.classes[self.method.cls].deadline_ms)
         remaining = self._deadline.remaining()
         if remaining is None:
             return limit
@@ -91,21 +91,23 @@
 
     # The engine's client
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Has the call no final status yet?"""
         return self.completion.status is None
 
-    def open(self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+    def start_attempt(
+        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         """Start an attempt at an endpoint, which must be answered by `until`."""
         address = self.shared.directory.addresses.get(endpoint)
         self._attempts += 1
         if address is None:
-            self.shared.engine.ended(attempt_id, Outcome.CONNECT_FAILED)
+            self.shared.engine.attempt_ended(attempt_id, Outcome.CONNECT_FAILED)
             return None
         self.attempt = Attempt(self, attempt_id, endpoint, address, until)
         return self.attempt
 
-    def began(self, link: Link) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         """The call has begun at the server of this attempt: it is not retried any more."""
         assert isinstance(link, Attempt)
         self.serving = link
@@ -116,10 +118,10 @@
         elif link.response is not NO_RESPONSE:
             self.on_response()
 
-    def refuse(self, wait: timedelta) -> None:
-        """Rejected by the decision module, and a retry after `wait` does no harm."""
+    def reject(self, retry_after: timedelta) -> None:
+        """Rejected by the decision module, and a retry after `retry_after` does no harm."""
         remaining = self._deadline.remaining()
-        pause = max(wait, READY_POLL_INTERVAL)
+        pause = max(retry_after, READY_POLL_INTERVAL)
         time_is_left = remaining is None or remaining > ZERO
         if self._options.wait_for_ready and not self._attempts and time_is_left:
             # no server was tried yet, and the application would rather wait than be rejected
@@ -128,18 +130,18 @@
             self.shared.deadlines.after(pause, self._place_again)
             return
         last_details = self._last_status.details if self._last_status is not None else ""
-        self.finish(rejected(wait, self._attempts, last_details, self._deadline.passed()))
+        self.finish(rejected(retry_after, self._attempts, last_details, self._deadline.passed()))
 
     def fail(self) -> None:
         """Given up by the decision module; a server may have run the call."""
         self.finish(failed(self._attempts, self._deadline.passed(), self._last_status))
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """Migrate: end a stream, to be requested again elsewhere. False for a call with one response."""
         if not self.method.response_stream or self.serving is None:
             return False
         self.finish(MIGRATED)
-        self.serving.give_up()
+        self.serving.abandon()
         return True
 
     # The attempt's owner
@@ -187,9 +189,9 @@
 
     def commit(self) -> None:
         """Stay with the current attempt: the call can't be retried any more."""
-        held = self.shared.engine.held.get(self._number)
-        if held is not None and held.out:
-            self.shared.engine.began(AttemptId(self._number, held.attempts - 1))
+        request_state = self.shared.engine.requests.get(self._number)
+        if request_state is not None and request_state.attempt_active:
+            self.shared.engine.attempt_established(AttemptId(self._number, request_state.attempts - 1))
 
     # The end
 
@@ -207,7 +209,7 @@
     def release(self) -> None:
         """Notify the engine that the call waits for nothing any more; its attempt is given up."""
         if self._number:
-            self.shared.engine.client_left(self._number)
+            self.shared.engine.client_disconnected(self._number)
 
     def abort(self, error: Exception) -> None:
         """The application's own code raised while the call was sent (a serializer, its request iterator)."""
--- a/puffindeck/rpc/call_deadline.py
+++ b/puffindeck/rpc/call_deadline.py
@@ -4,9 +4,9 @@
 
 from datetime import timedelta
 
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 
-TOLERANCE = span(1)  # an end this close before the deadline counts as caused by it
+TOLERANCE = milliseconds(1)  # an end this close before the deadline counts as caused by it
 MAX_TIMEOUT_S = 1e9
 
 
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -15,7 +15,7 @@
 from zope.interface import implementer
 
 from puffindeck.config import EndpointList, Target
-from puffindeck.core.clock import Clock, span
+from puffindeck.core.clock import Clock, milliseconds
 from puffindeck.core.engine import Engine
 from puffindeck.core.requests import Request
 from puffindeck.core.timer_queue import TimerQueue
@@ -55,16 +55,16 @@
         members = EndpointList(self._version, True, list(targets))
         now = self.deadlines.clock.now()
         entries = self.directory.entries(members, now)
-        self.directory.hear(now)
-        self.engine.listed(ListUpdateKind.FULL, self._version, entries)
+        self.directory.record_contact(now)
+        self.engine.update_endpoints(ListUpdateKind.FULL, self._version, entries)
 
     def unlisted(self) -> None:
         """The list could not be had; the old one stays."""
-        self.engine.listed(ListUpdateKind.FAILED)
+        self.engine.update_endpoints(ListUpdateKind.FAILED)
 
     def retune(self, settings: Settings) -> None:
         """Change the settings. Endpoints that were handed out keep their class's number."""
-        self.engine.retune(settings, self._classes_in_use)
+        self.engine.apply_settings(settings, self._classes_in_use)
         self.settings = settings
 
     def detach(self, uid: str) -> None:
@@ -100,7 +100,7 @@
         self._balancing = balancing
         self._key = key
         self._cls = cls
-        self._deadline = deadline or span(balancing.engine.settings.classes[cls].deadline_ms)
+        self._deadline = deadline or milliseconds(balancing.engine.settings.classes[cls].deadline_ms)
 
     def connect(self, protocolFactory: IProtocolFactory) -> Deferred[Any]:
         """A Deferred of the protocol, connected; or a Failure with Refused or Failed."""
--- a/puffindeck/rpc/endpoint_connection.py
+++ b/puffindeck/rpc/endpoint_connection.py
@@ -12,9 +12,9 @@
 from twisted.protocols.policies import ProtocolWrapper, WrappingFactory
 from twisted.python.failure import Failure
 
-from puffindeck.core.clock import span
+from puffindeck.core.clock import milliseconds
 from puffindeck.core.engine import Engine
-from puffindeck.core.requests import AttemptId, Link
+from puffindeck.core.requests import AttemptId, UpstreamLink
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.interface import Outcome, Settings
 from puffindeck.rpc.endpoint_errors import Failed, Refused
@@ -42,13 +42,15 @@
         self._protocol: Any = None
 
     def _cancelled(self, _: Deferred[Any]) -> None:
-        self.context.engine.client_left(self.request)
+        self.context.engine.client_disconnected(self.request)
 
-    def waits(self) -> bool:
+    def is_waiting(self) -> bool:
         """Does the caller still wait for the connection?"""
         return not self.result.called
 
-    def open(self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta) -> Link | None:
+    def start_attempt(
+        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+    ) -> UpstreamLink | None:
         """Start an attempt at an endpoint. None if it has ended already."""
         attempt = ConnectAttempt(self, attempt_id, endpoint)
         address = self.context.directory.addresses.get(endpoint)
@@ -58,22 +60,22 @@
         attempt.connect(address)
         return None if attempt.done else attempt
 
-    def began(self, link: Link) -> None:
+    def on_established(self, link: UpstreamLink) -> None:
         """The connection of this attempt stands: hand its protocol to the caller."""
         assert isinstance(link, ConnectAttempt)
         assert link.wrapper is not None
         self._protocol = link.wrapper
         self.result.callback(link.wrapper.wrappedProtocol)
 
-    def refuse(self, wait: timedelta) -> None:
-        """Rejected by the decision module; a retry after `wait` does no harm."""
-        self.result.errback(Failure(Refused(wait)))
+    def reject(self, retry_after: timedelta) -> None:
+        """Rejected by the decision module; a retry after `retry_after` does no harm."""
+        self.result.errback(Failure(Refused(retry_after)))
 
     def fail(self) -> None:
         """Given up by the decision module; nothing is known of what a server has done."""
         self.result.errback(Failure(Failed()))
 
-    def move(self) -> bool:
+    def migrate(self) -> bool:
         """Migrate: notify a protocol that has `moveRequested`, as only it knows when its calls are done."""
         move_requested = getattr(self._protocol.wrappedProtocol, "moveRequested", None)
         if move_requested is not None:
@@ -123,7 +125,7 @@
     def connect(self, address: tuple[str, int]) -> None:
         """Connect; takes the settings' connect timeout at most."""
         context = self._connect.context
-        timeout = span(context.settings.connect_timeout_ms)
+        timeout = milliseconds(context.settings.connect_timeout_ms)
         self._connect_deadline = self._deadlines.after(timeout, self.finish, Outcome.CONNECT_FAILED)
         self._connector = context.reactor.connectTCP(*address, self, timeout=None)
 
@@ -149,8 +151,8 @@
     def begin(self) -> None:
         """The library's protocol is connected: report it to the engine."""
         self.began = True
-        if not self._engine.began(self._attempt_id):
-            self.give_up()
+        if not self._engine.attempt_established(self._attempt_id):
+            self.abandon()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
         """The connect has failed."""
@@ -164,13 +166,13 @@
     def finish(self, outcome: Outcome) -> None:
         """End the attempt and report its outcome, once."""
         if not self.done:
-            self.give_up()
-            self._engine.ended(self._attempt_id, outcome)
+            self.abandon()
+            self._engine.attempt_ended(self._attempt_id, outcome)
 
-    def look(self) -> None:
+    def read_available(self) -> None:
         """No response waits unread here."""
 
-    def give_up(self) -> None:
+    def abandon(self) -> None:
         """End the attempt; nothing more is reported of it."""
         if not self.done:
             self.done = True
--- a/puffindeck/rpc/shared_state.py
+++ b/puffindeck/rpc/shared_state.py
@@ -12,8 +12,9 @@
 
 from puffindeck.client_side import Member
 from puffindeck.config.client_config import ClientConfig
-from puffindeck.core.clock import Clock, ms
-from puffindeck.core.engine import Decisions, Engine
+from puffindeck.core.clock import Clock, to_ms
+from puffindeck.core.dispatcher import Decisions
+from puffindeck.core.engine import Engine
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ListUpdateKind, TimerFired
 from puffindeck.service_discovery.asyncio_watch import EndpointWatch
@@ -102,9 +103,9 @@
         known = self.config.known
         if known.targets:
             kind = ListUpdateKind.CACHED if self.endpoint_watch else ListUpdateKind.FULL
-            self.engine.listed(kind, known.rev, self.directory.entries(known, self.clock.now()))
+            self.engine.update_endpoints(kind, known.rev, self.directory.entries(known, self.clock.now()))
         else:
-            self.engine.tell(TimerFired(0))  # the module's first event: it requests the list
+            self.engine.dispatch(TimerFired(0))  # the module's first event: it requests the list
 
     @classmethod
     def acquire(cls, config: ClientConfig, alone: bool = False) -> SharedState:
@@ -139,13 +140,13 @@
             self.endpoint_watch.start()
 
     def _on_discovery_alive(self) -> None:
-        self.balancer.heard(ms(self.clock.now()))
+        self.balancer.heard(to_ms(self.clock.now()))
         self.notify()
 
     @property
     def list_age_ms(self) -> float:
         """Milliseconds since discovery last gave a sign of life; infinite before the first."""
-        return self.balancer.age_ms(ms(self.clock.now()))
+        return self.balancer.age_ms(to_ms(self.clock.now()))
 
     def notify(self) -> None:
         """Wake all that wait for a change of the endpoint list."""
--- a/puffindeck/rpc/status.py
+++ b/puffindeck/rpc/status.py
@@ -11,7 +11,7 @@
 from google.rpc import code_pb2, error_details_pb2, status_pb2
 from grpc.aio import AioRpcError, Metadata
 
-from puffindeck.core.clock import ZERO, ms
+from puffindeck.core.clock import ZERO, to_ms
 
 MIGRATED_TRAILER = "puffindeck-moved"  # the stream ended so that it goes on at another server
 PUSHBACK_TRAILER = "grpc-retry-pushback-ms"  # gRPC's A6: when to retry, in milliseconds
@@ -58,7 +58,7 @@
         text += f"; the last one said: {last_details}"
     trailing: list[tuple[str, Any]] = [(ATTEMPTS_TRAILER, str(attempts))]
     if retry_after > ZERO:
-        trailing.append((PUSHBACK_TRAILER, f"{ms(retry_after):.0f}"))
+        trailing.append((PUSHBACK_TRAILER, f"{to_ms(retry_after):.0f}"))
         trailing.append((STATUS_DETAILS_TRAILER, _retry_info(code, text, retry_after)))
     return FinalStatus(code, text, tuple(trailing))
 
--- a/puffindeck/service_discovery/asyncio_watch.py
+++ b/puffindeck/service_discovery/asyncio_watch.py
@@ -16,7 +16,14 @@
 from puffindeck.core.engine import Engine
 from puffindeck.interface import ListUpdateKind
 from puffindeck.service_discovery.directory import Directory
-from puffindeck.service_discovery.watch import ANSWER, MOST, SILENT, WatchError, WatchState, kind
+from puffindeck.service_discovery.watch import (
+    ANSWER_TIMEOUT,
+    MAX_BYTES,
+    SILENCE_TIMEOUT,
+    WatchError,
+    WatchState,
+    update_kind,
+)
 
 log = Logger("puffindeck")
 
@@ -75,10 +82,10 @@
         self._task = None
         if not self._stopped:
             log.warn("discovery: watch broken: {why}", why=why)
-            self._engine.listed(ListUpdateKind.FAILED)
+            self._engine.update_endpoints(ListUpdateKind.FAILED)
 
     async def _fetch_and_watch(self) -> None:
-        timeout = httpx.Timeout(SILENT.total_seconds(), connect=ANSWER.total_seconds())
+        timeout = httpx.Timeout(SILENCE_TIMEOUT.total_seconds(), connect=ANSWER_TIMEOUT.total_seconds())
         # plain HTTP by the protocol: no certificates to load, which takes longer than the call
         async with httpx.AsyncClient(timeout=timeout, trust_env=False, verify=False) as client:
             if not self._state.watching:
@@ -86,11 +93,11 @@
             await self._watch_changes(client)
 
     async def _fetch_list(self, client: httpx.AsyncClient) -> None:
-        async with asyncio.timeout(ANSWER.total_seconds()):
+        async with asyncio.timeout(ANSWER_TIMEOUT.total_seconds()):
             async with client.stream("GET", self._base_url + self._state.target()) as response:
                 self._check(response)
                 body = await self._read_body(response)
-        self._apply(self._state.whole(body))
+        self._apply(self._state.read_list(body))
 
     @staticmethod
     async def _read_body(response: httpx.Response) -> bytes:
@@ -99,23 +106,23 @@
         async for part in response.aiter_bytes():
             parts.append(part)
             size += len(part)
-            if size > MOST:
+            if size > MAX_BYTES:
                 break  # too long to be read: the state says so
         return b"".join(parts)
 
     async def _watch_changes(self, client: httpx.AsyncClient) -> None:
         request = client.build_request("GET", self._base_url + self._state.target())
-        async with asyncio.timeout(ANSWER.total_seconds()):
+        async with asyncio.timeout(ANSWER_TIMEOUT.total_seconds()):
             response = await client.send(request, stream=True)
         try:
             self._check(response)
             rest = b""
             async for part in response.aiter_bytes():
                 *lines, rest = (rest + part).split(b"\n")
-                if len(rest) > MOST:
-                    raise WatchError(f"a line over {MOST >> 20} MiB")
+                if len(rest) > MAX_BYTES:
+                    raise WatchError(f"a line over {MAX_BYTES >> 20} MiB")
                 for line in lines:
-                    self._apply(self._state.line(line))
+                    self._apply(self._state.read_line(line))
                     self._record_alive()
         finally:
             await response.aclose()
@@ -129,9 +136,9 @@
         """Hand an endpoint list to the engine; None is a line that only shows that the watch is alive."""
         if members is not None:
             entries = self._directory.entries(members, self._engine.clock.now())
-            self._engine.listed(kind(members), members.rev, entries)
+            self._engine.update_endpoints(update_kind(members), members.rev, entries)
             self._record_alive()
 
     def _record_alive(self) -> None:
-        self._directory.hear(self._engine.clock.now())
+        self._directory.record_contact(self._engine.clock.now())
         self._on_alive()
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -18,8 +18,8 @@
 from puffindeck.config.fleet import parse_fleet_member
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import Settings
-from puffindeck.net.records import Records
-from puffindeck.net.upgrade import Generation
+from puffindeck.net.detachment_store import DetachmentStore
+from puffindeck.net.process_registry import ProcessRegistry
 from puffindeck_fleet.datagram_codec import DatagramCodec
 from puffindeck_fleet.gateway import Fleet
 from puffindeck_fleet.request_filter import RequestFilter
@@ -103,7 +103,7 @@
 
 def mark_detached(folder: Path, host: str, detached: bool) -> None:
     """Store that a host is out of use, or in use again."""
-    records = Records(folder)
+    records = DetachmentStore(folder)
     records.open()
     if detached:
         records.put(host)
@@ -113,36 +113,36 @@
 
 def detached_hosts(folder: Path) -> set[str]:
     """The hosts that are stored as out of use."""
-    return Records(folder).read()
+    return DetachmentStore(folder).read()
 
 
 class UpgradeProcess:
     """This process among those that share the clients' socket in an upgrade."""
 
     def __init__(self, folder: Path) -> None:
-        self._generation = Generation(folder)
-        self._generation.begin()
-        self.file_name = self._generation.name
+        self._registry = ProcessRegistry(folder)
+        self._registry.register()
+        self.file_name = self._registry.name
 
     def publish(self, ready: bool) -> None:
         """Say whether this process is ready."""
-        self._generation.tell(ready)
+        self._registry.publish_state(ready)
 
     def others(self) -> list[tuple[bool, bool, int]]:
         """The other processes: newer than this one, ready, open descriptors."""
-        return [(other.newer, other.ready, other.descriptors) for other in self._generation.others()]
+        return [(other.is_newer, other.is_ready, other.descriptors) for other in self._registry.siblings()]
 
     def write_load_limits(self, limits: dict[str, float | None], now_ms: float) -> None:
         """Store the load that each host has been seen to bear."""
-        self._generation.leave_word(limits, now_ms)
+        self._registry.write_handover_state(limits, now_ms)
 
     def read_load_limits(self, now_ms: float) -> dict[str, float | None]:
         """What an earlier process has stored."""
-        return self._generation.word(now_ms)
+        return self._registry.read_handover_state(now_ms)
 
     def end(self) -> None:
         """Leave the others."""
-        self._generation.end()
+        self._registry.unregister()
 
 
 def open_descriptors() -> int:
@@ -158,9 +158,9 @@
 
     def now(self) -> Any:
         """The moment, as the clock of the node has it."""
-        from puffindeck.core.clock import span
+        from puffindeck.core.clock import milliseconds
 
-        return span(1_000_000_500.0)
+        return milliseconds(1_000_000_500.0)
 
 
 def operator_documents(
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -14,12 +14,12 @@
 from twisted.internet.defer import maybeDeferred
 
 from puffindeck.config import NodeConfig, Target
-from puffindeck.core.clock import Clock, span
-from puffindeck.interface import EndpointListUpdated, ListUpdateKind
+from puffindeck.core.clock import Clock, milliseconds
+from puffindeck.interface import AttemptEnded, EndpointListUpdated, ListUpdateKind, Outcome
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
-from tests.support.node_story import Peer, Story, reactor
+from tests.support.node_story import ASK, Peer, Story, reactor
 
 WHOLE = b"GET /catalog/members HTTP/1.1"
 
@@ -66,7 +66,7 @@
     """Lists that are pushed to an agent on the node's machine: nobody asks the node to watch it."""
 
     async def test_the_agent_is_read_whole_from_the_start_and_anew_after_each_silence(self) -> None:
-        with patch.object(discovery, "SILENT", span(100)):
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
             self.build(must_watch_endpoints=False)
             ping = await self.client("PING")
             await self.whole(41, *self.all())
@@ -78,17 +78,17 @@
             await mute.ended()
             await self.followed(44)
             await self.until(lambda: self.lists()[-1] == (ListUpdateKind.FULL, 44), "what changed meanwhile")
-        self.assertFalse(self.node.engine.known(self.node.directory.number("h0")))
+        self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_an_agent_with_nothing_new_makes_the_node_ready_all_the_same(self) -> None:
         self.build(must_watch_endpoints=True)  # watched from `known` on: no list has to come
         watch = await self.watched()
         watch.write(chunk(b"\n"))
-        await self.until(lambda: self.node.ready, "readiness")
+        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
 
     async def test_silence_counts_from_the_last_octet(self) -> None:
-        with patch.object(discovery, "SILENT", span(150)):
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(150)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
@@ -98,7 +98,7 @@
                 watch.write(chunk(line[at : at + 24]))
                 await self.pause(0.05)
             await self.until(lambda: (ListUpdateKind.CHANGES, 43) in self.lists(), "the list in pieces")
-            self.assertGreater(self.node.deadlines.clock.now() - begun, span(200))
+            self.assertGreater(self.node.deadlines.clock.now() - begun, milliseconds(200))
             self.assertNotIn(ListUpdateKind.FAILED, [kind for kind, _ in self.lists()])
 
     async def test_an_indented_list_on_a_watch_is_one_list(self) -> None:
@@ -110,7 +110,7 @@
         await self.until(lambda: self.lists()[-1] == (ListUpdateKind.CHANGES, 43), "the indented list")
 
     async def test_a_list_that_does_not_end_breaks_the_watch_though_it_is_alive(self) -> None:
-        with patch.object(discovery, "LIST", span(150)):
+        with patch.object(discovery, "LIST_TIMEOUT", milliseconds(150)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             watch = await self.followed(41)
@@ -127,30 +127,30 @@
         self.folder = Path(folder.name)
         self.held = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.addCleanup(self.held.close)
-        with patch.object(discovery, "SILENT", span(300)):
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(300)):
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             await self.followed(41)
-            await self.until(lambda: self.node.port, "the first to be ready")
+            await self.until(lambda: self.node.listeners.main, "the first to be ready")
             await (await self.discovery.next()).ended()  # the agent has gone silent
-            second = Node(reactor, self.node.told, Clock())
+            second = Node(reactor, self.node.config, Clock())
             self.addCleanup(self.close_second, second)
             second.start()
-            self.assertIsNone(second.port)
-            while second.port is None:
+            self.assertIsNone(second.listeners.main)
+            while second.listeners.main is None:
                 call = await self.discovery.next()
                 if await call.line() == WHOLE:
                     body = listing(45, True, self.target("h1"))
                     call.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
                 await self.pause(0.02)
-            self.assertFalse(second.engine.known(second.directory.number("h0")))
+            self.assertFalse(second.engine.is_listed(second.directory.number("h0")))
 
     async def close_second(self, second: Node) -> None:
         assert second.watch is not None
         second.watch.stop()
-        if second.port is not None:
-            await maybeDeferred(second.port.stopListening)
-        second.generation.end()
+        if second.listeners.main is not None:
+            await maybeDeferred(second.listeners.main.stopListening)
+        second.hot_restart.registry.unregister()
         second.deadlines.clear()
 
     def changed(self, told: NodeConfig) -> NodeConfig:
@@ -176,9 +176,9 @@
     state, found = WatchState(0), []
     for version, (targets, indent, beat) in enumerate(lists):
         for line in listing(version, False, *targets, indent=indent).split(b"\n") + [b""] * beat:
-            if (members := state.line(line)) is not None:
+            if (members := state.read_line(line)) is not None:
                 found.append((members.rev, members.targets))
-        assert not state.begun
+        assert not state.list_begun
     assert found == [(i, targets) for i, (targets, _, _) in enumerate(lists)]
 
 
@@ -186,13 +186,72 @@
     for text in (b"{]}", b'{"rev": "x"}', b'{"rev": 1, "all": true, "targets": []}}'):
         state = WatchState(7)
         try:
-            state.line(text)
+            state.read_line(text)
         except WatchError:
             assert state.version == 7
         else:
             raise AssertionError(text)
     state = WatchState(7)
-    assert state.line(b'{"rev": 8,') is None
-    assert state.begun
+    assert state.read_line(b'{"rev": 8,') is None
+    assert state.list_begun
     assert "after=7" in state.target()
-    assert not state.begun  # a new call reads from its start
+    assert not state.list_begun  # a new call reads from its start
+
+
+class ListStories(Story):
+    """Discovery, well and ill."""
+
+    async def test_news_counts_at_once_and_a_drain_keeps_what_it_has(self) -> None:
+        self.build()
+        watch = await self.watched()
+        client, uid, host = await self.served(ASK)
+        self.news(watch, 2, False, self.target(uid, "DRAINING"))
+        await self.until(lambda: self.ends(EndpointListUpdated)[-1].version == 2, "the news")
+        for _ in range(4):
+            other = await self.client(ASK)
+            reached, peer = await self.host_of()
+            self.assertNotEqual(reached, uid)
+            peer.write(b"ERR\r\n")
+            other.transport.abortConnection()
+        client.write(b"still here\r\n")
+        self.assertEqual(await host.line(), b"still here")
+
+    async def test_nothing_reaches_a_host_half_a_second_after_its_drain_is_told(self) -> None:
+        # a connect may have been on its way all that time: it is asked again before the first byte
+        self.build(hosts=1, drain_grace_ms=0)
+        with patch.object(self.node.engine, "may_reach", side_effect=self.node.engine.may_reach) as asked:
+            drained = {self.node.directory.number("h0"): milliseconds(0)}
+            with patch.object(self.node.engine.reachability, "unavailable_since", drained):
+                await self.client(ASK)
+                _, host = await self.host_of()
+                await host.ended()
+                self.assertEqual(host.buffer, b"")
+            self.assertTrue(asked.called)
+        self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
+
+    async def test_a_watch_that_breaks_or_falls_silent_or_talks_nonsense_is_asked_for_again(self) -> None:
+        with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
+            self.build()
+            self.node.engine.balancer.random.seed(1)
+            watch = await self.discovery.next()
+            watch.write(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
+            await self.until(
+                lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+            )
+            await watch.ended()
+            self.assertEqual(
+                [e.kind for e in self.ends(EndpointListUpdated)],
+                [ListUpdateKind.CACHED, ListUpdateKind.FAILED],
+            )
+            for ill in (b"", b"3\r\n{]\n\r\n"):
+                watch = await self.watched()
+                self.news(watch, 5, True, *(self.target(uid) for uid in self.hosts))
+                await self.until(
+                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
+                )
+                watch.write(ill)
+                await self.until(
+                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+                )
+            again = await self.discovery.next()
+            self.assertIn(b"after=5", await again.line())
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -3,21 +3,24 @@
 from __future__ import annotations
 
 import socket
+from dataclasses import replace
 from unittest.mock import patch
 
 import msgspec
 
 from puffindeck.config import NodeConfig
-from puffindeck.core.clock import span
+from puffindeck.core.clock import ZERO, milliseconds
 from puffindeck.interface import Effect, Scope
+from puffindeck.net import lifecycle, node
 from puffindeck.net import node as node_module
-from puffindeck.net.client_connection import ConnectionState
-from puffindeck.net.graceful_shutdown import DrainSchedule, GracefulShutdown
+from puffindeck.net.connection_state import ConnectionState
+from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
 from tests.support.crossing_story import ASK, CrossingStory
-from tests.support.node_story import Listener, reactor
+from tests.support.node_story import ASK as ROUTED_ASK
+from tests.support.node_story import SETTINGS, Listener, Story, reactor
 
-OVER_NOW = DrainSchedule(span(0), span(0), span(0), span(0))
-LONG = DrainSchedule(span(5000), span(5000), span(0), span(5000))
+OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
+LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
 
 
 class StopStories(CrossingStory):
@@ -25,62 +28,62 @@
 
     def leaving(self, pace: DrainSchedule = OVER_NOW) -> GracefulShutdown:
         done: list[int] = []
-        leaving = GracefulShutdown(self.node, pace, lambda: done.append(1))
-        self.node.leaving = leaving
-        return leaving
+        self.node.lifecycle.begin_shutdown(pace, lambda: done.append(1))
+        assert self.node.lifecycle.shutdown is not None
+        return self.node.lifecycle.shutdown
 
     async def test_who_waits_at_the_port_is_answered_before_it_closes(self) -> None:
         self.build()
-        self.node.shut = True
+        self.node.lifecycle.is_accepting = False
         waiting = [self.raw() for _ in range(40)]  # more than one turn accepts
         for plain in waiting:
             plain.sendall(ASK.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
-        self.assertFalse(self.node.shut_ports())
+        self.assertFalse(self.node.listeners.close_when_empty(False))
         for plain in waiting:
             self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
             plain.close()
-        await self.until(lambda: not self.node.clients, "their ends")
-        self.assertTrue(self.node.shut_ports())
-        self.assertFalse(self.node.port.connected)
+        await self.until(lambda: not self.node.connections.clients, "their ends")
+        self.assertTrue(self.node.listeners.close_when_empty(False))
+        self.assertFalse(self.main_port.connected)
 
     async def test_who_waits_at_the_port_when_time_is_up_is_answered_too(self) -> None:
         self.build()
         plain = self.raw()
         plain.sendall(ASK.encode() + b"\r\n")
-        self.node.shut = True
-        self.leaving()._look()
-        self.assertFalse(self.node.port.connected)
+        self.node.lifecycle.is_accepting = False
+        self.leaving()._check()
+        self.assertFalse(self.main_port.connected)
         self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
 
     async def test_a_request_at_a_hung_host_is_refused_at_the_end_where_that_is_harmless(self) -> None:
         client, host = await self.hung()
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_its_attempt_is_given_up_too_where_the_settings_know_no_cancelling(self) -> None:
         client, host = await self.hung(told={"can_cancel": False})
-        (link,) = self.node.links
-        self.leaving()._look()
+        (link,) = self.node.connections.upstreams
+        self.leaving()._check()
         self.assertTrue(link.done)  # at once, not with its deadline
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_that_may_have_run_and_must_not_run_twice_is_failed_at_the_end(self) -> None:
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_whose_repeats_only_a_zone_discards_is_failed_at_the_end(self) -> None:
         client, _ = await self.hung(effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0)
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
 
     async def test_a_request_is_answered_at_the_end_though_the_module_fails(self) -> None:
         client, host = await self.hung()
         with patch.object(self.node.engine.balancer, "handle", side_effect=ZeroDivisionError):
-            self.leaving()._look()
+            self.leaving()._check()
             self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
         self.assertGreaterEqual(len(self.flushLoggedErrors(ZeroDivisionError)), 2)  # the word, and its end
@@ -89,24 +92,28 @@
         self.build()
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: self.node._waiting, "the question")
-        with patch.object(node_module, "RESTART", DrainSchedule(span(5000), span(5000), span(0), span(5000))):
+        await self.until(lambda: self.node.lifecycle._waiting, "the question")
+        with patch.object(
+            node_module,
+            "RESTART",
+            DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000)),
+        ):
             self.node.stop()
         self.assertIs(line.state, ConnectionState.IDLE)
         plain.shutdown(socket.SHUT_WR)
         self.assertEqual(await self.reads(plain), b"BUSY\r\n")
-        self.node.leaving.cancel()
+        self.shutdown.cancel()
 
     async def test_a_line_that_does_not_end_before_the_end_gets_no_move_into_it(self) -> None:
         # "half of a liMOVE" is a line that no host has sent
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
-        self.node.engine.send_away(line.request)
+        self.node.engine.migrate_before_stop(line.request)
         self.assertIs(line.state, ConnectionState.MOVING)
-        self.leaving()._look()
+        self.leaving()._check()
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.left(b"half of a li"))
         self.assertEqual(await host.ended(), "ConnectionDone")
@@ -114,10 +121,10 @@
     async def test_a_host_that_ends_in_the_middle_of_the_line_before_a_move(self) -> None:
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
-        self.node.engine.send_away(line.request)
+        self.node.engine.migrate_before_stop(line.request)
         host.transport.loseConnection()
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.left(b"half of a li"))
@@ -125,24 +132,26 @@
     async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
+        (line,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
-        await self.until(lambda: line._line_open, "the half")
-        line.hold()
+        await self.until(lambda: line.relay._line_open, "the half")
+        line.relay.hold_lines()
         host.write(b"f\r\nnext")
-        await self.until(lambda: line._tail == b"next", "the next")
-        self.node.engine.send_away(line.request)
+        await self.until(lambda: line.relay._held_start == b"next", "the next")
+        self.node.engine.migrate_before_stop(line.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
         self.assertTrue(client.left(b""))
 
     async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
         self.build()
         client, _, host = await self.served(ASK)
-        (line,) = self.node.clients
-        leaving = self.leaving(DrainSchedule(span(0), span(60000), span(0), span(60000)))
-        line.hold()
+        (line,) = self.node.connections.clients
+        leaving = self.leaving(
+            DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
+        )
+        line.relay.hold_lines()
         host.write(b"half")
-        await self.until(lambda: line._tail, "the half")
+        await self.until(lambda: line.relay._held_start, "the half")
         leaving.cancel()
         await self.until(lambda: client.left(b"half"), "the half at the client")
         host.write(b" a line\r\n")
@@ -151,8 +160,10 @@
     async def test_moves_are_held_for_in_time(self) -> None:
         self.build()
         await self.served(ASK)
-        (line,) = self.node.clients
-        leaving = self.leaving(DrainSchedule(span(0), span(600), span(0), span(60000)))
+        (line,) = self.node.connections.clients
+        leaving = self.leaving(
+            DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
+        )
         leaving._plan_moves()
         await self.until(lambda: line.state is ConnectionState.HOLDING_LINE, "the hold")
         leaving.cancel()
@@ -162,9 +173,9 @@
         self.build()
         with patch.object(node_module, "RESTART", LONG):
             self.node.stop()
-            first = self.node.leaving
+            first = self.shutdown
             self.node.stop()
-        self.assertIs(self.node.leaving, first)
+        self.assertIs(self.node.lifecycle.shutdown, first)
         first.cancel()
 
     async def test_a_lame_duck_that_is_stopped_ends(self) -> None:
@@ -173,14 +184,18 @@
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
-            patch.object(node_module, "DRAIN", LONG),
-            patch.object(node_module, "RESTART", DrainSchedule(span(0), span(0), span(20), span(3300))),
+            patch.object(lifecycle, "DRAIN", LONG),
+            patch.object(
+                node_module,
+                "RESTART",
+                DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(20), milliseconds(3300)),
+            ),
         ):
-            self.node.drain()
-            lame = self.node.leaving
+            self.node.lifecycle.drain()
+            lame = self.shutdown
             self.node.stop()
-            self.assertTrue(self.node.leaving.ends)
-            self.assertFalse(self.node.undrain())  # there is no way back
+            self.assertTrue(self.shutdown.ends_process)
+            self.assertFalse(self.node.lifecycle.undrain())  # there is no way back
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
             await self.until(lambda: stop.called, "its end")
@@ -197,16 +212,16 @@
         self.node.reload(lambda now: (msgspec.structs.replace(now, discovery=(host, int(port))), []))
         call = await other.next()
         self.assertEqual(await call.line(), b"GET /catalog/members HTTP/1.1")
-        self.node.leaving.cancel()
+        self.shutdown.cancel()
         call.transport.abortConnection()
         await call.ended()
 
     async def test_a_stop_while_it_hands_over_to_a_newer_process_changes_nothing(self) -> None:
         self.build()
-        self.node._leave(LONG)  # as when a newer process is ready
-        first = self.node.leaving
+        self.node._shut_down(LONG)  # as when a newer process is ready
+        first = self.shutdown
         self.node.stop()
-        self.assertIs(self.node.leaving, first)
+        self.assertIs(self.node.lifecycle.shutdown, first)
         first.cancel()
 
     async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
@@ -224,7 +239,11 @@
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
-            patch.object(node_module, "RESTART", DrainSchedule(span(0), span(20), span(20), span(3300))),
+            patch.object(
+                node_module,
+                "RESTART",
+                DrainSchedule(milliseconds(0), milliseconds(20), milliseconds(20), milliseconds(3300)),
+            ),
         ):
             self.node.reload(read)
             call = await other.next()
@@ -235,12 +254,80 @@
 
     async def test_a_stop_before_the_start_ends_it(self) -> None:
         self.build()
-        fresh = node_module.Node(reactor, self.node.told, self.node.deadlines.clock)
+        fresh = node_module.Node(reactor, self.node.config, self.node.deadlines.clock)
         with (
             patch.object(fresh, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
-            patch.object(node_module, "RESTART", DrainSchedule(span(0), span(0), span(0), span(10))),
+            patch.object(
+                node_module,
+                "RESTART",
+                DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(10)),
+            ),
         ):
             fresh.stop()
             await self.until(lambda: stop.called, "its end")
-        self.assertIsNone(fresh.port)
+        self.assertIsNone(fresh.listeners.main)
+
+
+class MoveStories(Story):
+    """A node that moves its clients."""
+
+    async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
+        self.build()
+        client, _, host = await self.served(ROUTED_ASK)
+        host.write(b"half a ")
+        await self.until(lambda: client.buffer, "the half line")
+        slow = await self.client()
+        with (
+            patch.object(self.node, "reactor", wraps=reactor) as program,
+            patch.object(
+                node,
+                "RESTART",
+                DrainSchedule(milliseconds(200), milliseconds(400), milliseconds(100), milliseconds(3300)),
+            ),
+            patch.object(program, "stop") as stop,
+        ):
+            self.node.stop()
+            late, _, _ = await self.served(ROUTED_ASK)  # other nodes may be stopping too, or not be back yet
+            client.write(b"still here\r\n")
+            self.assertEqual(await host.line(), b"still here")
+            await self.until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
+            slow.write(ROUTED_ASK.encode() + b"\r\n")
+            self.assertRegex(await slow.line(), rb"^BUSY \d+$")
+            self.assertEqual(client.end, None)
+            self.assertEqual(await late.line(), b"MOVE")
+            host.write(b"line\r\nand more\r\n")
+            self.assertEqual([await client.line(), await client.line()], [b"half a line", b"MOVE"])
+            self.assertEqual(await host.ended(), "ConnectionDone")
+            await self.until(lambda: stop.called, "its end")
+
+
+def test_all_is_moved_before_the_kill_whatever_the_longest_deadline() -> None:
+    for pace in (RESTART, UPGRADE):
+        for longest in (100, 500, 1000, 2000, 3000, 60000):
+            kill = milliseconds(min(longest, 3000) + 700)
+            found = pace.before_kill(milliseconds(longest))
+            assert found.end <= kill - milliseconds(400)
+            assert ZERO < found.send_from + found.send_over < found.end
+            assert found.accept <= found.end
+        assert pace.before_kill(milliseconds(3000)) == pace
+
+
+class ShortDeadlineStories(Story):
+    """A node that is told to stop where requests have half a second."""
+
+    async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
+        chat = replace(SETTINGS.classes[0], deadline_ms=500)
+        self.build(classes=(chat,))
+        client, _, host = await self.served(ROUTED_ASK.replace("d=1100", "d=450"))
+        with (
+            patch.object(self.node, "reactor", wraps=reactor) as program,
+            patch.object(program, "stop") as stop,
+        ):
+            begun = self.node.deadlines.clock.now()
+            self.node.stop()
+            self.assertEqual(await client.line(), b"MOVE")
+            self.assertEqual(await host.ended(), "ConnectionDone")
+            client.transport.loseConnection()
+            await self.until(lambda: stop.called, "its end")
+            self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(500 + 700))
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -7,7 +7,7 @@
 from aioquic.quic import events
 
 from puffindeck.config import QuicConfig
-from puffindeck.core.clock import ms, span
+from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import packets
 from puffindeck.quic.flow import AMPLIFICATION_LIMIT
@@ -27,13 +27,24 @@
             at = "127.0.0.1", server.port.getHost().port
             self.node.directory.addresses[self.node.directory.number(uid)] = at
         ids = {server.server_id: uid for uid, server in self.servers.items()}
-        self.node._start_quic(
+        self.node.start_quic(
             QuicConfig(
-                ("127.0.0.1", 0), 0, span(deadline), span(30000), span(400), 1, 4, 8, KEY, connections, ids
+                ("127.0.0.1", 0),
+                0,
+                milliseconds(deadline),
+                milliseconds(30000),
+                milliseconds(400),
+                1,
+                4,
+                8,
+                KEY,
+                connections,
+                ids,
             )
         )
         assert self.node.quic is not None
         self.front = self.node.quic
+        assert self.node.quic_port is not None
         self.front_port = self.node.quic_port.getHost().port
         self.clients: list[QuicClient] = []
         for server in self.servers.values():
@@ -46,7 +57,8 @@
         for flow in list(self.front.flows):
             flow.end()
             if flow.link is not None:
-                flow.link.give_up()
+                flow.link.abandon()
+        assert self.node.quic_port is not None
         await self.node.quic_port.stopListening()
 
     def target(self, uid: str, state: str = "SERVING") -> Any:
@@ -92,9 +104,11 @@
         client, uid = await self.connect_and_talk()
         self.news(watch, 2, False, self.target(uid, "DRAINING"))
         endpoint = self.node.directory.number(uid)
-        await self.until(lambda: endpoint in self.node.engine.reachability.unfit_since, "the news")
+        await self.until(lambda: endpoint in self.node.engine.reachability.unavailable_since, "the news")
         notified_at = self.node.deadlines.clock.now()
-        await self.until(lambda: ms(self.node.deadlines.clock.now() - notified_at) > 500, "the grace to pass")
+        await self.until(
+            lambda: to_ms(self.node.deadlines.clock.now() - notified_at) > 500, "the grace to pass"
+        )
         server, before = self.servers[uid], len(self.servers[uid].connections)
         for _ in range(3):
             other, elsewhere = await self.connect_and_talk()
--- a/tests/service_discovery/test_asyncio_watch.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -121,7 +121,9 @@
         assert watch is not None
         await wait_until(lambda: watch.version == self.world.discovery.version, "the change was not applied")
         # known for so long that its grace is over
-        shared.engine.reachability.unfit_since[number] = shared.clock.now() - shared.engine.reachability.grace
+        shared.engine.reachability.unavailable_since[number] = (
+            shared.clock.now() - shared.engine.reachability.grace
+        )
         self.assertIn(b"two", await stub.status(b"", metadata=key_metadata(key)))
         self.assertEqual(len(self.world.servers["one"].calls), 0)
 
--- a/tests/support/node_story.py
+++ b/tests/support/node_story.py
@@ -15,10 +15,13 @@
 from puffindeck.config import EndpointList, NodeConfig, Target
 from puffindeck.core.clock import Clock
 from puffindeck.interface import ClassSettings, Event, Settings
+from puffindeck.net.graceful_shutdown import GracefulShutdown
+from puffindeck.net.listening import Port
 from puffindeck.net.node import Node as NetNode
 from tests.support.gateway import SETTINGS as WORLD
 
 reactor: Any = default_reactor
+ASK = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
 SETTINGS: Settings = replace(
     WORLD,
     classes=(ClassSettings(300, 1200, message_latency_objective_ms=60, name="chat"),),
@@ -53,15 +56,18 @@
         self.made: Callable[[Peer], None] = lambda peer: None
 
     def connectionMade(self) -> None:
+        """Hand over a new connection (Twisted's hook)."""
         self.made(self)
 
     def dataReceived(self, data: bytes) -> None:
+        """Keep what comes, and split it into lines (Twisted's hook)."""
         self.received += data
         *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self._lines.put(line)
 
     def connectionLost(self, reason: Any = None) -> None:
+        """Keep what ended the connection (Twisted's hook)."""
         self.end = reason.type.__name__
         for waiting in self._ended:
             waiting.callback(self.end)
@@ -71,9 +77,11 @@
         return self.buffer == text
 
     def line(self) -> Deferred[bytes]:
+        """Wait for the next whole line."""
         return self._lines.get().addTimeout(5, reactor)
 
     def ended(self) -> Deferred[Any]:
+        """Wait for the end; the name of the error that ended the connection."""
         waiting = deferred("the connection did not end")
         if self.end is not None:
             waiting.callback(self.end)
@@ -82,6 +90,7 @@
         return waiting
 
     def write(self, data: bytes) -> None:
+        """Write bytes as they are."""
         self.transport.write(data)
 
 
@@ -97,15 +106,18 @@
         self.address = f"127.0.0.1:{self.port.getHost().port}"
 
     def buildProtocol(self, addr: object) -> Peer:
+        """Make an accepted connection's protocol (Twisted's hook)."""
         peer = Peer()
         peer.made = self.made
         return peer
 
     def made(self, peer: Peer) -> None:
+        """Queue an accepted connection."""
         self.peers.append(peer)
         self.accepted.put(peer)
 
     def next(self) -> Deferred[Peer]:
+        """Wait for the next accepted connection."""
         return self.accepted.get().addTimeout(5, reactor)
 
 
@@ -119,6 +131,7 @@
         self.up = deferred("no connection")
 
     def buildProtocol(self, addr: object) -> Peer:
+        """Make the connection's protocol (Twisted's hook)."""
         reactor.callLater(0, self.up.callback, self.peer)
         return self.peer
 
@@ -129,6 +142,7 @@
     asked = 0
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
+        """Start a node with hosts and discovery; `settings` replace the usual ones."""
         self.hosts = {f"h{i}": Listener() for i in range(hosts)}
         self.discovery = Listener()
         self.told: list[Event] = []
@@ -149,29 +163,45 @@
         self.node.start()
         self.addCleanup(self.close)
 
+    @property
+    def main_port(self) -> Port:
+        """The node's port for clients, which is open."""
+        assert self.node.listeners.main is not None
+        return self.node.listeners.main
+
+    @property
+    def shutdown(self) -> GracefulShutdown:
+        """The node's shutdown, which has begun."""
+        assert self.node.lifecycle.shutdown is not None
+        return self.node.lifecycle.shutdown
+
     def changed(self, told: NodeConfig) -> NodeConfig:
-        """What a story has its node told otherwise."""
+        """Return the configuration that a story gives its node instead of the usual one."""
         return told
 
     def target(self, uid: str, state: str = "SERVING") -> Target:
+        """Return a host's entry in the list."""
         return Target(uid, state, self.hosts[uid].address, "a", "m")
 
     async def close(self) -> None:
+        """Close all that the story has opened."""
         if self.node.watch:
             self.node.watch.stop()
         peers = [p for listener in (*self.hosts.values(), self.discovery) for p in listener.peers]
-        for transport in [p.transport for p in peers] + [c.transport for c in self.node.clients]:
+        for transport in [p.transport for p in peers] + [c.transport for c in self.node.connections.clients]:
             transport.abortConnection()
-        ports = [listener.port for listener in (*self.hosts.values(), self.discovery)] + [self.node.port]
-        for port in ports:
+        ports = [listener.port for listener in (*self.hosts.values(), self.discovery)]
+        for port in (*ports, self.node.listeners.main):
             if port is not None:
                 await maybeDeferred(port.stopListening)
-        self.node.generation.end()
-        await self.until(lambda: not self.node.clients and all(p.end for p in peers), "all to close")
+        self.node.hot_restart.registry.unregister()
+        await self.until(
+            lambda: not self.node.connections.clients and all(p.end for p in peers), "all to close"
+        )
         self.node.deadlines.clear()
 
     async def until(self, met: Callable[[], Any], what: str) -> None:
-        """Wait for something that no peer's line tells."""
+        """Wait until a condition holds that no peer's line shows."""
         for _ in range(500):
             if met():
                 return
@@ -181,8 +211,9 @@
         raise AssertionError(f"waited in vain for {what}")
 
     async def client(self, line: str = "", port: int = 0) -> Peer:
+        """Connect a client, and send its line if there is one."""
         dial = Dial()
-        reactor.connectTCP("127.0.0.1", port or self.node.port.getHost().port, dial)
+        reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, dial)
         peer: Peer = await dial.up
         self.addCleanup(peer.transport.abortConnection)
         if line:
@@ -217,9 +248,11 @@
         return watch
 
     def news(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
+        """Send a piece of the list over a watch."""
         rows = [{f: getattr(t, f) for f in t.__struct_fields__} for t in targets]
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
         watch.write(b"%x\r\n%s\r\n" % (len(body), body))
 
     def ends(self, kind: type[Any]) -> list[Any]:
+        """Return the events of one kind that the decision module was given."""
         return [event for event in self.told if isinstance(event, kind)]
--- a/tests/support/rpc_story.py
+++ b/tests/support/rpc_story.py
@@ -28,7 +28,7 @@
     async def nothing_left(self, channel: BalancedChannel) -> None:
         """The core holds nothing, and no connection has a user."""
         shared, pool = channel._started()
-        await wait_until(lambda: not len(shared.engine.held), "the core still holds a call")
+        await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
         await wait_until(
             lambda: not any(sub.users for sub in pool._open.values()), "a connection is still used"
         )
