--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/crowd_ways.py
@@ -20,9 +20,9 @@
 from statistics import mean
 
 from benchmarks.table import table
-from puffindeck.client_side import Member
-from puffindeck.client_side.even import Ring, owner
-from puffindeck.client_side.ring import EVENNESS, EvenBalancer
+from puffindeck.client_side import ClientBalancer
+from puffindeck.client_side.ring_smoothing import owner
+from puffindeck.client_side.smoothed_ring import DEFAULT_EVENNESS, SmoothedRingBalancer
 from puffindeck.hashes import mixed, points
 from puffindeck.interface import (
     AttemptEnded,
@@ -39,6 +39,7 @@
     Settings,
 )
 from puffindeck.policy import Balancer
+from puffindeck.policy.hash_ring import Ring
 
 SETTINGS = Settings(
     classes=(ClassSettings(300, 1200),),
@@ -81,7 +82,7 @@
 ) -> list[int]:
     """One gateway that gets all the connections, as the daemon does; they stand, or end at once."""
     told = replace(SETTINGS, gateways=1, evenness=evenness)
-    one = EvenBalancer(told, 1) if evenness else Balancer(told, 1)
+    one = SmoothedRingBalancer(told, 1) if evenness else Balancer(told, 1)
     one.handle(NOW, [listed(endpoints, cold)])
     found = []
     for i, key in enumerate(keys):
@@ -121,7 +122,7 @@
 
     def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
         owners = {point: s for s in endpoints if s not in cold for point in drawn(s)}
-        ring: Ring = sorted(owners), owners
+        ring = Ring(sorted(owners), owners)
         return [owner(ring, mixed(key) >> 34) for key in keys]
 
     return way
@@ -155,7 +156,7 @@
     ("a subset of 3 by the client's number", subset(3)),
     ("a subset of 5 by the client's number", subset(5)),
     *(
-        (f"shares of the ring evened to {bound:g}", each_alone(Member, bound))
+        (f"shares of the ring evened to {bound:g}", each_alone(ClientBalancer, bound))
         for bound in (1.0, 1.03, 1.05, 1.1, 1.25)
     ),
     ("plain luck on even shares", luck),
@@ -171,7 +172,7 @@
     rows = []
     usual = told.clients / told.endpoints
     budget = 3 * 0.31 * usual / 9
-    daemons = [(evenness, stand) for evenness in (0.0, EVENNESS) for stand in (False, True)]
+    daemons = [(evenness, stand) for evenness in (0.0, DEFAULT_EVENNESS) for stand in (False, True)]
     for name, way in WAYS:
         alike: dict[tuple[float, bool], list[float]] = {daemon: [] for daemon in daemons}
         calm, chilled, moved, coldest = [], [], [], []
--- a/benchmarks/pool_return.py
+++ b/benchmarks/pool_return.py
@@ -45,7 +45,7 @@
     Settings,
     TimerFired,
 )
-from puffindeck.routing import Pool, Pooled, RouteTable, Routing
+from puffindeck.routing import Pool, PoolRouter, RouteTable, Routing
 
 PRIMARIES, BACKUPS = (1, 2, 3), (4, 5)
 DIE, GONE, BACK, TOLD, END = 40e3, 44e3, 60e3, 62e3, 90e3
@@ -76,7 +76,7 @@
         pool = Pool("main", (tuple(map(str, PRIMARIES)), tuple(map(str, BACKUPS))))
         routing = Routing(RouteTable((), "main"), (pool,))
         self.gateways = [
-            Pooled(routing, told, self.random.getrandbits(32), int, str) for _ in range(gateways)
+            PoolRouter(routing, told, self.random.getrandbits(32), int, str) for _ in range(gateways)
         ]
         self.now = 0.0
         self._due: list[tuple[float, int, Any, tuple[Any, ...]]] = []
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -27,7 +27,7 @@
 from msgspec.structs import replace
 
 from benchmarks.table import table
-from puffindeck.client_side.ring import EVENNESS
+from puffindeck.client_side.smoothed_ring import DEFAULT_EVENNESS
 from puffindeck.config.members import Target
 from tests.support.rpc_world import METHODS, Discovery
 
@@ -114,7 +114,7 @@
         """`front` is the plug-in, the daemon as it is, or the daemon on an evened ring."""
         self.told, self.folder = told, folder
         self.front = "plugin" if front == "plugin" else "lines"
-        self.evenness = EVENNESS if front == "even" else 0.0
+        self.evenness = DEFAULT_EVENNESS if front == "even" else 0.0
         self.names = [f"b{i}" for i in range(told.boxes)]
         self.discovery = Discovery()
         self.parts: list[Part] = []
@@ -139,7 +139,7 @@
             config = {
                 "discovery": f"127.0.0.1:{self.discovery.port}",
                 "rpc": {"class": "status", "methods": METHODS},
-                "settings": settings(self.told.clients, EVENNESS),
+                "settings": settings(self.told.clients, DEFAULT_EVENNESS),
             }
             (self.folder / "client.toml").write_text(tomli_w.dumps(config))
 
--- a/packages/fleet/src/puffindeck_fleet/governor.py
+++ b/packages/fleet/src/puffindeck_fleet/governor.py
@@ -29,7 +29,7 @@
     TimerFired,
 )
 from puffindeck_quota import Charge, Quota, Refusal
-from puffindeck_residency import Books, Regional
+from puffindeck_residency import Books, RegionalBalancer
 from puffindeck_residency.rules import Verdict, judged
 
 DEFAULT = "default"  # whoever is no named tenant
@@ -56,7 +56,8 @@
 class Governor:
     """The decision module behind the quotas and the book of rules.
 
-    `view` says what a front knows of a request, `tenant` whose it is by that. With `books` the module is a Regional.
+    `view` says what a front knows of a request, `tenant` whose it is by that. With `books` the module is
+    a RegionalBalancer.
     """
 
     def __init__(
@@ -93,8 +94,8 @@
         if request is not None:
             self._moves.append(request)
 
-    def ceilings(self) -> dict[int, float]:
-        found: dict[int, float] = self.inner.ceilings()
+    def load_limits(self) -> dict[int, float]:
+        found: dict[int, float] = self.inner.load_limits()
         return found
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
@@ -142,7 +143,7 @@
         return None
 
     def _order(self, request: int, verdict: Verdict | None) -> None:
-        module: Regional = self.inner
+        module: RegionalBalancer = self.inner
         if verdict is None:
             module.orders.pop(request, None)
         else:
@@ -160,7 +161,7 @@
     def _sweep(self, now: float) -> None:
         """Move what stands outside, at an even rate, all within the time that the book sets."""
         self._swept_ms = now
-        outside = self.inner.outside()
+        outside = self.inner.connections_outside_regions()
         self.outside = len(outside)
         if not outside:
             self._outside_ms = None
@@ -173,7 +174,7 @@
     def standing_outside(self) -> dict[str, int]:
         """By service: connections that stand where its rule does not allow it."""
         found: dict[str, int] = {}
-        for request in self.inner.outside() if self.books is not None else ():
+        for request in self.inner.connections_outside_regions() if self.books is not None else ():
             verdict = judged(self.books.in_force(), self.held[request].view, self.region) if self.books else None
             for name in verdict.names if verdict is not None and request in self.held else ():
                 found[name] = found.get(name, 0) + 1
--- a/packages/residency/src/puffindeck_residency/__init__.py
+++ b/packages/residency/src/puffindeck_residency/__init__.py
@@ -2,7 +2,7 @@
 
 from puffindeck_residency.books import Books, Seen
 from puffindeck_residency.errors import BooksDiffer, BookUnreadable, ResidencyError
-from puffindeck_residency.regional import Regional, RegionalBalancer
+from puffindeck_residency.regional import RegionalBalancer
 from puffindeck_residency.rules import Book, Service, Verdict
 
 __all__ = [
@@ -10,7 +10,6 @@
     "BookUnreadable",
     "Books",
     "BooksDiffer",
-    "Regional",
     "RegionalBalancer",
     "ResidencyError",
     "Seen",
--- a/packages/residency/src/puffindeck_residency/regional.py
+++ b/packages/residency/src/puffindeck_residency/regional.py
@@ -1,106 +1,132 @@
-"""The decision module, narrowed: a ruled request's servers are those of the first allowed region with somebody fit."""
+"""Placement within regions: a constrained request goes to the first allowed region that can serve it."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
+from puffindeck.interface import Settings
 from puffindeck.policy import Balancer
+from puffindeck.policy.placement import Choice, EndpointChooser
 from puffindeck.policy.records import Endpoint, Request
+from puffindeck.policy.send_rules import EndpointFilter, SendRules
+from puffindeck.policy.strategies import GatewayState, LifecycleListener, Strategies, Verdict
 
+RegionOf = Callable[[int], str]
 
-class Regional(Balancer):
-    """Attempts, retries, cold servers and moves all choose by `walk`, and so obey the rule.
 
-    `orders` has the allowed regions of each request that a rule holds for; `region_of` says which region a zone is
-    in now, "" for none.
-    """
-
-    _only: str | None = None  # the region that is looked at
-
-    @property
-    def orders(self) -> dict[int, tuple[str, ...]]:
-        """The allowed regions of ruled requests, the preferred one first."""
-        found: dict[int, tuple[str, ...]] = self.__dict__.setdefault("_orders", {})
-        return found
+class RegionConstraints(LifecycleListener):
+    """The allowed regions of constrained requests, and which endpoints are in them.
 
-    @property
-    def region_of(self) -> Callable[[int], str]:
-        """The region of a zone."""
-        found: Callable[[int], str] = self.__dict__.get("_region_of", lambda zone: "")
-        return found
+    An EndpointFilter, a PlacementScope and a PlacementGate. While `region` is set, only endpoints in that
+    region are eligible and count for the mean load.
+    """
 
-    @region_of.setter
-    def region_of(self, region_of: Callable[[int], str]) -> None:
-        self.__dict__["_region_of"] = region_of
+    def __init__(self, state: GatewayState, orders: dict[int, tuple[str, ...]], region_of: RegionOf) -> None:
+        self._registry = state.registry
+        self._capacities = state.capacities
+        self.orders = orders
+        self.region_of = region_of
+        self.region: str | None = None  # that is being looked at
 
-    def _within(self, region: str) -> list[Endpoint]:
-        return [s for s in self.ready.values() if self.region_of(s.zone) == region]
+    def endpoints_in(self, region: str) -> list[Endpoint]:
+        """The ready endpoints of a region."""
+        return [e for e in self._registry.ready.values() if self.region_of(e.zone) == region]
 
-    def regions(self, order: tuple[str, ...]) -> list[str]:
-        """Those to look at, in their order: up to the first that has somebody fit and warm.
+    def candidates(self, order: tuple[str, ...]) -> list[str]:
+        """The regions to look at, in their order: up to the first that has a healthy, warm endpoint.
 
-        One whose servers are all cold is on its way back: what its budget does not take goes on to the next.
+        One whose endpoints are all in slow start is recovering: what its budget does not take goes on.
         """
         found = []
         for region in order:
-            endpoints = self._within(region)
-            fit = [s for s in endpoints if not s.fails]
-            if fit:
+            healthy = [e for e in self.endpoints_in(region) if not e.consecutive_failures]
+            if healthy:
                 found.append(region)
-                if any(self._warmth(s) >= 1.0 for s in fit):
+                if any(self._capacities.warmth(endpoint) >= 1.0 for endpoint in healthy):
                     return found
-        return found or [region for region in order if self._within(region)]
+        return found or [region for region in order if self.endpoints_in(region)]
 
-    # The module's own steps, within that
+    def allows(self, request: Request, endpoint: Endpoint) -> bool:
+        """Whether an endpoint is in the region that is being looked at."""
+        return self.region is None or self.region_of(endpoint.zone) == self.region
 
-    def walk(self, request: Request) -> tuple[Endpoint | None, bool]:
+    def endpoints(self) -> list[Endpoint] | None:
+        """The ready endpoints of the region that is being looked at; None: no region is."""
+        return None if self.region is None else self.endpoints_in(self.region)
+
+    def review(self, request: Request) -> Verdict:
+        """Answer at once where all allowed regions are down: the request may go nowhere else."""
         order = self.orders.get(request.id)
+        if order is not None and not any(self.endpoints_in(region) for region in order):
+            return Verdict.ANSWER
+        return Verdict.PLACE
+
+    def release(self, request: Request) -> None:
+        """Never called: nothing is released."""
+
+    def request_removed(self, request: Request) -> None:
+        """Forget the regions of a request that is over."""
+        self.orders.pop(request.id, None)
+
+
+class RegionalPlacement:
+    """Looks for an endpoint in one allowed region after the other. An EndpointChooser."""
+
+    def __init__(self, constraints: RegionConstraints, otherwise: EndpointChooser) -> None:
+        self._constraints = constraints
+        self._otherwise = otherwise
+
+    def choose(self, request: Request) -> Choice:
+        """The endpoint for a request."""
+        order = self._constraints.orders.get(request.id)
         if order is None:
-            return super().walk(request)
-        for region in self.regions(order):
-            self._only = region
+            return self._otherwise.choose(request)
+        for region in self._constraints.candidates(order):
+            self._constraints.region = region
             try:
-                endpoint, within = super().walk(request)
+                choice = self._otherwise.choose(request)
             finally:
-                self._only = None
-            if endpoint is not None:
-                return endpoint, within
-        return None, True
-
-    def _eligible(self, request: Request, endpoint: Endpoint) -> bool:
-        if self._only is not None and self.region_of(endpoint.zone) != self._only:
-            return False
-        return super()._eligible(request, endpoint)
-
-    def _mean(self, zone: int | None, doubted: dict[int, Endpoint]) -> tuple[float, float]:
-        if self._only is None:
-            return super()._mean(zone, doubted)
-        endpoints = [s for s in self._within(self._only) if zone in (None, s.zone) and s.id not in doubted]
-        return sum(s.load for s in endpoints), sum(s.size for s in endpoints)
-
-    def _place(self, request: Request) -> None:
-        order = self.orders.get(request.id)
-        waits = not (request.answered or request.out) and request.id in self.requests
-        if waits and order is not None and not any(self._within(region) for region in order):
-            self._answer(request)  # all allowed regions are down: say so at once, and go nowhere else
-        else:
-            super()._place(request)
-
-    def _drop(self, request: Request) -> None:
-        super()._drop(request)
-        self.orders.pop(request.id, None)
+                self._constraints.region = None
+            if choice.endpoint is not None:
+                return choice
+        return Choice(None, True)
+
 
-    def outside(self) -> list[int]:
-        """Standing connections whose server is in none of their allowed regions now."""
+class RegionalBalancer(Balancer):
+    """Attempts, retries, slow start and migration all choose within the allowed regions.
+
+    `orders` has the allowed regions of each constrained request, the preferred one first; whoever hands in a
+    request's arrival sets them before.
+    """
+
+    def __init__(self, settings: Settings, seed: int, region_of: RegionOf) -> None:
+        """`region_of` says which region a zone is in now, "" for none."""
+        self.orders: dict[int, tuple[str, ...]] = {}
+        self._region_of = region_of
+        super().__init__(settings, seed, self._strategies)
+
+    def _strategies(self, state: GatewayState) -> Strategies:
+        self._constraints = constraints = RegionConstraints(state, self.orders, self._region_of)
+        return Strategies(
+            endpoint_filter=constraints,
+            scope=constraints,
+            wrap_placement=self._wrap_placement,
+            gates=(constraints,),
+            listeners=(constraints,),
+        )
+
+    def _wrap_placement(
+        self, otherwise: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
+    ) -> EndpointChooser:
+        return RegionalPlacement(self._constraints, otherwise)
+
+    def connections_outside_regions(self) -> list[int]:
+        """Established connections whose endpoint is in none of their allowed regions now."""
         found = []
         for number, order in self.orders.items():
             request = self.requests.get(number)
-            if request is None or not request.begun or request.answered or request.endpoint is None:
+            if request is None or not request.established or request.answered or request.endpoint is None:
                 continue
-            if self.region_of(request.endpoint.zone) not in order:
+            if self._region_of(request.endpoint.zone) not in order:
                 found.append(number)
         return found
-
-
-class RegionalBalancer(Regional):
-    """The decision module where there are no pools."""
--- a/packages/residency/tests/test_residency.py
+++ b/packages/residency/tests/test_residency.py
@@ -19,8 +19,8 @@
 
 def gateway(endpoints: int = 9) -> Any:
     """Servers 1 to 9, three in each region; requests from 100 on are ruled."""
-    balancer = RegionalBalancer(replace(SETTINGS, max_retry_after_ms=1500.0), 1)
-    balancer.region_of = lambda zone: REGIONS.get(zone, "")
+    settings = replace(SETTINGS, max_retry_after_ms=1500.0)
+    balancer = RegionalBalancer(settings, 1, lambda zone: REGIONS.get(zone, ""))
     made: Any = Gateway(SETTINGS, endpoints=0, balancer=balancer)
     made.do(listed(*(entry(i, zone=(i - 1) // 3) for i in range(1, endpoints + 1))))
     return made
@@ -119,11 +119,11 @@
     for request in range(100, 110):
         ask(made, request, "south")
         made.begin(request)
-    assert made.balancer.outside() == []
+    assert made.balancer.connections_outside_regions() == []
     made.balancer.orders[103] = ("north",)
-    assert made.balancer.outside() == [103]
+    assert made.balancer.connections_outside_regions() == [103]
     made.do(listed(entry(4, zone=7), entry(5, zone=7), entry(6, zone=7), kind=ListUpdateKind.CHANGES, version=2))
-    assert len(made.balancer.outside()) == 10  # their zone changed in the list
+    assert len(made.balancer.connections_outside_regions()) == 10  # their zone changed in the list
 
 
 # Books
--- a/puffindeck/client_side/even.py
+++ b/puffindeck/client_side/ring_smoothing.py
@@ -14,13 +14,12 @@
 from collections.abc import Mapping
 
 from puffindeck.hashes import mixed
+from puffindeck.policy.hash_ring import Ring
 
 SPAN = 1 << 30  # points on the ring, as `hashes.points` draws them
 
-Ring = tuple[list[int], dict[int, int]]  # the points in order, and whose each is
 
-
-def evened(points: list[int], owners: Mapping[int, int], sizes: Mapping[int, float], bound: float) -> Ring:
+def smooth(points: list[int], owners: Mapping[int, int], sizes: Mapping[int, float], bound: float) -> Ring:
     """The ring with no share over `bound` times its server's due.
 
     `points` are in order and `owners` has the server of each; an arc ends at its point. `sizes` says what is
@@ -31,7 +30,7 @@
         raise ValueError(f"a bound of {bound:g} leaves arcs without an owner")
     total = sum(size for size in sizes.values() if size > 0)
     if not points or total <= 0:
-        return list(points), dict(owners)
+        return Ring(list(points), dict(owners))
     room = {endpoint: bound * SPAN * size / total for endpoint, size in sizes.items() if size > 0}
     arcs: dict[int, list[tuple[int, int]]] = {}  # by owner: an arc's end and its length
     before = points[-1] - SPAN
@@ -51,7 +50,7 @@
                 over.append((end - part, length - part))
     _spill(sorted(over), points, owners, room, kept)
     ring = {end % SPAN: endpoint for end, endpoint in kept.items()}
-    return sorted(ring), ring
+    return Ring(sorted(ring), ring)
 
 
 def _spill(
--- a/puffindeck/net/joining.py
+++ b/puffindeck/net/joining.py
@@ -56,8 +56,7 @@
             books = Books(
                 self.told.name, rules.book, read_book, installed.voters, rules.stale_ms, rules.refuses
             )
-            balancer = RegionalBalancer(settings, self.told.seed)
-            balancer.region_of = self._region_of(books)
+            balancer = RegionalBalancer(settings, self.told.seed, self._region_of(books))
         governor = Governor(
             balancer,
             settings,
--- a/puffindeck/net/parts.py
+++ b/puffindeck/net/parts.py
@@ -29,14 +29,14 @@
     """The decision module; one for each tier where there are pools; on an evened ring if asked."""
     settings, seed = told.settings, told.seed
     if told.routing is not None:
-        from puffindeck.routing import Pooled
+        from puffindeck.routing import PoolRouter
 
-        return Pooled(told.routing, settings, seed, directory.number, directory.name)
+        return PoolRouter(told.routing, settings, seed, directory.number, directory.name)
     if not settings.evenness:
         return Balancer(settings, seed)
-    from puffindeck.client_side import EvenBalancer  # stays out of a node that has no use for it
+    from puffindeck.client_side import SmoothedRingBalancer  # stays out of a node that has no use for it
 
-    return EvenBalancer(settings, seed)
+    return SmoothedRingBalancer(settings, seed)
 
 
 class Parts:
--- a/puffindeck/net/succession.py
+++ b/puffindeck/net/succession.py
@@ -34,7 +34,7 @@
         """For a process that may follow: it would send its first clients to strained hosts again."""
         self.deadlines.after(WORD, self._leave_word)
         if self.ready and self.leaving is None:
-            ceilings = self.engine.balancer.ceilings()
+            ceilings = self.engine.balancer.load_limits()
             with suppress(OSError):
                 self.generation.leave_word(
                     {self.directory.name(s): c for s, c in ceilings.items()}, monotonic_ms()
--- a/puffindeck/policy/__init__.py
+++ b/puffindeck/policy/__init__.py
@@ -1,8 +1,13 @@
-"""All decisions of the balancer. Its types, events and actions are in puffindeck/interface.py.
+"""All decisions of one gateway: where a request goes, whether it is retried, what is rejected or migrated.
 
-A connection's key is hashed onto a ring of virtual nodes; it goes to the first server clockwise whose load
-from this gateway is under BOUND x the mean per ready server, else spills onward. All else is for when that
-breaks (docs/design.md). Each module stands on the one before: known, cold, ring, ... attempts, balancer.
+`puffindeck/interface.py` has the settings, events and actions. `Balancer` composes one object for each part
+of a decision and dispatches the events to them. There is no I/O and no clock; randomness is seeded.
+
+A connection's key is hashed onto a ring of virtual nodes. The connection goes to the first endpoint clockwise
+whose load from this gateway is under the bound times the mean of the ready endpoints, else it spills onward
+(consistent hashing with bounded loads). docs/design.md describes what happens where that does not suffice.
 """
 
-from puffindeck.policy.balancer import Balancer as Balancer
+from puffindeck.policy.balancer import Balancer
+
+__all__ = ["Balancer"]
--- /dev/null
+++ b/puffindeck/policy/group_plan.py
@@ -0,0 +1,89 @@
+"""Over how many endpoints each busy group is spread, computed alike by all gateways."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+from heapq import nlargest
+
+from puffindeck.hashes import mixed
+from puffindeck.policy.capacity import CapacityModel
+from puffindeck.policy.context import DecisionContext
+from puffindeck.policy.endpoint_registry import EndpointRegistry
+from puffindeck.policy.hash_ring import HashRing, clockwise
+from puffindeck.policy.records import INF
+from puffindeck.policy.traffic_shares import TrafficShares
+
+PLAN_LIFETIME_MS = 500.0
+PLANNED_GROUPS = 64  # those seen most
+
+
+@dataclass(slots=True, frozen=True)
+class GroupSpread:
+    """How many endpoints a group's share fills, and the part of all load that earlier groups take of each."""
+
+    endpoint_count: int = 1
+    taken_shares: dict[int, float] = field(default_factory=dict)
+
+
+UNPLANNED = GroupSpread()
+NO_GROUP = GroupSpread(0)
+
+
+class GroupPlan:
+    """Bounded loads, as expected: groups in one order at all gateways, each clockwise into the room left.
+
+    No gateway's own counts tell that where each of many holds few connections.
+    """
+
+    __slots__ = ("_capacities", "_context", "_hash_ring", "_registry", "_shares", "_spreads", "made_ms")
+
+    def __init__(
+        self,
+        context: DecisionContext,
+        registry: EndpointRegistry,
+        capacities: CapacityModel,
+        hash_ring: HashRing,
+        shares: TrafficShares,
+    ) -> None:
+        self._context = context
+        self._registry = registry
+        self._capacities = capacities
+        self._hash_ring = hash_ring
+        self._shares = shares
+        self._spreads: dict[int, GroupSpread] = {}
+        self.made_ms = -INF
+
+    def invalidate(self) -> None:
+        """Compute the plan anew when it is next needed."""
+        self.made_ms = -INF
+
+    def spread_of(self, group: int) -> GroupSpread:
+        """The spread of a group, from a plan that is at most PLAN_LIFETIME_MS old."""
+        now_ms = self._context.now_ms
+        is_missing = group not in self._spreads and len(self._spreads) < PLANNED_GROUPS
+        if now_ms - self.made_ms > PLAN_LIFETIME_MS or is_missing:
+            self._compute()
+            self.made_ms = now_ms
+        return self._spreads.get(group, UNPLANNED)
+
+    def _compute(self) -> None:
+        self._spreads = {}
+        counts = self._shares.counts
+        used = dict.fromkeys(self._registry.ready, 0.0)
+        for group in sorted(nlargest(PLANNED_GROUPS, counts, lambda key: counts[key])):
+            self._spreads[group] = self._fill(group, used)
+
+    def _fill(self, group: int, used: dict[int, float]) -> GroupSpread:
+        """Fill endpoints clockwise with a group's share; `used` is updated."""
+        scale = self._context.bound / max(1e-9, self._capacities.zone_capacities[None])
+        before = used.copy()
+        rest = self._shares.group_share(group)
+        count = 0
+        for endpoint in clockwise(self._hash_ring.ring, mixed(group), self._registry.endpoints):
+            part = min(rest, max(0.0, scale * endpoint.capacity - used[endpoint.id]))
+            used[endpoint.id] += part
+            rest -= part
+            count += 1
+            if rest <= 0:
+                break
+        return GroupSpread(count, before)
--- /dev/null
+++ b/puffindeck/policy/load_accounting.py
@@ -0,0 +1,167 @@
+"""The load that this gateway has at each endpoint, by connection, group and class."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+
+from puffindeck.hashes import lot
+from puffindeck.interface import LoadReported, Settings
+from puffindeck.policy.context import DecisionContext
+from puffindeck.policy.records import INF, Endpoint, Request
+
+GROUP_COST = 2.5  # mean connections that an endpoint pays for a group's first one; a guess, reported nowhere
+MINIMUM_MEAN_LOAD = 1e-9
+FULL_SAMPLE = 20  # connections with a reported load from which a class's mean is taken over at once
+
+
+class LoadAccounting:
+    """Loads of endpoints and classes, attempts that are pending, and requests by tenant."""
+
+    __slots__ = (
+        "_class_loads",
+        "_class_names",
+        "_context",
+        "_requests",
+        "in_use",
+        "mean_load",
+        "pending_attempts",
+        "placed_requests",
+        "tenant_requests",
+    )
+
+    def __init__(self, context: DecisionContext, requests: Mapping[int, Request]) -> None:
+        self._context = context
+        self._requests = requests
+        self._class_names = [c.name for c in context.settings.classes]
+        self._class_loads = [0.0] * len(self._class_names)  # means as reported; 0: none yet
+        self.mean_load = 1.0  # of a connection
+        self.in_use: dict[int, Endpoint] = {}  # endpoints with connections or a load limit
+        self.placed_requests = 0  # with an established connection, or an attempt that is pending
+        self.pending_attempts = 0
+        self.tenant_requests: dict[int, int] = {}
+
+    def apply(self, settings: Settings) -> None:
+        """Keep the loads of classes by their names where settings number them anew."""
+        known = dict(zip(self._class_names, self._class_loads, strict=True))
+        self._class_names = [c.name for c in settings.classes]
+        self._class_loads = [known.get(name, 0.0) for name in self._class_names]
+
+    def class_load(self, cls: int) -> float:
+        """The load that a connection of a class is expected to bring."""
+        return self._class_loads[cls] or self.mean_load
+
+    def group_cost(self, request: Request, endpoint: Endpoint) -> float:
+        """What an endpoint would pay for a request's group, over the request's own load."""
+        if not request.group or request.group in endpoint.groups:
+            return 0.0
+        return GROUP_COST * self.mean_load
+
+    def record_request(self, request: Request) -> None:
+        """Count a request for its tenant."""
+        self.tenant_requests[request.tenant] = self.tenant_requests.get(request.tenant, 0) + 1
+
+    def remove_request(self, request: Request) -> None:
+        """A request is over."""
+        self.tenant_requests[request.tenant] -= 1
+
+    def begin_attempt(self, request: Request, endpoint: Endpoint) -> None:
+        """An attempt is sent to an endpoint."""
+        endpoint.pending_attempts += 1
+        self.pending_attempts += 1
+        self.add_connection(request, endpoint)
+
+    def establish(self, endpoint: Endpoint) -> None:
+        """A pending attempt's connection is established."""
+        endpoint.pending_attempts -= 1
+        self.pending_attempts -= 1
+
+    def add_connection(self, request: Request, endpoint: Endpoint) -> None:
+        """Add a request's load to an endpoint."""
+        request.endpoint = endpoint
+        endpoint.connections[request.id] = request
+        self.placed_requests += 1
+        self.in_use[endpoint.id] = endpoint
+        endpoint.load += request.load
+        if request.group:
+            count = endpoint.groups.get(request.group, 0)
+            endpoint.groups[request.group] = count + 1
+            if not count:
+                endpoint.load += GROUP_COST * self.mean_load
+
+    def remove_connection(self, request: Request) -> None:
+        """Take a request's load off its endpoint, if it has one."""
+        endpoint = request.endpoint
+        if endpoint is None or endpoint.connections.pop(request.id, None) is None:
+            return
+        self.placed_requests -= 1
+        request.endpoint = None
+        endpoint.load -= request.load
+        if not request.established:
+            self.establish(endpoint)
+        if request.group:
+            count = endpoint.groups[request.group] - 1
+            if count:
+                endpoint.groups[request.group] = count
+            else:
+                del endpoint.groups[request.group]
+                endpoint.load -= GROUP_COST * self.mean_load
+
+    def on_load_reported(self, event: LoadReported) -> None:
+        """A connection's load is now another."""
+        request = self._requests.get(event.request)
+        if request is None or request.endpoint is None:
+            return
+        request.endpoint.load += event.load - request.load
+        request.load = event.load
+        request.load_is_reported = True
+
+    def recompute_loads(self) -> None:
+        """Compute class means from the reported loads, then each endpoint's load from its connections."""
+        self._update_class_loads()
+        for endpoint in self.in_use.values():
+            endpoint.load = GROUP_COST * self.mean_load * len(endpoint.groups)
+            for request in endpoint.connections.values():
+                if not request.load_is_reported:
+                    request.load = self.class_load(request.cls)
+                endpoint.load += request.load
+
+    def _update_class_loads(self) -> None:
+        loads = self._class_loads
+        sums = [0.0] * len(loads)
+        counts = [0] * len(loads)
+        for request in self._requests.values():
+            if request.load_is_reported and request.established:
+                sums[request.cls] += request.load
+                counts[request.cls] += 1
+        for cls, count in enumerate(counts):
+            if count:
+                before = loads[cls] or sums[cls] / count
+                loads[cls] = before + (sums[cls] / count - before) * min(1.0, count / FULL_SAMPLE)
+        if sum(counts):
+            self.mean_load = max(MINIMUM_MEAN_LOAD, sum(sums) / sum(counts))
+
+    # Load limits
+
+    def has_capacity(self, endpoint: Endpoint, request: Request) -> bool:
+        """Whether a request, with its group's cost where that is new there, fits under the load limit."""
+        if endpoint.load_limit == INF:
+            return True
+        extra = self.group_cost(request, endpoint)
+        if endpoint.connections:
+            return endpoint.load + extra + request.load <= endpoint.load_limit
+        # An empty one by chance, the same at each try: gateways that all round up would fill it again.
+        return lot(request.id, endpoint.id) * (extra + request.load) <= endpoint.load_limit
+
+    def restore_limit(self, endpoint: Endpoint, load_limit: float) -> None:
+        """Take over a load limit that an earlier process has found."""
+        self.in_use[endpoint.id] = endpoint
+        endpoint.load_limit = min(endpoint.load_limit, load_limit)
+        endpoint.load_limit_lowered_ms = self._context.now_ms
+
+    def load_limits(self) -> dict[int, float]:
+        """What endpoints have been seen to bear, for the process that follows this one; INF: no limit."""
+        return {endpoint.id: endpoint.load_limit for endpoint in self.in_use.values()}
+
+    def forget(self, endpoint: int) -> None:
+        """An endpoint is known no more."""
+        self.in_use.pop(endpoint, None)
--- a/puffindeck/policy/records.py
+++ b/puffindeck/policy/records.py
@@ -1,66 +1,111 @@
-"""What the decision module keeps of servers and requests. Nothing is decided here."""
+"""What the policy records of endpoints and requests. Nothing is decided here."""
 
 from __future__ import annotations
 
 from puffindeck.hashes import mixed
-from puffindeck.interface import ConnectionRestored, Effect, EndpointStatus, RequestArrived, Scope, Settings
+from puffindeck.interface import (
+    ClassSettings,
+    ConnectionRestored,
+    Effect,
+    EndpointStatus,
+    RequestArrived,
+    Scope,
+    Settings,
+)
 
 INF = float("inf")
 
 
 class Endpoint:
-    """What this gateway knows of a server: the list's word, its own load there, and how it has done."""
-
-    # defaults stand on the class: a list names many servers, and a gateway comes to use few of them
-    zone = kind = cell = -1
-    state, weight, started = EndpointStatus.GONE, 1.0, 0.0
-    size = 1.0  # its capacity against the others', warmth included
-    load = 0.0
-    pending = 0  # attempts out whose connection does not stand yet
-    fails = connect_fails = resets = 0
-    suspect_until = reset_ms = 0.0
-    ceiling, cut_ms = INF, -INF  # the most load it has been seen to bear; when last cut
-    delay, latency_ms, failed_ms, good_ms = 0.0, -INF, -INF, -INF
-    newest_ms = -INF  # when the newest of the attempts that came up was sent
-    back_ms = turn_ms = -INF  # when it was last put back, and when this gateway may see whether it serves
-    credit, credit_ms = 0.0, -INF  # connections that it may be sent while cold, and when that was reckoned
+    """What this gateway knows of an endpoint: its entry in the list, its load from here and its outcomes.
+
+    Defaults are class attributes: a list names many endpoints, and a gateway comes to use few of them. Times
+    are milliseconds, -INF for "never".
+    """
+
+    # As the endpoint list has it
+    zone = -1
+    kind = -1
+    cell = -1
+    state = EndpointStatus.GONE
+    weight = 1.0
+    started_ms = 0.0  # when it started; 0: not known, it counts as warm
+
+    capacity = 1.0  # relative to the other endpoints, slow start included
+    load = 0.0  # of this gateway's connections
+    pending_attempts = 0  # attempts whose connection is not established yet
+
+    # Outlier detection
+    consecutive_failures = 0
+    connect_failures = 0  # in a row
+    resets = 0  # established connections that were reset since `resets_since_ms`
+    resets_since_ms = 0.0
+    ejected_until_ms = 0.0
+    last_failure_ms = -INF
+    last_success_ms = -INF
+    newest_established_sent_ms = -INF  # when the newest of its attempts that were established was sent
+
+    # Load limit
+    load_limit = INF  # the most load that it has been seen to bear
+    load_limit_lowered_ms = -INF
+    message_latency_ms = 0.0  # as last reported
+    latency_reported_ms = -INF
+
+    # Slow start
+    reattached_ms = -INF  # when an operator last put it back, or a restart was inferred
+    trial_from_ms = -INF  # when this gateway may check whether a reattached endpoint serves
+    slow_start_credit = 0.0  # connections that it may be sent while it warms up
+    slow_start_credit_ms = -INF  # when that was last computed
 
     def __init__(self, endpoint: int) -> None:
         self.id = endpoint
-        self.connections: dict[int, Request] = {}
-        self.groups: dict[int, int] = {}
+        self.connections: dict[int, Request] = {}  # attempts and established connections, by request
+        self.groups: dict[int, int] = {}  # connections by group
 
-    def doubted(self, now: float) -> bool:
-        """Suspect, or let try again but with one attempt at a time."""
-        return now < self.suspect_until or (self.fails > 0 and self.pending > 0)
+    def is_avoided(self, now_ms: float) -> bool:
+        """Whether it is ejected, or has failed and is being tried with one attempt at a time."""
+        return now_ms < self.ejected_until_ms or (self.consecutive_failures > 0 and self.pending_attempts > 0)
 
 
 class Request:
-    """A request from its arrival to its last outcome."""
+    """A request from its arrival to its last outcome. Times are milliseconds."""
 
     attempts = 0
-    endpoint: Endpoint | None = None  # where its attempt is out, or its connection stands
-    out = begun = answered = mid_flow = returning = False
-    ran: Endpoint | None = None  # where the first attempt that may have run was sent, and when
-    ran_ms = sent_ms = came_ms = 0.0
+    endpoint: Endpoint | None = None  # of its current attempt or established connection
+    in_progress = False  # an attempt is pending, or its connection is established
+    established = False
+    answered = False  # finally answered, or migrated
+    mid_flow = False
+    returning = False
+    first_run_endpoint: Endpoint | None = None  # of the first attempt that may have run
+    first_run_ms = 0.0  # when that was sent
+    sent_ms = 0.0  # when the current attempt was sent
+    arrived_ms = 0.0
 
     def __init__(
-        self, event: RequestArrived | ConnectionRestored, settings: Settings, load: float, deadline: float
+        self, event: RequestArrived | ConnectionRestored, settings: Settings, load: float, deadline_ms: float
     ) -> None:
-        self.id, self.cls, self.tenant = event.request, event.cls, event.tenant
-        self.rules, self.most = settings.classes[event.cls], settings.max_attempts
+        self.id = event.request
+        self.cls = event.cls
+        self.tenant = event.tenant
+        self.rules: ClassSettings = settings.classes[event.cls]
+        self.max_attempts = settings.max_attempts
         self.group = event.group
         self.key = event.group or event.key
-        self.hash, self.lot = mixed(self.key or event.request), event.key or event.request
-        self.deadline, self.load, self.told = deadline, load, event.hint > 0
+        self.hash = mixed(self.key or event.request)
+        self.spread_key = event.key or event.request  # tells members of one group apart
+        self.deadline_ms = deadline_ms
+        self.load = load
+        self.load_is_reported = event.hint > 0
         self.tried: set[int] = set()
-        self.failed_at: list[Endpoint] = []  # where it was not served though the server spoke: whose fault?
+        # endpoints that answered but did not serve it: request or endpoint may be at fault
+        self.inconclusive_failures: list[Endpoint] = []
 
     def is_safe_to_retry(self) -> bool:
-        """Would a second run of it change nothing, as far as is known (rule 2)?"""
-        effect, scope = self.rules.effect, self.rules.scope
+        """Whether a second run would change nothing, as far as is known."""
+        effect = self.rules.effect
         return (
             effect == Effect.IDEMPOTENT
-            or (effect == Effect.IDEMPOTENCY_KEY and scope == Scope.ALL)
-            or not self.ran
+            or (effect == Effect.IDEMPOTENCY_KEY and self.rules.scope == Scope.ALL)
+            or not self.first_run_endpoint
         )
--- /dev/null
+++ b/puffindeck/policy/request_lifecycle.py
@@ -0,0 +1,289 @@
+"""The life of a request from its arrival to its one final answer and the end of its connection."""
+
+from __future__ import annotations
+
+from typing import NamedTuple
+
+from puffindeck.interface import (
+    NOT_PROCESSED,
+    AttemptEnded,
+    AttemptEstablished,
+    Cancel,
+    ClientDisconnected,
+    ConnectionRestored,
+    Fail,
+    Migrate,
+    Outcome,
+    Reject,
+    RequestAborted,
+    RequestArrived,
+    Send,
+)
+from puffindeck.policy.outlier_detection import OutlierDetector
+from puffindeck.policy.placement import EndpointChooser
+from puffindeck.policy.rebalancing import Rebalancer
+from puffindeck.policy.records import INF, Endpoint, Request
+from puffindeck.policy.retry_policy import RETRY_MS, RetryPolicy
+from puffindeck.policy.strategies import GatewayState, Strategies, Verdict
+
+QUICKER_ENDPOINTS = 2  # that have established later attempts, from which a slow attempt is cancelled
+QUICKER_ENDPOINTS_ON_TRIAL = 1  # the same where its endpoint has failed before
+
+
+class SentAttempt(NamedTuple):
+    """An attempt that is looked at again while it is pending."""
+
+    request: Request
+    number: int  # from 1
+
+
+class RequestLifecycle:
+    """When a request is sent, retried, rejected or given up."""
+
+    __slots__ = (
+        "_context",
+        "_gates",
+        "_listeners",
+        "_loads",
+        "_outliers",
+        "_placement",
+        "_rebalancer",
+        "_requests",
+        "_retries",
+        "_slow_attempt_limit",
+        "_state",
+        "_timers",
+    )
+
+    def __init__(
+        self,
+        state: GatewayState,
+        strategies: Strategies,
+        outliers: OutlierDetector,
+        rebalancer: Rebalancer,
+        placement: EndpointChooser,
+        retries: RetryPolicy,
+    ) -> None:
+        self._state = state
+        self._context = state.context
+        self._timers = state.timers
+        self._requests = state.requests
+        self._loads = state.loads
+        self._gates = strategies.gates
+        self._listeners = strategies.listeners
+        self._slow_attempt_limit = strategies.slow_attempt_limit
+        self._outliers = outliers
+        self._rebalancer = rebalancer
+        self._placement = placement
+        self._retries = retries
+
+    # Events
+
+    def on_request_arrived(self, event: RequestArrived) -> None:
+        """Place a new request."""
+        for listener in self._listeners:
+            listener.request_arrived()
+        if event.request in self._requests:
+            return
+        context = self._context
+        load = event.hint or self._loads.class_load(event.cls)
+        request = Request(event, context.settings, load, context.now_ms + event.remaining_ms)
+        request.mid_flow = event.mid_flow
+        request.returning = event.returning
+        request.arrived_ms = context.now_ms
+        self._accept(request)
+        self._state.slow_start.record_arrival()
+        self._timers.schedule(request.deadline_ms, self._on_deadline, request)
+        self._place(request)
+
+    def on_connection_restored(self, event: ConnectionRestored) -> None:
+        """Take over a connection from before the start of this instance."""
+        if event.request in self._requests:
+            return
+        load = event.hint or self._loads.class_load(event.cls)
+        request = Request(event, self._context.settings, load, INF)
+        request.attempts = 1
+        request.in_progress = True
+        request.established = True
+        self._accept(request)
+        self._loads.add_connection(request, self._state.registry.get_or_add(event.endpoint))
+
+    def on_attempt_established(self, event: AttemptEstablished) -> None:
+        """The connection of a pending attempt is established."""
+        request = self._requests.get(event.request)
+        if request is None or request.endpoint is None or request.established:
+            return
+        request.established = True
+        endpoint = request.endpoint
+        self._loads.establish(endpoint)
+        self._state.slow_start.end_trial(endpoint.id)
+        self._outliers.record_success(endpoint, request)
+        if request.answered:
+            self._context.actions.append(Migrate(request.id))
+        else:
+            self._rebalancer.migrate_if_detached(request)
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """An attempt or a connection has ended: place the request again, or remove it."""
+        request = self._requests.get(event.request)
+        if request is None:
+            return
+        for listener in self._listeners:
+            listener.attempt_ended(request, event)
+        if not request.in_progress or event.attempt != request.attempts - 1:
+            return
+        endpoint = request.endpoint
+        self._loads.remove_connection(request)
+        request.in_progress = False
+        if endpoint is not None:
+            self._outliers.record_outcome(endpoint, request, event)
+        if event.outcome in NOT_PROCESSED and request.first_run_ms == request.sent_ms:
+            request.first_run_endpoint = None  # the first that may have run did not
+        if event.outcome == Outcome.NO_RESOURCE:
+            request.max_attempts += 1
+        if event.final or request.answered:
+            self._remove(request)
+        else:
+            self._retry(request, event.outcome)
+
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """The client does not wait any more."""
+        request = self._requests.get(event.request)
+        if request is not None:
+            self._close(request)
+
+    def on_request_aborted(self, event: RequestAborted) -> None:
+        """The gateway ends. What is safe to retry may be rejected too while an attempt is pending."""
+        request = self._requests.get(event.request)
+        if request is not None and not request.answered and not request.established:
+            self._answer(request, request.is_safe_to_retry())
+
+    # Attempts
+
+    def _accept(self, request: Request) -> None:
+        self._requests[request.id] = request
+        for listener in self._listeners:
+            listener.request_accepted(request)
+        self._loads.record_request(request)
+        self._state.shares.record(request)
+
+    def _place(self, request: Request) -> None:
+        """Send a request to an endpoint, or have it wait while one may still appear."""
+        if request.answered or request.in_progress or request.id not in self._requests:
+            return
+        for gate in self._gates:
+            verdict = gate.review(request)
+            if verdict is Verdict.ANSWER:
+                self._answer(request)
+                return
+            if verdict is Verdict.RELEASE:
+                request.answered = True  # here; its answer is owed elsewhere
+                self._remove(request)
+                gate.release(request)
+                return
+        now_ms = self._context.now_ms
+        if request.attempts >= request.max_attempts or now_ms >= request.deadline_ms:
+            self._answer(request)
+        elif self._loads.pending_attempts >= self._outliers.concurrency_limit:
+            self._timers.schedule(now_ms + RETRY_MS, self._place, request)
+        else:
+            self._choose(request)
+
+    def _choose(self, request: Request) -> None:
+        endpoint, within_bound = self._placement.choose(request)
+        if endpoint is None:
+            if self._retries.has_waited_enough(request, within_bound):
+                self._answer(request)
+            else:
+                again_ms = self._context.now_ms + self._retries.waiting_ms(request)
+                self._timers.schedule(again_ms, self._place, request)
+        elif not within_bound and request.attempts == 0 and self._retries.is_over_quota(request):
+            self._answer(request)
+        else:
+            self._send(request, endpoint)
+
+    def _send(self, request: Request, endpoint: Endpoint) -> None:
+        now_ms = self._context.now_ms
+        timeout_ms = self._retries.attempt_timeout_ms(request)
+        if self._context.settings.can_cancel and self._retries.can_retry_after_slow_attempt(request):
+            # whether this endpoint is slow, or all of them, shows only later
+            sent = SentAttempt(request, request.attempts + 1)
+            self._timers.schedule(now_ms + request.rules.latency_objective_ms, self._review_slow, sent)
+        if endpoint.started_ms > 0 and self._state.capacities.warmth(endpoint) < 1.0:
+            self._state.slow_start.charge(request, endpoint)
+        start_within_ms = self._retries.start_within_ms(request)
+        request.attempts += 1
+        request.in_progress = True
+        request.sent_ms = now_ms
+        request.tried.add(endpoint.id)
+        if request.first_run_endpoint is None:
+            request.first_run_endpoint = endpoint
+            request.first_run_ms = now_ms
+        self._loads.begin_attempt(request, endpoint)
+        self._context.actions.append(Send(request.id, endpoint.id, timeout_ms, start_within_ms))
+
+    def _review_slow(self, sent: SentAttempt) -> None:
+        """Cancel a slow attempt where others, sent later, were established meanwhile.
+
+        An attempt cancelled while all are slow is work for nobody, and the next one more of it.
+        """
+        request, number = sent
+        endpoint = request.endpoint
+        if request.attempts != number or request.established or request.answered or endpoint is None:
+            return
+        if self._is_too_slow(request, endpoint):
+            self._outliers.record_failure(endpoint)
+            self._context.actions.append(Cancel(request.id, number - 1))
+        else:
+            again_ms = self._context.now_ms + request.rules.latency_objective_ms / 2
+            self._timers.schedule(again_ms, self._review_slow, sent)
+
+    def _is_too_slow(self, request: Request, endpoint: Endpoint) -> bool:
+        limit = self._slow_attempt_limit
+        if limit is not None and self._context.now_ms >= limit.give_up_ms(request):
+            return True
+        if endpoint.newest_established_sent_ms >= request.sent_ms:
+            return False
+        needed = QUICKER_ENDPOINTS_ON_TRIAL if endpoint.consecutive_failures else QUICKER_ENDPOINTS
+        return self._outliers.quicker_endpoints(request.sent_ms) >= needed
+
+    def _retry(self, request: Request, outcome: Outcome) -> None:
+        if outcome == Outcome.NO_RESOURCE:
+            self._timers.schedule(self._context.now_ms + RETRY_MS, self._place, request)
+        elif outcome == Outcome.CONNECT_FAILED or request.attempts == 1:
+            self._place(request)
+        else:
+            again_ms = self._context.now_ms + self._retries.backoff_ms(request)
+            self._timers.schedule(again_ms, self._place, request)
+
+    # Answers
+
+    def _on_deadline(self, request: Request) -> None:
+        if not request.answered and not request.established and self._requests.get(request.id) is request:
+            self._answer(request)
+
+    def _answer(self, request: Request, reject: bool | None = None) -> None:
+        """Give the one final answer; a rejection only where a retry is known to do no harm."""
+        if reject is None:
+            reject = request.is_safe_to_retry() and not request.in_progress
+        if reject:
+            self._context.actions.append(Reject(request.id, self._retries.retry_after_ms(request)))
+        else:
+            self._context.actions.append(Fail(request.id))
+        self._close(request)
+
+    def _close(self, request: Request) -> None:
+        """Nothing more is owed; an attempt that is still pending is followed to its outcome."""
+        if request.answered:
+            return
+        request.answered = True
+        if not request.in_progress:
+            self._remove(request)
+        elif self._context.settings.can_cancel and not request.established:
+            self._context.actions.append(Cancel(request.id, request.attempts - 1))
+
+    def _remove(self, request: Request) -> None:
+        del self._requests[request.id]
+        self._loads.remove_request(request)
+        for listener in self._listeners:
+            listener.request_removed(request)
--- a/puffindeck/routing/__init__.py
+++ b/puffindeck/routing/__init__.py
@@ -2,14 +2,14 @@
 
 A request's route is found in a table (`table`), by conditions on what its front knows of it (`conditions`).
 Its pool has tiers: the servers that serve, then what stands in for them (`pools`). On each tier one instance
-of the decision module places, retries and refuses by its own rules (`tier`); `pooled` is what the engine
-talks to.
+of the decision module places, retries and rejects by its own rules (`tier`); `pool_router`
+is what the engine talks to.
 docs/design/routing.md has the ways weighed.
 """
 
 from puffindeck.routing.conditions import Condition, ConditionError, View
-from puffindeck.routing.pooled import Pooled
+from puffindeck.routing.pool_router import PoolRouter
 from puffindeck.routing.pools import Pool, Routing
 from puffindeck.routing.table import Route, RouteTable
 
-__all__ = ["Condition", "ConditionError", "Pool", "Pooled", "Route", "RouteTable", "Routing", "View"]
+__all__ = ["Condition", "ConditionError", "Pool", "PoolRouter", "Route", "RouteTable", "Routing", "View"]
--- /dev/null
+++ b/puffindeck/routing/pool_router.py
@@ -0,0 +1,376 @@
+"""One gateway's decisions over all pools, in place of a single Balancer."""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass, replace
+from random import Random
+from typing import Any, NamedTuple
+
+from puffindeck.hashes import lot
+from puffindeck.interface import (
+    Action,
+    AttemptEnded,
+    AttemptEstablished,
+    Cancel,
+    ClientDisconnected,
+    ConnectionInfo,
+    ConnectionRestored,
+    EndpointAttached,
+    EndpointDetached,
+    EndpointEntry,
+    EndpointListUpdated,
+    EndpointStatus,
+    Event,
+    Fail,
+    LatencyReported,
+    LoadLimitRestored,
+    LoadReported,
+    Log,
+    Reject,
+    RequestAborted,
+    RequestArrived,
+    ScheduleTimer,
+    Settings,
+    SettingsChanged,
+    TimerFired,
+    WatchEndpoints,
+)
+from puffindeck.policy.records import Request
+from puffindeck.routing.conditions import View
+from puffindeck.routing.pools import Pool, Routing, named
+from puffindeck.routing.tier import TierBalancer
+
+UNKNOWN = ConnectionInfo()
+RETRY_AFTER_MS = 1000.0  # a client that has no place now may come again about then
+
+
+class Tier:
+    """A tier of a pool, and whether it serves."""
+
+    def __init__(self, pool: PoolState, number: int, balancer: TierBalancer) -> None:
+        self.pool = pool
+        self.number = number  # from 0, in the order in which tiers are tried
+        self.balancer = balancer
+        self.is_down = False
+        self.is_recovering = False  # up again, and not all of it warm yet
+
+    def connection_count(self) -> int:
+        """Connections and attempts that it has."""
+        return self.balancer.connection_count()
+
+
+class PoolState:
+    """A pool and its tiers."""
+
+    def __init__(self, config: Pool) -> None:
+        self.config = config
+        self.tiers: list[Tier] = []
+
+    def connection_count(self) -> int:
+        """Connections and attempts that it has."""
+        return sum(tier.connection_count() for tier in self.tiers)
+
+    def is_full(self) -> bool:
+        """Whether it has as many connections as its limit allows."""
+        return bool(self.config.limit) and self.connection_count() >= self.config.limit
+
+
+@dataclass(slots=True)
+class RequestLocation:
+    """Where a request is."""
+
+    tier: Tier
+    arrival: RequestArrived | None  # None: its connection is from before the start
+    earlier_attempts: int = 0  # that other tiers have made
+
+
+class TierTimer(NamedTuple):
+    """A timer that a tier has asked for, by the tier's own token."""
+
+    tier: Tier
+    token: int
+
+
+class PoolRouter:
+    """Finds each request's pool and tier; that tier's Balancer does all else.
+
+    `number` and `name` say which endpoint a name stands for, and back. It has Balancer's own interface:
+    events and a moment in milliseconds in, actions out.
+    """
+
+    def __init__(
+        self,
+        routing: Routing,
+        settings: Settings,
+        seed: int,
+        number: Callable[[str], int],
+        name: Callable[[int], str],
+    ) -> None:
+        self.routing = routing
+        self.settings = settings
+        self._number = number
+        self._name = name
+        self.random = Random(seed)
+        self.now = 0.0
+        self.pools: dict[str, PoolState] = {}
+        self.tiers: list[Tier] = []
+        for pool in routing.pools:
+            self._add_pool(pool)
+        self.locations: dict[int, RequestLocation] = {}
+        self._timers: dict[int, TierTimer] = {}
+        self._timer_count = 0
+        self._is_started = False
+        self._actions: list[Action] = []
+        self._handlers = self._event_handlers()
+
+    def _add_pool(self, pool: Pool) -> None:
+        state = self.pools[pool.name] = PoolState(pool)
+        for i in range(len(pool.tiers)):
+            seed = self.random.getrandbits(32)
+            balancer = self._tier_balancer(pool.settings(self.settings), seed, state)
+            balancer.set_limits(
+                {self._number(endpoint): limit for endpoint, limit in pool.server_limits.items()}
+            )
+            tier = Tier(state, i, balancer)
+            state.tiers.append(tier)
+            self.tiers.append(tier)
+
+    def _tier_balancer(self, settings: Settings, seed: int, pool: PoolState) -> TierBalancer:
+        return TierBalancer(settings, seed, self._should_leave, pool.connection_count)
+
+    def _event_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
+        return {
+            EndpointListUpdated: self._on_endpoints_listed,
+            RequestArrived: self._on_request_arrived,
+            ConnectionRestored: self._on_connection_restored,
+            TimerFired: self._on_timer_fired,
+            EndpointDetached: self._on_endpoint_event,
+            EndpointAttached: self._on_endpoint_event,
+            LoadLimitRestored: self._on_endpoint_event,
+            SettingsChanged: self._on_settings_changed,
+            AttemptEstablished: self._on_attempt_event,
+            AttemptEnded: self._on_attempt_event,
+            LoadReported: self._on_request_event,
+            LatencyReported: self._on_request_event,
+            ClientDisconnected: self._on_request_event,
+            RequestAborted: self._on_request_event,
+        }
+
+    def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
+        """Take in what has happened at this moment, in milliseconds, and return what is to be done."""
+        self.now = now_ms
+        self._actions = []
+        if not self._is_started:  # before any event a tier has actions of its own: it asks for the list
+            self._is_started = True
+            for tier in self.tiers:
+                self._dispatch(tier)
+        for event in events:
+            self._handlers[type(event)](event)
+        return self._actions
+
+    def load_limits(self) -> dict[int, float]:
+        """What endpoints have been seen to bear, for the process after this one: the least of any pool."""
+        found: dict[int, float] = {}
+        for tier in self.tiers:
+            for endpoint, limit in tier.balancer.load_limits().items():
+                found[endpoint] = min(limit, found.get(endpoint, limit))
+        return found
+
+    def usable(self, pool: str) -> int:
+        """How many endpoints of a pool are fit to serve now."""
+        return sum(len(tier.balancer.health.healthy()) for tier in self.pools[pool].tiers)
+
+    # To a tier and back
+
+    def _dispatch(self, tier: Tier, *events: Event) -> None:
+        """Hand events to a tier, and its actions on."""
+        for action in tier.balancer.handle(self.now, events):
+            self._forward(tier, action)
+        while (request := tier.balancer.take_released()) is not None:
+            self._fail_over(request)
+
+    def _forward(self, tier: Tier, action: Action) -> None:
+        """Hand an action of a tier on, with numbers that are unique over all tiers."""
+        if isinstance(action, ScheduleTimer):
+            self._timer_count += 1
+            self._timers[self._timer_count] = TierTimer(tier, action.token)
+            self._actions.append(ScheduleTimer(action.delay_ms, self._timer_count))
+        elif isinstance(action, WatchEndpoints):
+            if tier is self.tiers[0]:  # the list is asked for once, not by each tier
+                self._actions.append(action)
+        elif isinstance(action, Cancel):
+            earlier = self.locations[action.request].earlier_attempts
+            self._actions.append(Cancel(action.request, action.attempt + earlier))
+        else:
+            self._actions.append(action)
+            if isinstance(action, (Reject, Fail)):
+                self._forget_if_over(action.request)
+
+    def _forget_if_over(self, request: int) -> None:
+        """Forget a request that its tier has forgotten."""
+        location = self.locations.get(request)
+        if location is not None and request not in location.tier.balancer.requests:
+            del self.locations[request]
+
+    def _on_timer_fired(self, event: TimerFired) -> None:
+        timer = self._timers.pop(event.token, None)
+        if timer is not None:
+            self._dispatch(timer.tier, TimerFired(timer.token))
+
+    # The list, operators, settings
+
+    def _entry(self, pool: Pool, tier: int, entry: EndpointEntry) -> EndpointEntry | None:
+        """An endpoint as a tier is to see it; None where it is not in this tier."""
+        name = self._name(entry.endpoint)
+        if pool.tier_of(name) != tier:
+            return None
+        if entry.state == EndpointStatus.READY and named(name, pool.drained):
+            return replace(entry, state=EndpointStatus.DRAINING)
+        return entry
+
+    def _on_endpoints_listed(self, event: EndpointListUpdated) -> None:
+        for tier in self.tiers:
+            pool = tier.pool.config
+            entries = [
+                own for entry in event.entries if (own := self._entry(pool, tier.number, entry)) is not None
+            ]
+            self._dispatch(tier, EndpointListUpdated(event.kind, event.version, entries))
+
+    def _on_endpoint_event(self, event: EndpointDetached | EndpointAttached | LoadLimitRestored) -> None:
+        name = self._name(event.endpoint)
+        for tier in self.tiers:
+            if tier.pool.config.tier_of(name) == tier.number:
+                self._dispatch(tier, event)
+
+    def _on_settings_changed(self, event: SettingsChanged) -> None:
+        self.settings = event.settings
+        for tier in self.tiers:
+            self._dispatch(tier, SettingsChanged(tier.pool.config.settings(event.settings)))
+
+    # Requests
+
+    def _on_request_arrived(self, event: RequestArrived) -> None:
+        if event.request in self.locations:
+            return
+        cls = self.settings.classes[event.cls].name
+        name = self.routing.table.choose(View(event.facts or UNKNOWN, cls, self.usable, event.group))
+        pool = self.pools.get(name)
+        if pool is None or pool.is_full():
+            self._reject(event.request)
+            return
+        tier = self.choose_tier(pool, event.group or event.key or event.request)
+        self.locations[event.request] = RequestLocation(tier, event)
+        self._dispatch(tier, event)
+        self._forget_if_over(event.request)
+
+    def _reject(self, request: int) -> None:
+        wait_ms = RETRY_AFTER_MS * (0.5 + self.random.random())
+        self._actions.append(Reject(request, min(self.settings.max_retry_after_ms, wait_ms)))
+
+    def choose_tier(self, pool: PoolState, key: int) -> Tier:
+        """The first tier that is fit to serve; the first of all where none is.
+
+        A tier that recovers takes what it is warm enough for, by a lot on the key, and the rest stays with
+        what stood in for it. An endpoint that failed gets one request to show that it serves again.
+        """
+        for tier in pool.tiers:
+            tier.balancer.advance_to(self.now)
+            if tier.balancer.health.healthy():
+                if tier.is_down:
+                    self._set_down(tier, False)
+                if self._recovers_without(tier, key):
+                    continue
+                return tier
+            if not tier.is_down:
+                self._set_down(tier, True)
+            if tier.balancer.health.can_try_failed():
+                return tier
+        return next((tier for tier in pool.tiers if tier.balancer.ready), pool.tiers[0])
+
+    def _recovers_without(self, tier: Tier, key: int) -> bool:
+        """Whether a tier recovers, and is not warm enough for this key while a later one stands in."""
+        if not tier.is_recovering:
+            return False
+        warmth = tier.balancer.health.warmth()
+        tier.is_recovering = warmth < 1.0
+        later = tier.pool.tiers[tier.number + 1 :]
+        has_substitute = any(other.balancer.health.healthy() for other in later)
+        return has_substitute and lot(key, tier.number) >= warmth
+
+    def _set_down(self, tier: Tier, is_down: bool) -> None:
+        if is_down and tier.balancer.registry.list_version < 0:
+            return  # before the first list nothing is down
+        tier.is_down = is_down
+        tier.is_recovering = not is_down
+        if len(tier.pool.tiers) > 1:
+            state = "down" if is_down else "back"
+            self._actions.append(Log(f"pool {tier.pool.config.name}: tier {tier.number + 1} is {state}"))
+
+    # From one tier to another
+
+    def _should_leave(self, request: Request) -> bool:
+        """Whether a request that waits in a tier that can't serve it now is to be served by another."""
+        location = self.locations.get(request.id)
+        return location is not None and self._other_tier(location, request) is not None
+
+    def _other_tier(self, location: RequestLocation, request: Request) -> Tier | None:
+        """The tier that a waiting request should go on in. One that could not take it would send it back."""
+        tier = location.tier
+        candidates = tier.pool.tiers
+        if tier.balancer.health.healthy():
+            if not tier.is_recovering or tier.balancer.can_place(request):
+                return None
+            candidates = candidates[tier.number + 1 :]  # what stood in for it has the rest
+        elif tier.balancer.health.can_try_failed():
+            return None  # it is the one that tries whether an endpoint serves again
+        for other in candidates:
+            balancer = other.balancer
+            balancer.advance_to(self.now)
+            if other is not tier and balancer.health.healthy() and balancer.can_place(request):
+                return other
+        return None
+
+    def _fail_over(self, request: Request) -> None:
+        """Have another tier serve a request that its own has released."""
+        location = self.locations[request.id]
+        assert location.arrival is not None  # connections from before the start do not wait
+        remaining_ms = request.deadline_ms - self.now
+        tier = self._other_tier(location, request)
+        if tier is None or remaining_ms <= 0:
+            del self.locations[request.id]
+            if request.is_safe_to_retry():
+                self._reject(request.id)
+            else:  # a tier may have run it
+                self._actions.append(Fail(request.id))
+            return
+        location.tier = tier
+        location.earlier_attempts += request.attempts
+        request.attempts = location.earlier_attempts
+        tier.balancer.receive(request)
+        self._dispatch(tier, replace(location.arrival, remaining_ms=remaining_ms))
+        self._forget_if_over(request.id)
+
+    # Events of requests that have a tier
+
+    def _on_connection_restored(self, event: ConnectionRestored) -> None:
+        name = self._name(event.endpoint)
+        tier = next((t for t in self.tiers if t.pool.config.tier_of(name) == t.number), self.tiers[0])
+        self.locations[event.request] = RequestLocation(tier, None)
+        self._dispatch(tier, event)
+
+    def _on_attempt_event(self, event: AttemptEstablished | AttemptEnded) -> None:
+        location = self.locations.get(event.request)
+        if location is None:
+            return
+        attempt = event.attempt - location.earlier_attempts
+        self._dispatch(location.tier, replace(event, attempt=attempt))
+        self._forget_if_over(event.request)
+
+    def _on_request_event(
+        self, event: LoadReported | LatencyReported | ClientDisconnected | RequestAborted
+    ) -> None:
+        location = self.locations.get(event.request)
+        if location is not None:
+            self._dispatch(location.tier, event)
+            self._forget_if_over(event.request)
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -133,7 +133,7 @@
         shared, _ = self._started()
         if shared.member.ready:
             return grpc.ChannelConnectivity.READY
-        if shared.member.list_fails or shared.member.version >= 0:
+        if shared.member.list_failures or shared.member.version >= 0:
             return grpc.ChannelConnectivity.TRANSIENT_FAILURE
         return grpc.ChannelConnectivity.CONNECTING
 
--- a/puffindeck/rpc/shared.py
+++ b/puffindeck/rpc/shared.py
@@ -9,7 +9,7 @@
 import msgspec
 from twisted.logger import STDLibLogObserver, globalLogPublisher
 
-from puffindeck.client_side import Member
+from puffindeck.client_side import ClientBalancer
 from puffindeck.config.client import Client
 from puffindeck.core.clock import Clock, ms
 from puffindeck.core.engine import Engine
@@ -58,11 +58,11 @@
     def _decisions(self) -> Any:
         told = self.told
         if told.routing is None:
-            return Member(told.settings, told.seed)
-        from puffindeck.client_side.pooled import PooledMember  # only where there are pools
+            return ClientBalancer(told.settings, told.seed)
+        from puffindeck.client_side.pool_router import ClientPoolRouter  # only where there are pools
 
         names = self.directory
-        return PooledMember(told.routing, told.settings, told.seed, names.number, names.name)
+        return ClientPoolRouter(told.routing, told.settings, told.seed, names.number, names.name)
 
     @classmethod
     def take(cls, told: Client, alone: bool = False) -> Shared:
--- a/tests/client_side/test_client_balancer.py
+++ b/tests/client_side/test_client_balancer.py
@@ -11,10 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from puffindeck.client_side import Member
+from puffindeck.client_side import ClientBalancer
 from puffindeck.client_side.admission import STEADY_PART, STORM_PART, Admission
-from puffindeck.client_side.even import SPAN, Ring, evened, owner, shares
-from puffindeck.client_side.ring import EVENNESS, EvenBalancer
+from puffindeck.client_side.client_strategies import ClientPlacement
+from puffindeck.client_side.ring_smoothing import SPAN, owner, shares, smooth
+from puffindeck.client_side.smoothed_ring import DEFAULT_EVENNESS, SmoothedRingBalancer
 from puffindeck.hashes import points
 from puffindeck.interface import (
     AttemptEnded,
@@ -34,6 +35,7 @@
     SettingsChanged,
 )
 from puffindeck.policy import Balancer
+from puffindeck.policy.hash_ring import Ring
 
 SETTINGS = Settings(
     classes=(ClassSettings(300, 1200),),
@@ -54,7 +56,7 @@
 
 def ring(endpoints: list[int]) -> Ring:
     owners = {point: endpoint for endpoint in endpoints for point in points(endpoint)}
-    return sorted(owners), owners
+    return Ring(sorted(owners), owners)
 
 
 def entries(
@@ -63,9 +65,9 @@
     return [EndpointEntry(endpoint, 0, 0, 0, state, 1.0, started) for endpoint in endpoints]
 
 
-def members(count: int, listed: list[EndpointEntry], at: float = START) -> list[Member]:
+def members(count: int, listed: list[EndpointEntry], at: float = START) -> list[ClientBalancer]:
     """Clients that have all just had the same list."""
-    made = [Member(SETTINGS, seed) for seed in range(count)]
+    made = [ClientBalancer(SETTINGS, seed) for seed in range(count)]
     for member in made:
         member.handle(at, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
     return made
@@ -107,7 +109,7 @@
         total = sum(sizes.values())
         if not total:
             sizes[endpoints[0]] = total = 1.0
-        found = shares(evened(*ring(endpoints), sizes, bound))
+        found = shares(smooth(*ring(endpoints), sizes, bound))
         assert sum(found.values()) == pytest.approx(1.0)
         for endpoint, share in found.items():
             assert share <= bound * sizes[endpoint] / total + (len(endpoints) + 1) * 17 / SPAN
@@ -120,29 +122,29 @@
         sizes = dict.fromkeys(endpoints, 1.0)
         mixed_up = list(sizes)
         Random(seed).shuffle(mixed_up)
-        again = evened(*ring(mixed_up), dict.fromkeys(mixed_up, 1.0), EVENNESS)
-        assert evened(*ring(endpoints), sizes, EVENNESS) == again
+        again = smooth(*ring(mixed_up), dict.fromkeys(mixed_up, 1.0), DEFAULT_EVENNESS)
+        assert smooth(*ring(endpoints), sizes, DEFAULT_EVENNESS) == again
 
     def test_a_server_under_its_due_keeps_all_that_was_its_own(self) -> None:
         before = ring(SERVERS)
-        after = evened(*before, dict.fromkeys(SERVERS, 1.0), EVENNESS)
-        small = {s for s, share in shares(before).items() if share < EVENNESS / len(SERVERS)}
+        after = smooth(*before, dict.fromkeys(SERVERS, 1.0), DEFAULT_EVENNESS)
+        small = {s for s, share in shares(before).items() if share < DEFAULT_EVENNESS / len(SERVERS)}
         for place in range(0, SPAN, SPAN // 4001):
             if owner(before, place) in small:
                 assert owner(after, place) == owner(before, place)
 
     def test_one_server_less_moves_few_keys_that_were_not_its_own(self) -> None:
         sizes = dict.fromkeys(SERVERS, 1.0)
-        before = evened(*ring(SERVERS), sizes, EVENNESS)
+        before = smooth(*ring(SERVERS), sizes, DEFAULT_EVENNESS)
         left = SERVERS[1:]
-        after = evened(*ring(left), dict.fromkeys(left, 1.0), EVENNESS)
+        after = smooth(*ring(left), dict.fromkeys(left, 1.0), DEFAULT_EVENNESS)
         places = [p for p in range(0, SPAN, SPAN // 5003) if owner(before, p) != SERVERS[0]]
         moved = sum(owner(before, p) != owner(after, p) for p in places) / len(places)
         assert moved < 0.12
 
     def test_a_bound_that_leaves_arcs_without_an_owner_is_refused(self) -> None:
         with pytest.raises(ValueError, match=r"0\.9"):
-            evened(*ring(SERVERS), dict.fromkeys(SERVERS, 1.0), 0.9)
+            smooth(*ring(SERVERS), dict.fromkeys(SERVERS, 1.0), 0.9)
 
 
 class TestAdmission:
@@ -216,14 +218,14 @@
         assert alike(Balancer(replace(SETTINGS, gateways=1), 1)) >= 0.9
 
     def test_a_gateway_on_an_evened_ring_places_all_keys_as_clients_do(self) -> None:
-        assert alike(EvenBalancer(replace(SETTINGS, gateways=1, evenness=EVENNESS), 1)) == 1
+        assert alike(SmoothedRingBalancer(replace(SETTINGS, gateways=1, evenness=DEFAULT_EVENNESS), 1)) == 1
 
     def test_another_evenness_is_taken_up_by_a_running_gateway(self) -> None:
-        gateway = EvenBalancer(replace(SETTINGS, evenness=1.2), 1)
+        gateway = SmoothedRingBalancer(replace(SETTINGS, evenness=1.2), 1)
         gateway.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
-        assert max(shares(gateway.whole(None)).values()) * 15 > 1.1
+        assert max(shares(gateway.smoothed_ring.ring_for(None)).values()) * 15 > 1.1
         gateway.handle(START, [SettingsChanged(replace(SETTINGS, evenness=1.01))])
-        assert max(shares(gateway.whole(None)).values()) * 15 < 1.02
+        assert max(shares(gateway.smoothed_ring.ring_for(None)).values()) * 15 < 1.02
 
     def test_one_key_stays_at_its_home_however_often_it_is_asked_for(self) -> None:
         member = members(1, entries(SERVERS))[0]
@@ -280,7 +282,7 @@
         sent = ask(member, START, 1, 4711)
         now = START + 20000  # nothing was heard for 20 s
         member.handle(now, [AttemptEnded(1, Outcome.CONNECT_FAILED, sent.endpoint, 0, True, 1.0)])
-        assert member.endpoints[sent.endpoint].connect_fails == 1
+        assert member.endpoints[sent.endpoint].connect_failures == 1
         home = sent.endpoint
         again = None
         for i in range(2, 40):  # suspect for a second at least, then tried again
@@ -292,11 +294,11 @@
         assert again is not None
         assert again.endpoint == home
         serve(member, now, again)
-        assert member.endpoints[home].started == now
-        assert home in member._cold_now()
+        assert member.endpoints[home].started_ms == now
+        assert home in member.client_ring.warming()
 
     def test_the_rosters_age_is_known(self) -> None:
-        member = Member(SETTINGS, 1)
+        member = ClientBalancer(SETTINGS, 1)
         assert member.age_ms(START) == float("inf")
         member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
         assert member.age_ms(START + 20000) == 20000
@@ -308,7 +310,7 @@
     def test_without_a_list_a_request_is_refused_at_once_and_told_when_to_come(self) -> None:
         waits = set()
         for seed in range(30):
-            member = Member(SETTINGS, seed)
+            member = ClientBalancer(SETTINGS, seed)
             member.handle(START, [EndpointListUpdated(ListUpdateKind.FAILED, 0, [])])
             refused = ask(member, START + 24000, 65536, 4711)
             assert isinstance(refused, Reject)
@@ -317,7 +319,7 @@
         assert all(500 <= wait <= 1500 for wait in waits)
 
     def test_before_the_first_word_of_the_roster_a_request_waits(self) -> None:
-        member = Member(SETTINGS, 1)
+        member = ClientBalancer(SETTINGS, 1)
         assert ask(member, START, 1, 4711) is None
         actions = member.handle(START + 50, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
         actions += member.handle(START + 100, [])
@@ -339,7 +341,7 @@
         counts: Counter[int] = Counter()
         random = Random(8)
         for seed in range(200):
-            member = Member(priced, seed)
+            member = ClientBalancer(priced, seed)
             member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
             counts[ask(member, START, 1, random.getrandbits(63)).endpoint] += 1
         assert set(counts) == set(SERVERS[::3])
@@ -361,7 +363,7 @@
             return found
 
         with_it = choices()
-        monkeypatch.setattr(Member, "_plain", lambda *_: False)
+        monkeypatch.setattr(ClientPlacement, "_is_usual", lambda *_: False)
         assert choices() == with_it
         assert len(set(with_it)) > 5
 
@@ -371,9 +373,9 @@
             EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 3.0 if s == SERVERS[0] else 1.0, 0.0)
             for s in SERVERS
         ]
-        member = Member(uses_weights, 1)
+        member = ClientBalancer(uses_weights, 1)
         member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, listed)])
-        found = shares(member.whole(None))
+        found = shares(member.client_ring.full.ring_for(None))
         assert max(found, key=lambda s: found[s]) == SERVERS[0]
         for endpoint, share in found.items():
-            assert share <= EVENNESS * (3 if endpoint == SERVERS[0] else 1) / 17 + 1e-6
+            assert share <= DEFAULT_EVENNESS * (3 if endpoint == SERVERS[0] else 1) / 17 + 1e-6
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -181,7 +181,7 @@
         name, life=process, voters=installed.quota.voters, limits=installed.quota.limits, seed=seed
     )
     books = Books(name, installed.residency.book, lambda text: None, installed.voters, 30000.0, True)  # type: ignore
-    inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
+    inner = SimpleNamespace(connections_outside_regions=list, handle=lambda now, events: [])
     settings = Settings((), 1, 0, 1, 0.0, 0.0, 1.0, 0.0, 1.0, 0.0)
     governor = Governor(inner, settings, limits, books=books)
     gateway.join(None, governor)
--- a/tests/net/test_change_notification.py
+++ b/tests/net/test_change_notification.py
@@ -23,8 +23,8 @@
 
 TOLD = span(6000)
 OK = b"HTTP/1.1 200 OK\r\n"
-MOST_WAIT = span(1.5 * balancer.ASK_MOST_MS)
-FIRST_WAIT = span(1.5 * balancer.ASK_MS)
+MOST_WAIT = span(1.5 * balancer.MAX_WATCH_RETRY_MS)
+FIRST_WAIT = span(1.5 * balancer.WATCH_RETRY_MS)
 
 
 def test_a_lost_call_a_wait_and_an_answer_fit_in_the_time_after_which_a_change_counts_as_told() -> None:
@@ -49,7 +49,10 @@
     """Lists that are asked for, at a tenth of the times."""
 
     def quick(self) -> None:
-        times = (discovery, ("ANSWER", "SILENT", "LIST")), (balancer, ("ASK_MS", "ASK_MOST_MS"))
+        times = (
+            (discovery, ("ANSWER", "SILENT", "LIST")),
+            (balancer, ("WATCH_RETRY_MS", "MAX_WATCH_RETRY_MS")),
+        )
         for module, names in times:
             for name in names:
                 self.patch(module, name, getattr(module, name) / 10)
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -78,12 +78,12 @@
             patch.object(program, "stop") as stop,
         ):
             strained = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
-            strained.ceiling = 4.5
-            self.node.engine.balancer.live[strained.id] = strained
+            strained.load_limit = 4.5
+            self.node.engine.balancer.state.loads.in_use[strained.id] = strained
             left = self.folder / "processes" / "word"
             await self.until(lambda: left.exists() and b":4." in left.read_bytes(), "its word to the next")
             await self.made_ready(self.second)
-            self.assertLess(self.second.engine.balancer.endpoints[strained.id].ceiling, 5)  # it regains
+            self.assertLess(self.second.engine.balancer.endpoints[strained.id].load_limit, 5)  # it regains
             await self.until(lambda: self.node.leaving, "the older to leave")
             self.node.stop()  # SIGTERM does not begin it anew
             self.assertEqual(self.node.why_not_ready(), "stopping")
--- a/tests/net/test_node.py
+++ b/tests/net/test_node.py
@@ -197,7 +197,7 @@
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
             self.assertEqual(self.ends(AttemptEnded)[-1].outcome, outcome)
             endpoint = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
-            endpoint.suspect_until, endpoint.ceiling = 0.0, float("inf")  # each as if it were the first
+            endpoint.ejected_until_ms, endpoint.load_limit = 0.0, float("inf")  # each as if it were the first
         await self.hosts["h0"].port.stopListening()
         client = await self.client(ASK)
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
@@ -545,7 +545,7 @@
         with patch.object(node, "DROPPED", span(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
         self.assertEqual([e.settings.max_attempts for e in self.ends(SettingsChanged)][-1], 1)
-        self.assertEqual((old.most, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
+        self.assertEqual((old.max_attempts, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
         now = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
         self.assertEqual(tuple(now[self.node.classes[name]].name for name in served), served)
--- a/tests/net/test_operator_calls.py
+++ b/tests/net/test_operator_calls.py
@@ -107,7 +107,10 @@
 
     def back_in_use(self, uid: str) -> bool:
         endpoint = self.node.engine.balancer.endpoints[self.node.directory.number(uid)]
-        return endpoint.started > 0 and endpoint.id in self.node.engine.balancer.returned
+        return (
+            endpoint.started_ms > 0
+            and endpoint.id in self.node.engine.balancer.state.slow_start.reattached_ms
+        )
 
     async def test_an_attempt_waiting_for_its_connect_is_not_written_to_a_detached_host(self) -> None:
         self.build(hosts=1, drain_grace_ms=0)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -30,9 +30,9 @@
     TimerFired,
     WatchEndpoints,
 )
-from puffindeck.policy.cold import FULL
-from puffindeck.policy.known import BOUND
-from puffindeck.policy.walk import FLOOR
+from puffindeck.policy.context import DEFAULT_BOUND
+from puffindeck.policy.placement import MINIMUM_BOUND
+from puffindeck.policy.slow_start import FULL_LOAD_MULTIPLE
 from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed, sends
 
 
@@ -59,7 +59,7 @@
     for request in range(1, 301):
         gateway.connect(request, key=request)
         loads = [s.load for s in gateway.balancer.ready.values()]
-        assert max(loads) <= max(BOUND * (sum(loads) + 1) / 6, FLOOR) + 1
+        assert max(loads) <= max(DEFAULT_BOUND * (sum(loads) + 1) / 6, MINIMUM_BOUND) + 1
 
 
 def test_a_hot_group_spills_clockwise_and_fills_its_home_first() -> None:
@@ -92,7 +92,7 @@
         assert endpoint.load == pytest.approx(0)
         assert not endpoint.connections
         assert not endpoint.groups
-        assert endpoint.pending == 0
+        assert endpoint.pending_attempts == 0
     assert not gateway.balancer.requests
 
 
@@ -171,7 +171,7 @@
         3 * s.slow_start_load_multiple * warmth * held * s.slow_start_window_ms / s.slow_start_ms
     )  # did a full one hold the mean
     # servers left idle beside strained ones serve nobody; but nothing is saved up before they start
-    assert held_alike / 3 < sent <= FULL * held_alike
+    assert held_alike / 3 < sent <= FULL_LOAD_MULTIPLE * held_alike
 
 
 def spread(gateways: int, group: int, others: int) -> Counter[int]:
@@ -205,7 +205,7 @@
         endpoint = gateway.ask(request, group=1)
         if endpoint is not None:
             tried.add(endpoint)
-            gateway.balancer.endpoints[endpoint].ceiling = 0.0
+            gateway.balancer.endpoints[endpoint].load_limit = 0.0
             gateway.end(request, Outcome.FULL, final=True)
     assert len(tried) <= 6
     assert any(isinstance(a, Reject) for a in gateway.wait(1300))
@@ -229,7 +229,7 @@
     held = len(gateway.balancer.endpoints[home].connections)
     gateway.do(*(AttemptEnded(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
     request = 100
-    while gateway.balancer.endpoints[home].connect_fails < 2 and request < 1000:
+    while gateway.balancer.endpoints[home].connect_failures < 2 and request < 1000:
         request += 1
         if gateway.ask(request, key=request) == home:
             gateway.end(request, Outcome.CONNECT_FAILED)
@@ -281,18 +281,18 @@
     gateway.wait(300)
     for request in range(1, 25):
         gateway.end(request, Outcome.TIMEOUT, took=300.0)
-    assert sum(s.doubted(gateway.now) for s in gateway.balancer.ready.values()) <= 3
-    assert all(s.ceiling == float("inf") for s in gateway.balancer.ready.values())
+    assert sum(s.is_avoided(gateway.now) for s in gateway.balancer.ready.values()) <= 3
+    assert all(s.load_limit == float("inf") for s in gateway.balancer.ready.values())
     for request in range(100, 200):
         gateway.ask(request, key=request)
-    assert gateway.balancer.pending < 50
+    assert gateway.balancer.state.loads.pending_attempts < 50
 
 
 def test_tries_are_not_used_up_within_moments() -> None:
     gateway = Gateway()
     gateway.ask(1)
     for _ in range(3):
-        if gateway.balancer.requests[1].out:
+        if gateway.balancer.requests[1].in_progress:
             gateway.end(1, Outcome.ERROR)
     assert gateway.tries[1] < 4
     assert gateway.balancer.requests[1].attempts < 4
@@ -323,10 +323,10 @@
     gateway = filled()
     home = gateway.at[1]
     gateway.delay(home, 400)
-    ceiling = gateway.balancer.endpoints[home].ceiling
+    ceiling = gateway.balancer.endpoints[home].load_limit
     gateway.wait(1000)
     gateway.delay(home, 200)
-    assert gateway.balancer.endpoints[home].ceiling == ceiling
+    assert gateway.balancer.endpoints[home].load_limit == ceiling
 
 
 def test_overload_of_the_whole_fleet_is_shed_and_refused_within_the_aim() -> None:
@@ -374,14 +374,14 @@
     for request in [r for r, s in gateway.at.items() if s == home]:
         gateway.end(request, Outcome.OK, final=True)
     endpoint = gateway.balancer.endpoints[home]
-    endpoint.ceiling = 0.25 * gateway.balancer.mean_load
+    endpoint.load_limit = 0.25 * gateway.balancer.state.loads.mean_load
     entered = 0
     for request in range(500, 700):
         if gateway.ask(request, key=request) == home:
             entered += 1
         if request in gateway.at:
             gateway.end(request, Outcome.OK, final=True)
-    gateway.balancer.endpoints[home].ceiling = float("inf")
+    gateway.balancer.endpoints[home].load_limit = float("inf")
     open_to_all = 0
     for request in range(700, 900):
         if gateway.ask(request, key=request - 200) == home:
@@ -423,7 +423,7 @@
     for request in range(1000, 1100):
         gateway.ask(request, key=request)
         gateway.wait(10)
-    assert sum(gateway.at.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL
+    assert sum(gateway.at.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL_LOAD_MULTIPLE
     for request in range(2000, 2400):
         gateway.ask(request, key=request)
         gateway.wait(50)
@@ -477,9 +477,9 @@
         gateway.wait(1500)
     balancer = gateway.balancer
     assert len(balancer.endpoints) <= 7
-    assert len(balancer.timers) < 60
+    assert len(balancer.state.timers) < 60
     assert not balancer.requests
-    assert not any(balancer.tenants.values())
+    assert not any(balancer.state.loads.tenant_requests.values())
     assert not any(s.groups or s.connections for s in balancer.endpoints.values())
 
 
@@ -514,7 +514,7 @@
             for _ in range(4):
                 gateway.end(number, outcome)
                 gateway.wait(200)
-    assert not gateway.balancer.failing
+    assert not gateway.balancer.outliers.failing
 
 
 def test_a_server_that_fails_what_others_serve_is_left_out() -> None:
@@ -522,10 +522,10 @@
     first = gateway.ask(1, key=7)
     assert first is not None
     gateway.end(1, Outcome.RESET)
-    assert not gateway.balancer.failing
+    assert not gateway.balancer.outliers.failing
     assert gateway.at[1] != first
     gateway.begin(1)
-    assert list(gateway.balancer.failing) == [first]
+    assert list(gateway.balancer.outliers.failing) == [first]
 
 
 def test_a_time_out_shorter_than_set_ups_take_tells_nothing() -> None:
@@ -536,9 +536,9 @@
     endpoint = gateway.ask(50, key=7)
     assert endpoint is not None
     gateway.do(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
-    assert not gateway.balancer.failing
+    assert not gateway.balancer.outliers.failing
     gateway.end(50, Outcome.TIMEOUT, took=300.0)
-    assert len(gateway.balancer.failing) == 1
+    assert len(gateway.balancer.outliers.failing) == 1
 
 
 def test_a_group_whose_servers_stay_strained_is_placed_elsewhere() -> None:
@@ -590,11 +590,11 @@
     for request in range(1, 31):
         gateway.connect(request, key=request)
     endpoint = gateway.balancer.endpoints[gateway.at[1]]
-    gateway.delay(endpoint.id, 0.4 * gateway.balancer.message_aim)
-    assert endpoint.ceiling < endpoint.load
+    gateway.delay(endpoint.id, 0.4 * gateway.balancer.context.message_latency_objective_ms)
+    assert endpoint.load_limit < endpoint.load
     other = gateway.balancer.endpoints[next(s for s in (1, 2, 3) if s != endpoint.id)]
-    gateway.delay(other.id, 0.3 * gateway.balancer.message_aim)
-    assert other.ceiling == float("inf")
+    gateway.delay(other.id, 0.3 * gateway.balancer.context.message_latency_objective_ms)
+    assert other.load_limit == float("inf")
 
 
 def test_a_server_taken_out_gets_nothing_whatever_the_list_says_and_empties_one_by_one() -> None:
@@ -626,12 +626,12 @@
         gateway.do(listed(entry(1, started=told), entry(2), entry(3), version=2))
         gateway.do(EndpointAttached(1))
         endpoint = gateway.balancer.endpoints[1]
-        assert endpoint.started == (told or gateway.now)
-        assert gateway.balancer._warmth(endpoint) < 0.5
+        assert endpoint.started_ms == (told or gateway.now)
+        assert gateway.balancer.state.capacities.warmth(endpoint) < 0.5
         first = next(r for r in range(100, 130) if gateway.ask(r, key=r) == 1 or gateway.wait(100) is None)
         gateway.begin(first)
         assert first < 120
-        assert not gateway.balancer.returned
+        assert not gateway.balancer.state.slow_start.reattached_ms
         before = len(sends(gateway.actions))
         for request in range(200, 230):  # all at once: rule 4 holds for it as for any cold one
             gateway.ask(request, key=request)
@@ -655,9 +655,9 @@
         before.connect(request, group=7)
     strained = before.at[1]
     before.delay(strained, 900)
-    for endpoint, ceiling in before.balancer.ceilings().items():
+    for endpoint, ceiling in before.balancer.load_limits().items():
         after.do(LoadLimitRestored(endpoint, ceiling))
     for request in range(1, 31):
         after.ask(request, group=7)
     held = after.balancer.endpoints[strained]
-    assert held.load <= held.ceiling == before.balancer.endpoints[strained].ceiling
+    assert held.load <= held.load_limit == before.balancer.endpoints[strained].load_limit
--- a/tests/policy/test_many_gateways.py
+++ b/tests/policy/test_many_gateways.py
@@ -9,7 +9,7 @@
 import pytest
 
 from puffindeck.interface import LoadReported
-from puffindeck.policy.ring import PLAN_MS, PLANNED
+from puffindeck.policy.group_plan import PLAN_LIFETIME_MS, PLANNED_GROUPS
 from tests.support.gateway import SETTINGS, Gateway, entry, listed
 
 ZONES = 4
@@ -46,7 +46,7 @@
 def test_a_key_of_its_own_still_stays_in_its_zone() -> None:
     """Nothing is shared by it, so only the crossing has a price."""
     for gateway in fleet(8):
-        zone = gateway.balancer.settings.zone
+        zone = gateway.balancer.context.settings.zone
         for key in range(1, 6):
             endpoint = gateway.connect(key, key=key + 100 * zone)
             gateway.do(LoadReported(key, endpoint, 1.0))
@@ -75,13 +75,13 @@
 def test_a_group_outside_the_plan_does_not_bring_a_new_one_with_each_request() -> None:
     """A plan walks the ring for each group: made anew for every rare one, it would cost a node its core."""
     gateway = fleet(1)[0]
-    for number in range(1, 3 * PLANNED):
-        gateway.connect(number, group=number % PLANNED + 1, key=number)
+    for number in range(1, 3 * PLANNED_GROUPS):
+        gateway.connect(number, group=number % PLANNED_GROUPS + 1, key=number)
     gateway.connect(1000, group=5000)
-    made = gateway.balancer.plan_ms
-    gateway.wait(PLAN_MS / 2)
+    made = gateway.balancer.plan.made_ms
+    gateway.wait(PLAN_LIFETIME_MS / 2)
     gateway.connect(1001, group=5000)
-    assert gateway.balancer.plan_ms == made
-    gateway.wait(PLAN_MS)
+    assert gateway.balancer.plan.made_ms == made
+    gateway.wait(PLAN_LIFETIME_MS)
     gateway.connect(1002, group=5000)
-    assert gateway.balancer.plan_ms > made
+    assert gateway.balancer.plan.made_ms > made
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Send
-from puffindeck.policy.cold import FULL
+from puffindeck.policy.slow_start import FULL_LOAD_MULTIPLE
 from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
 
 COLD = replace(
@@ -47,7 +47,7 @@
         for _ in range(28):  # their deadline and a little
             gateway.wait(50)
             for request in asking:
-                if request in gateway.at and not gateway.balancer.requests[request].begun:
+                if request in gateway.at and not gateway.balancer.requests[request].established:
                     gateway.begin(request)
                     served += 1
     return served
@@ -82,13 +82,15 @@
             COLD.slow_start_initial_fraction
             + (1 - COLD.slow_start_initial_fraction) * (second + 1) * 1000 / COLD.slow_start_ms
         )
-        part = 5 * FULL * held * COLD.slow_start_load_multiple * warmth * 1000 / COLD.slow_start_ms
+        part = (
+            5 * FULL_LOAD_MULTIPLE * held * COLD.slow_start_load_multiple * warmth * 1000 / COLD.slow_start_ms
+        )
         assert sum(isinstance(action, Send) for action in gateway.wait(1000)) <= part + 2, second
 
 
 def test_what_stood_long_ago_counts_for_little() -> None:
     gateway = Gateway(COLD, endpoints=5)
     released(gateway, 46)
-    before = gateway.balancer.mean_held
+    before = gateway.balancer.state.capacities.mean_connections
     gateway.wait(3 * COLD.slow_start_ms)
-    assert gateway.balancer.mean_held < 0.06 * before
+    assert gateway.balancer.state.capacities.mean_connections < 0.06 * before
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -33,7 +33,7 @@
     SettingsChanged,
     WatchEndpoints,
 )
-from puffindeck.routing import Condition, ConditionError, Pool, Pooled, Route, RouteTable, Routing, View
+from puffindeck.routing import Condition, ConditionError, Pool, PoolRouter, Route, RouteTable, Routing, View
 from tests.support.gateway import SETTINGS, Gateway, RuleBook, asked, entry, listed, sends
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
@@ -43,9 +43,9 @@
     return tuple(str(endpoint) for endpoint in endpoints)
 
 
-def pooled(*pools: Pool, routes: tuple[Route, ...] = (), default: str = "", **more: object) -> Pooled:
+def pooled(*pools: Pool, routes: tuple[Route, ...] = (), default: str = "", **more: object) -> PoolRouter:
     table = RouteTable(routes, default or pools[0].name)
-    return Pooled(Routing(table, pools), replace(RULES, **more), 1, int, str)  # type: ignore[arg-type]
+    return PoolRouter(Routing(table, pools), replace(RULES, **more), 1, int, str)  # type: ignore[arg-type]
 
 
 def gateway(*pools: Pool, endpoints: int = 6, **more: object) -> Any:
@@ -141,7 +141,7 @@
     (refusal,) = world.do(asked(1))
     assert isinstance(refusal, Reject)
     assert 0 < refusal.retry_after_ms <= RULES.max_retry_after_ms
-    assert not world.balancer.places
+    assert not world.balancer.locations
 
 
 def test_backups_stay_idle_while_one_primary_is_fit() -> None:
@@ -196,7 +196,7 @@
     final = world.end(1, Outcome.CONNECT_FAILED)
     final += world.wait(500)
     assert [type(a) for a in final if isinstance(a, (Reject, Fail))] == [Reject]
-    assert not world.balancer.places
+    assert not world.balancer.locations
 
 
 def test_a_cancel_after_a_change_of_tier_names_the_engines_own_attempt() -> None:
@@ -307,9 +307,9 @@
         Pool("main", (names(1, 2), names(3), ("*",))),
         Pool("side", (names(2, 4), names(5, 1)), limit=20),
     )
-    balancer = Pooled(Routing(RouteTable(routes, "main"), pools), told, seed, int, str)
+    balancer = PoolRouter(Routing(RouteTable(routes, "main"), pools), told, seed, int, str)
     book = RuleBook(told, Random(seed), balancer)
     for _ in range(600):
         book.step()
     alive = {r for r, case in book.cases.items() if not case.answered or case.out is not None}
-    assert set(balancer.places) <= alive, "requests that are over are forgotten"
+    assert set(balancer.locations) <= alive, "requests that are over are forgotten"
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -12,7 +12,7 @@
 import pytest
 
 from puffindeck import config
-from puffindeck.client_side.pooled import PooledMember
+from puffindeck.client_side.pool_router import ClientPoolRouter
 from puffindeck.config.client import client
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
@@ -25,7 +25,7 @@
 
 def member(seed: int, pool: Pool = POOL) -> Gateway:
     routing = Routing(RouteTable((), pool.name), (pool,))
-    return Gateway(RULES, 5, seed, PooledMember(routing, RULES, seed, int, str))
+    return Gateway(RULES, 5, seed, ClientPoolRouter(routing, RULES, seed, int, str))
 
 
 def test_clients_agree_on_homes_within_the_tier_that_serves() -> None:
@@ -63,8 +63,8 @@
 
 def test_what_a_client_knows_of_the_roster_is_known_over_all_pools() -> None:
     balancer = member(1).balancer
-    assert isinstance(balancer, PooledMember)
-    assert (balancer.ready, balancer.version, balancer.list_fails) == (True, 1, 0)
+    assert isinstance(balancer, ClientPoolRouter)
+    assert (balancer.ready, balancer.version, balancer.list_failures) == (True, 1, 0)
     balancer.heard(2000.0)
     assert balancer.age_ms(2500.0) == 500.0
 
@@ -101,7 +101,7 @@
         stream.cancel()
         shared, _ = channel._started()
         await until(lambda: not len(shared.engine.held), "the core still holds a call")
-        self.assertFalse(shared.member.places)
+        self.assertFalse(shared.member.locations)
 
 
 def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
--- a/tests/rpc/test_service_discovery.py
+++ b/tests/rpc/test_service_discovery.py
@@ -69,7 +69,7 @@
         await asyncio.wait_for(channel.channel_ready(), 5)
         await self.world.discovery.stop()
         shared, _ = channel._started()
-        await until(lambda: shared.member.list_fails >= 3, "it was not asked again")
+        await until(lambda: shared.member.list_failures >= 3, "it was not asked again")
         self.assertTrue(await stub.status(b"", timeout=2))
         self.world.discovery.tell(self.world.boxes["one"].target("DRAINING"))
         await self.world.discovery.start()
@@ -156,11 +156,13 @@
         await self.world.discovery.start()
         for channel in channels:
             member = channel._started()[0].member
-            await until(lambda m=member: len(m.ready) == 10 and m._cold_now(), "the news did not come")  # type: ignore[misc]
+            ring = member.client_ring
+            await until(lambda m=member, r=ring: len(m.ready) == 10 and r.warming(), "the news did not come")  # type: ignore[misc]
         for i, channel in enumerate(channels):
             self.assertTrue(await Stub(channel).status(b"", timeout=2, metadata=keyed(f"desk {i}")))
         cold_keys = sum(
-            member.home(_request(f"desk {i}")) is member.endpoints[shared.directory.number("b2")]
+            member.client_ring.full.home(_request(f"desk {i}"))
+            is member.endpoints[shared.directory.number("b2")]
             for i, (shared, member) in enumerate((c._started()[0], c._started()[0].member) for c in channels)
         )
         self.assertGreater(cold_keys, 0)
@@ -187,7 +189,7 @@
         await until(lambda: sum(task.done() for task in reading.values()) == held["one"], "not all were told")
         for channel in channels:
             member = channel._started()[0].member
-            await until(lambda m=member: m._cold_now(), "the news did not come")  # type: ignore[misc]
+            await until(lambda m=member: m.client_ring.warming(), "the news did not come")  # type: ignore[misc]
         old.calls.clear()
         for i, task in reading.items():
             if task.done():
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -13,7 +13,7 @@
 from grpc.aio import Metadata
 from msgspec import to_builtins
 
-from puffindeck.client_side.even import owner
+from puffindeck.client_side.ring_smoothing import owner
 from puffindeck.config.client import Client, Rpc, RpcTable, rpc
 from puffindeck.config.members import Members, Target
 from puffindeck.hashes import mixed
