--- a/puffindeck/client_side/pool_router.py
+++ b/puffindeck/client_side/pool_router.py
@@ -10,7 +10,7 @@
 from puffindeck.interface import Action, Event, Settings
 from puffindeck.policy.records import Request
 from puffindeck.routing import PoolRouter
-from puffindeck.routing.pool_router import PoolState
+from puffindeck.routing.pool_state import PoolState
 from puffindeck.routing.tier import TierBalancer
 
 
--- a/puffindeck/routing/pool_router.py
+++ b/puffindeck/routing/pool_router.py
@@ -7,7 +7,6 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from puffindeck.hashes import lot
 from puffindeck.interface import (
     Action,
     AttemptEnded,
@@ -26,7 +25,6 @@
     LatencyReported,
     LoadLimitRestored,
     LoadReported,
-    Log,
     Reject,
     RequestAborted,
     RequestArrived,
@@ -38,6 +36,7 @@
 )
 from puffindeck.policy.records import Request
 from puffindeck.routing.conditions import View
+from puffindeck.routing.pool_state import PoolState, Tier, choose_tier, other_tier
 from puffindeck.routing.pools import Pool, Routing, named
 from puffindeck.routing.tier import TierBalancer
 
@@ -45,37 +44,6 @@
 RETRY_AFTER_MS = 1000.0  # a client that has no place now may come again about then
 
 
-class Tier:
-    """A tier of a pool, and whether it serves."""
-
-    def __init__(self, pool: PoolState, number: int, balancer: TierBalancer) -> None:
-        self.pool = pool
-        self.number = number  # from 0, in the order in which tiers are tried
-        self.balancer = balancer
-        self.is_down = False
-        self.is_recovering = False  # up again, and not all of it warm yet
-
-    def connection_count(self) -> int:
-        """Connections and attempts that it has."""
-        return self.balancer.connection_count()
-
-
-class PoolState:
-    """A pool and its tiers."""
-
-    def __init__(self, config: Pool) -> None:
-        self.config = config
-        self.tiers: list[Tier] = []
-
-    def connection_count(self) -> int:
-        """Connections and attempts that it has."""
-        return sum(tier.connection_count() for tier in self.tiers)
-
-    def is_full(self) -> bool:
-        """Whether it has as many connections as its limit allows."""
-        return bool(self.config.limit) and self.connection_count() >= self.config.limit
-
-
 @dataclass(slots=True)
 class RequestLocation:
     """Where a request is."""
@@ -259,7 +227,8 @@
         if pool is None or pool.is_full():
             self._reject(event.request)
             return
-        tier = self.choose_tier(pool, event.group or event.key or event.request)
+        tier, changes = choose_tier(pool, event.group or event.key or event.request, self.now)
+        self._actions += changes
         self.locations[event.request] = RequestLocation(tier, event)
         self._dispatch(tier, event)
         self._forget_if_over(event.request)
@@ -268,75 +237,19 @@
         wait_ms = RETRY_AFTER_MS * (0.5 + self.random.random())
         self._actions.append(Reject(request, min(self.settings.max_retry_after_ms, wait_ms)))
 
-    def choose_tier(self, pool: PoolState, key: int) -> Tier:
-        """The first tier that is fit to serve; the first of all where none is.
-
-        A tier that recovers takes what it is warm enough for, by a lot on the key, and the rest stays with
-        what stood in for it. An endpoint that failed gets one request to show that it serves again.
-        """
-        for tier in pool.tiers:
-            tier.balancer.advance_to(self.now)
-            if tier.balancer.health.healthy():
-                if tier.is_down:
-                    self._set_down(tier, False)
-                if self._recovers_without(tier, key):
-                    continue
-                return tier
-            if not tier.is_down:
-                self._set_down(tier, True)
-            if tier.balancer.health.can_try_failed():
-                return tier
-        return next((tier for tier in pool.tiers if tier.balancer.ready), pool.tiers[0])
-
-    def _recovers_without(self, tier: Tier, key: int) -> bool:
-        """Whether a tier recovers, and is not warm enough for this key while a later one stands in."""
-        if not tier.is_recovering:
-            return False
-        warmth = tier.balancer.health.warmth()
-        tier.is_recovering = warmth < 1.0
-        later = tier.pool.tiers[tier.number + 1 :]
-        has_substitute = any(other.balancer.health.healthy() for other in later)
-        return has_substitute and lot(key, tier.number) >= warmth
-
-    def _set_down(self, tier: Tier, is_down: bool) -> None:
-        if is_down and tier.balancer.registry.list_version < 0:
-            return  # before the first list nothing is down
-        tier.is_down = is_down
-        tier.is_recovering = not is_down
-        if len(tier.pool.tiers) > 1:
-            state = "down" if is_down else "back"
-            self._actions.append(Log(f"pool {tier.pool.config.name}: tier {tier.number + 1} is {state}"))
-
     # From one tier to another
 
     def _should_leave(self, request: Request) -> bool:
         """Whether a request that waits in a tier that can't serve it now is to be served by another."""
         location = self.locations.get(request.id)
-        return location is not None and self._other_tier(location, request) is not None
-
-    def _other_tier(self, location: RequestLocation, request: Request) -> Tier | None:
-        """The tier that a waiting request should go on in. One that could not take it would send it back."""
-        tier = location.tier
-        candidates = tier.pool.tiers
-        if tier.balancer.health.healthy():
-            if not tier.is_recovering or tier.balancer.can_place(request):
-                return None
-            candidates = candidates[tier.number + 1 :]  # what stood in for it has the rest
-        elif tier.balancer.health.can_try_failed():
-            return None  # it is the one that tries whether an endpoint serves again
-        for other in candidates:
-            balancer = other.balancer
-            balancer.advance_to(self.now)
-            if other is not tier and balancer.health.healthy() and balancer.can_place(request):
-                return other
-        return None
+        return location is not None and other_tier(location.tier, request, self.now) is not None
 
     def _fail_over(self, request: Request) -> None:
         """Have another tier serve a request that its own has released."""
         location = self.locations[request.id]
         assert location.arrival is not None  # connections from before the start do not wait
         remaining_ms = request.deadline_ms - self.now
-        tier = self._other_tier(location, request)
+        tier = other_tier(location.tier, request, self.now)
         if tier is None or remaining_ms <= 0:
             del self.locations[request.id]
             if request.is_safe_to_retry():
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -279,7 +279,7 @@
     def key_of(self, channel: BalancedChannel, box: str) -> str:
         """A key whose home is this box, as the channel's own decisions have it."""
         shared = channel._started()[0]
-        ring = shared.member.whole(None)
+        ring = shared.member.client_ring.full.ring_for(None)
         wanted = shared.directory.number(box)
         return next(
             key
