--- a/puffindeck/client_side/admission.py
+++ b/puffindeck/client_side/admission.py
@@ -22,7 +22,7 @@
 
 from collections import deque
 
-from puffindeck.hashes import lot, mixed
+from puffindeck.hashes import hash_fraction, mixed
 from puffindeck.interface import Settings
 
 # of the budget, in a storm and in steady times: the rest is for chance, as lots that nobody counts scatter,
@@ -91,5 +91,5 @@
     ) -> bool:
         """Does the lot let a request for this key through to the cold server that is its home?"""
         window = int(now // max(1.0, settings.slow_start_window_ms))
-        drawn = lot(mixed(self._salt ^ key), mixed(endpoint ^ window << 32))
+        drawn = hash_fraction(mixed(self._salt ^ key), mixed(endpoint ^ window << 32))
         return drawn < self.odds(now, settings, warmth, held, returning)
--- a/puffindeck/hashes.py
+++ b/puffindeck/hashes.py
@@ -1,10 +1,10 @@
-"""Hashes that come out the same in every process, so that gateways agree on homes and lots."""
+"""Hashes that come out the same in every process, so that gateways agree on them."""
 
 from functools import lru_cache
 from hashlib import blake2b
 from struct import Struct
 
-VIRTUAL_NODES = 16  # points on the ring for each server: one digest's worth, as each gateway hashes them all
+VIRTUAL_NODES = 16  # points on the ring for each endpoint: one digest's worth, as each gateway hashes them all
 MASK = (1 << 64) - 1
 POINTS = Struct(f"<{VIRTUAL_NODES}I")
 
@@ -18,13 +18,13 @@
 
 
 def points(endpoint: int) -> list[int]:
-    """A server's points on the ring: 30 bits each, which sort fastest."""
+    """An endpoint's points on the ring: 30 bits each, which sort fastest."""
     digest = blake2b(endpoint.to_bytes(8, "little"), digest_size=POINTS.size).digest()
     return [point >> 2 for point in POINTS.unpack(digest)]
 
 
-def lot(one: int, other: int) -> float:
-    """A number from 0 to 1 for a pair, the same at each try and gateway."""
+def hash_fraction(one: int, other: int) -> float:
+    """A number from 0 to 1 for a pair, the same at each call and in each process."""
     return mixed(one ^ other << 32) / MASK
 
 
--- a/puffindeck/policy/load_accounting.py
+++ b/puffindeck/policy/load_accounting.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.interface import LoadReported, Settings
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.records import INF, Endpoint, Request
@@ -150,7 +150,7 @@
         if endpoint.connections:
             return endpoint.load + extra + request.load <= endpoint.load_limit
         # An empty one by chance, the same at each try: gateways that all round up would fill it again.
-        return lot(request.id, endpoint.id) * (extra + request.load) <= endpoint.load_limit
+        return hash_fraction(request.id, endpoint.id) * (extra + request.load) <= endpoint.load_limit
 
     def restore_limit(self, endpoint: Endpoint, load_limit: float) -> None:
         """Take over a load limit that an earlier process has found."""
--- a/puffindeck/policy/placement.py
+++ b/puffindeck/policy/placement.py
@@ -5,7 +5,7 @@
 from collections.abc import Set
 from typing import NamedTuple, Protocol
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.policy.capacity import CapacityModel
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.endpoint_registry import EndpointRegistry
@@ -231,7 +231,7 @@
                 # endpoint: each takes its bounded part of the expected share, by lot; the rest spills on.
                 part = share_factor * endpoint.capacity / capacity - taken_shares.get(endpoint.id, 0.0)
                 bound = mean_bound * endpoint.capacity
-                if bound < minimum and rest * lot(request.spread_key, endpoint.id) > part:
+                if bound < minimum and rest * hash_fraction(request.spread_key, endpoint.id) > part:
                     rest -= max(0.0, part)
                 elif endpoint.id in fit and endpoint.load < relaxation * max(bound, minimum):
                     return endpoint
--- a/puffindeck/policy/retry_policy.py
+++ b/puffindeck/policy/retry_policy.py
@@ -4,7 +4,7 @@
 
 from typing import Protocol
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.interface import Effect
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.load_accounting import LoadAccounting
@@ -42,7 +42,7 @@
 
     def fraction(self, request: Request) -> float:
         """The same at each call."""
-        return lot(request.id, self._context.settings.zone)
+        return hash_fraction(request.id, self._context.settings.zone)
 
 
 class RetryPolicy:
--- a/puffindeck/routing/pool_state.py
+++ b/puffindeck/routing/pool_state.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from puffindeck.hashes import lot
+from puffindeck.hashes import hash_fraction
 from puffindeck.interface import Log
 from puffindeck.policy.records import Request
 from puffindeck.routing.pools import Pool
@@ -81,7 +81,7 @@
     tier.is_recovering = warmth < 1.0
     later = tier.pool.tiers[tier.number + 1 :]
     has_substitute = any(other.balancer.health.healthy() for other in later)
-    return has_substitute and lot(key, tier.number) >= warmth
+    return has_substitute and hash_fraction(key, tier.number) >= warmth
 
 
 def other_tier(tier: Tier, request: Request, now_ms: float) -> Tier | None:
