--- a/puffindeck/client_side/ring_smoothing.py
+++ b/puffindeck/client_side/ring_smoothing.py
@@ -1,11 +1,11 @@
-"""A ring whose servers all have about the same share, worked out from nothing but the list of servers.
+"""A ring whose endpoints all have about the same share, computed from nothing but the list of endpoints.
 
-A gateway with many connections evens out the ring by counting: a server over c times the mean is passed by. A
-client with one connection has nothing to count, so the luck of the points stays: with 16 points a server the
-largest of 15 shares is about 1.5 times the mean. Here the same rule is applied to the ring itself,
-beforehand: each server keeps its own arcs up to c times its due, and what is over goes clockwise to the
-first server with room, exactly as a connection would. Every client comes to the same ring, and a key that
-is not on an arc given away stays at the home that a gateway's ring has for it.
+A gateway with many connections evens out the ring by counting: an endpoint over c times the mean is passed
+by. A client with one connection has nothing to count, so the luck of the points stays: with 16 points an
+endpoint the largest of 15 shares is about 1.5 times the mean. Here the same rule is applied to the ring
+itself, beforehand: each endpoint keeps its own arcs up to c times its due, and what is over goes clockwise to
+the first endpoint with room, exactly as a connection would. Every client comes to the same ring, and a key
+that is not on an arc given away stays at the home that a gateway's ring has for it.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 def smooth(points: list[int], owners: Mapping[int, int], sizes: Mapping[int, float], bound: float) -> Ring:
-    """The ring with no share over `bound` times its server's due.
+    """The ring with no share over `bound` times its endpoint's due.
 
-    `points` are in order and `owners` has the server of each; an arc ends at its point. `sizes` says what is
-    due: a server's share is to be in proportion to it, and one of size 0, or not named, keeps nothing. With
-    `bound` under 1 there would not be room for all: ValueError. Work: about points x log(points).
+    `points` are in order and `owners` has the endpoint of each; an arc ends at its point. `sizes` says what
+    is due: an endpoint's share is to be in proportion to it, and one of size 0, or not named, keeps nothing.
+    With `bound` under 1 there would not be room for all: ValueError. Work: about points x log(points).
     """
     if bound < 1:
         raise ValueError(f"a bound of {bound:g} leaves arcs without an owner")
@@ -60,7 +60,7 @@
     room: dict[int, float],
     kept: dict[int, int],
 ) -> None:
-    """Hand what is over to the first servers clockwise that have room; `kept` and `room` are filled in."""
+    """Hand what is over to the first endpoints clockwise that have room; updates `kept` and `room`."""
     for end, length in over:
         at = bisect_left(points, end % SPAN)
         passed: set[int] = set()
@@ -73,22 +73,23 @@
             if part:
                 room[endpoint] -= part
                 kept[end] = endpoint
-                end, length = end - part, length - part
+                end -= part
+                length -= part
             if not length:
                 break
         if length:  # nothing but what rounding left over
             kept[end] = max(room, key=lambda endpoint: (room[endpoint], endpoint))
 
 
-def owner(ring: Ring, place: int) -> int:
-    """Whose a place on the ring is: of the first point at or after it."""
+def owner(ring: Ring, position: int) -> int:
+    """The endpoint that a position on the ring belongs to: of the first point at or after it."""
     points, owners = ring
-    at = bisect_left(points, place)
+    at = bisect_left(points, position)
     return owners[points[at if at < len(points) else 0]]
 
 
 def shares(ring: Ring) -> dict[int, float]:
-    """What part of the ring each server has."""
+    """The part of the ring, from 0 to 1, that each endpoint has."""
     points, owners = ring
     found: dict[int, float] = {}
     before = points[-1] - SPAN
--- a/puffindeck/hashes.py
+++ b/puffindeck/hashes.py
@@ -4,7 +4,7 @@
 from hashlib import blake2b
 from struct import Struct
 
-VIRTUAL_NODES = 16  # points on the ring for each endpoint: one digest's worth, as each gateway hashes them all
+VIRTUAL_NODES = 16  # points on the ring for each endpoint: one digest's worth, as all gateways hash them
 MASK = (1 << 64) - 1
 POINTS = Struct(f"<{VIRTUAL_NODES}I")
 
--- a/puffindeck/policy/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -83,17 +83,30 @@
         self._handlers = self._event_handlers()
 
     def _build(self, replaced: Strategies) -> None:
-        context, state = self.context, self.state
-        parts = state.registry, state.capacities, state.loads
-        self._rebalancer = Rebalancer(context, state.timers, *parts, state.shares)
-        self.outliers = OutlierDetector(context, *parts, self._rebalancer, replaced.restarts)
+        context = self.context
+        state = self.state
+        self._rebalancer = Rebalancer(
+            context, state.timers, state.registry, state.capacities, state.loads, state.shares
+        )
+        self.outliers = OutlierDetector(
+            context, state.registry, state.capacities, state.loads, self._rebalancer, replaced.restarts
+        )
         self.rules = SendRules(
             context, state.registry, replaced.slow_start or state.slow_start, replaced.endpoint_filter
         )
         self.plan = GroupPlan(context, state.registry, state.capacities, state.hash_ring, state.shares)
-        placement: EndpointChooser = Placement(
-            context,
-            *parts,
+        retries = RetryPolicy(context, state.loads, self.rules, replaced.jitter or RequestJitter(context))
+        self._lifecycle = RequestLifecycle(
+            state, replaced, self.outliers, self._rebalancer, self._placement(replaced), retries
+        )
+
+    def _placement(self, replaced: Strategies) -> EndpointChooser:
+        state = self.state
+        placement = Placement(
+            self.context,
+            state.registry,
+            state.capacities,
+            state.loads,
             state.slow_start,
             self.outliers,
             self.rules,
@@ -102,12 +115,9 @@
             replaced.shares or state.shares,
             replaced.scope,
         )
-        if replaced.wrap_placement is not None:
-            placement = replaced.wrap_placement(placement, self.rules, replaced.endpoint_filter)
-        retries = RetryPolicy(context, state.loads, self.rules, replaced.jitter or RequestJitter(context))
-        self._lifecycle = RequestLifecycle(
-            state, replaced, self.outliers, self._rebalancer, placement, retries
-        )
+        if replaced.wrap_placement is None:
+            return placement
+        return replaced.wrap_placement(placement, self.rules, replaced.endpoint_filter)
 
     def _event_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
         return {
--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -1,4 +1,4 @@
-"""Conditions of routes: what a front knows of who asks, held against values."""
+"""Conditions of routes: what a front knows of a client, compared with values."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from puffindeck.hashes import key_number
 from puffindeck.interface import ConnectionInfo
 
-# what a condition may be on, and the ways in which it may be held against values, the usual one first
+# what a condition may be on, and the ways in which it may be compared, the usual one first
 TEXTS = ("exact", "prefix", "suffix", "contains", "regex")
 WAYS = {
     "source": ("network",),
@@ -25,6 +25,8 @@
     "usable": ("range",),
 }
 
+HIGHEST = 1 << 31  # of a range that has no end
+
 
 class ConditionError(ValueError):
     """A condition can't be read; the text says why."""
@@ -35,8 +37,8 @@
 
     facts: ConnectionInfo
     cls: str
-    usable: Callable[[str], int]  # how many servers of a pool are fit to serve now
-    group: int = 0  # whom the client belongs to, as the decision module has it
+    usable: Callable[[str], int]  # how many endpoints of a pool are fit to serve now
+    group: int = 0  # of the client, as the decision module has it
 
 
 def _range(text: str) -> tuple[int, int]:
@@ -46,7 +48,8 @@
         high = low
     if not re.fullmatch(r"\d*:?\d*", text) or text in ("", ":"):
         raise ConditionError(f"{text!r} is no number or range LOW:HIGH")
-    first, last = int(low or 0), int(high) if high else 1 << 31
+    first = int(low or 0)
+    last = int(high) if high else HIGHEST
     if first > last:
         raise ConditionError(f"{text!r} is an empty range")
     return first, last
@@ -61,10 +64,10 @@
 
 @dataclass(frozen=True)
 class Condition:
-    """One thing that must be so, or with `negated` must not.
+    """One thing that a request must meet, or with `negated` must not.
 
-    What is not known holds for no value: a condition on it fails, and a negated one is met. ConditionError
-    says what is wrong with one that can't be read.
+    What is not known equals no value: a condition on it fails, and a negated one is met. ConditionError says
+    what is wrong with one that can't be read.
     """
 
     on: str
@@ -72,7 +75,7 @@
     how: str = ""
     negated: bool = False
     ignore_case: bool = False
-    pool: str = ""  # whose usable servers are counted
+    pool: str = ""  # whose usable endpoints are counted
     _ready: tuple[object, ...] = field(default=(), init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
@@ -109,7 +112,7 @@
         return tuple(net for net in self._ready if isinstance(net, (IPv4Network, IPv6Network)))
 
     def holds(self, view: View) -> bool:
-        """Is it so of this request?"""
+        """Whether this request meets it."""
         return self._met(view) != self.negated
 
     def _met(self, view: View) -> bool:
--- a/puffindeck/routing/pools.py
+++ b/puffindeck/routing/pools.py
@@ -1,4 +1,4 @@
-"""What pools are, as an operator sets them."""
+"""Pools, as an operator configures them."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 
 @dataclass(frozen=True)
 class Pool:
-    """Servers that serve the same, by the names that the list has for them (or patterns with * and ?).
+    """Endpoints that serve the same, by the names that the list has for them (or patterns with * and ?).
 
-    `tiers` are tried in their order: a later one serves only while no server of those before is fit.
+    `tiers` are tried in their order: a later one serves only while no endpoint of those before is fit.
     """
 
     name: str
     tiers: tuple[tuple[str, ...], ...]
     limit: int = 0  # connections of this node in the pool at most; 0: no limit
-    server_limits: Mapping[str, int] = field(default_factory=dict)  # the same for single servers
-    drained: tuple[str, ...] = ()  # servers that take nothing new, whatever the list says
+    server_limits: Mapping[str, int] = field(default_factory=dict)  # the same for single endpoints
+    drained: tuple[str, ...] = ()  # endpoints that take nothing new, whatever the list says
     attempts: int = 0  # in place of the settings' limit; 0: that holds
     bound: float = 0.0  # c of bounded loads; 0: the settings'
-    warm_ms: float = -1.0  # how long a server that starts is cold; under 0: the settings'
+    warm_ms: float = -1.0  # slow start in milliseconds; under 0: the settings'
 
     def tier_of(self, endpoint: str) -> int | None:
-        """The number of the tier that a server is in."""
+        """The number of the tier that an endpoint is in; None: it is in none."""
         return next((i for i, tier in enumerate(self.tiers) if named(endpoint, tier)), None)
 
     def settings(self, given: Settings) -> Settings:
@@ -51,5 +51,5 @@
 
 
 def named(endpoint: str, patterns: tuple[str, ...]) -> bool:
-    """Is a server among these names and patterns?"""
+    """Whether an endpoint is among these names and patterns."""
     return any(fnmatchcase(endpoint, pattern) for pattern in patterns)
--- a/puffindeck/routing/table.py
+++ b/puffindeck/routing/table.py
@@ -15,13 +15,13 @@
     when: tuple[tuple[Condition, ...], ...] = ()
 
     def fits(self, view: View) -> bool:
-        """Does this request go this way?"""
+        """Whether a request takes this route."""
         return not self.when or any(all(one.holds(view) for one in group) for group in self.when)
 
 
 @dataclass(frozen=True)
 class RouteTable:
-    """Routes in their order, and the pool of those that none fits (empty: they are refused)."""
+    """Routes in their order, and the pool of requests that none fits (empty: they are rejected)."""
 
     routes: tuple[Route, ...] = ()
     default: str = ""
