--- a/puffindeck/interface.py
+++ b/puffindeck/interface.py
@@ -251,7 +251,7 @@
     """A process that this one follows has seen that a server bears no more load from this gateway."""
 
     endpoint: int
-    ceiling: float
+    load_limit: float
 
 
 @dataclass(slots=True)
--- a/puffindeck/policy/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -267,7 +267,7 @@
             listener.endpoint_reattached(event.endpoint)
 
     def _on_load_limit_restored(self, event: LoadLimitRestored) -> None:
-        self.state.loads.restore_limit(self.registry.get_or_add(event.endpoint), event.ceiling)
+        self.state.loads.restore_limit(self.registry.get_or_add(event.endpoint), event.load_limit)
 
     def _on_settings_changed(self, event: SettingsChanged) -> None:
         self.context.apply(event.settings)
--- a/tests/policy/test_attempt_timeouts.py
+++ b/tests/policy/test_attempt_timeouts.py
@@ -36,7 +36,7 @@
     assert all(client.up is not None for client in came)
     assert all(client.asked == 1 for client in came), "none was sent away to come again"
     assert world.attempts <= 1.1 * storm
-    assert max((client.up or 0.0) - client.came for client in came) < 1.1 * storm * 8.0
+    assert max((client.up or 0.0) - client.arrived for client in came) < 1.1 * storm * 8.0
 
 
 def test_a_host_that_takes_requests_and_says_nothing_is_given_up_long_before_the_deadline() -> None:
@@ -45,7 +45,7 @@
     for i in range(400):
         world.come(50.0 * i, 0, i)
     world.run(30000.0)
-    took = [(client.up or 1e9) - client.came for client in world.all]
+    took = [(client.up or 1e9) - client.arrived for client in world.all]
     held_up = [t for t in took if t > AIM]
     assert held_up, "the grey host was tried"
     assert max(took) < 2.5 * AIM
@@ -68,7 +68,7 @@
     world = StoreWorld(RULES, 1, hosts=6, setup_ms=5.0)
     world.come(0.0, 0, key)
     world.run(1.0)
-    return next(iter(world.out[0].values())).endpoint
+    return next(iter(world.pending[0].values())).endpoint
 
 
 def test_where_attempts_cannot_be_given_up_their_time_leaves_room_for_another() -> None:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -486,7 +486,7 @@
 def test_actions_do_not_depend_on_the_process() -> None:
     script = (
         "from tests.support.gateway import *\nfrom random import Random\n"
-        "b = RuleBook(SETTINGS, Random(5)); log = []; check = b.check\n"
+        "b = RuleChecker(SETTINGS, Random(5)); log = []; check = b.check\n"
         "b.check = lambda a: (log.append(repr(a)), check(a))[1]\n"
         "for _ in range(300): b.step()\nprint('\\n'.join(log))"
     )
--- a/tests/policy/test_send_rules.py
+++ b/tests/policy/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, over random legal orders of events, checked apart from the module's own books."""
+"""The four rules, over random legal orders of events, checked apart from the policy's own records."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from puffindeck.interface import ClassSettings, Effect, Scope
-from tests.support.gateway import SETTINGS, RuleBook
+from tests.support.gateway import SETTINGS, RuleChecker
 
 CLASSES = {
     "safe": ClassSettings(300, 1200, message_latency_objective_ms=60),
@@ -26,14 +26,14 @@
 @given(random=st.randoms(use_true_random=False), crossing=st.sampled_from([0.0, 0.05]))
 def test_rules_hold_for_each_kind_of_class(name: str, random: Random, crossing: float) -> None:
     told = replace(SETTINGS, classes=(CLASSES[name],), can_cancel=crossing > 0, cross_zone_cost=crossing)
-    book = RuleBook(told, Random(random.getrandbits(64)))
+    checker = RuleChecker(told, Random(random.getrandbits(64)))
     for _ in range(600):
-        book.step()
+        checker.step()
 
 
 @settings(derandomize=True, max_examples=25, deadline=None)
 @given(seed=st.integers(0, 1 << 32))
 def test_rules_hold_for_classes_mixed(seed: int) -> None:
-    book = RuleBook(replace(SETTINGS, classes=tuple(CLASSES.values()), can_cancel=True), Random(seed))
+    checker = RuleChecker(replace(SETTINGS, classes=tuple(CLASSES.values()), can_cancel=True), Random(seed))
     for _ in range(800):
-        book.step()
+        checker.step()
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -34,7 +34,7 @@
     WatchEndpoints,
 )
 from puffindeck.routing import Condition, ConditionError, Pool, PoolRouter, Route, RouteTable, Routing, View
-from tests.support.gateway import SETTINGS, Gateway, RuleBook, asked, entry, listed, sends
+from tests.support.gateway import SETTINGS, Gateway, RuleChecker, asked, entry, listed, sends
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
 
@@ -308,8 +308,8 @@
         Pool("side", (names(2, 4), names(5, 1)), limit=20),
     )
     balancer = PoolRouter(Routing(RouteTable(routes, "main"), pools), told, seed, int, str)
-    book = RuleBook(told, Random(seed), balancer)
+    checker = RuleChecker(told, Random(seed), balancer)
     for _ in range(600):
-        book.step()
-    alive = {r for r, case in book.cases.items() if not case.answered or case.out is not None}
+        checker.step()
+    alive = {r for r, record in checker.records.items() if not record.answered or record.pending is not None}
     assert set(balancer.locations) <= alive, "requests that are over are forgotten"
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -1,6 +1,7 @@
-"""Helpers: settings, events, and a book that checks a balancer's actions against the four rules.
+"""Helpers: settings, events, and a checker of a balancer's actions against the four rules.
 
-The book knows only the events it handed in and the actions it got back. It plays event orders, not servers.
+The checker knows only the events that it delivered and the actions that it got back. It simulates orders of
+events, not servers.
 """
 
 from __future__ import annotations
@@ -41,7 +42,7 @@
 )
 from puffindeck.policy import Balancer
 
-FULLEST = 3.75  # of the mean a server holds: what the book lets one hold at most when full
+FULL_LOAD_MULTIPLE = 3.75  # of the mean of connections: what an endpoint at capacity may get at most
 SETTINGS = Settings(
     classes=(ClassSettings(latency_objective_ms=300, deadline_ms=1200, message_latency_objective_ms=60),),
     gateways=2,
@@ -154,135 +155,137 @@
 
 
 @dataclass
-class Case:
+class RequestRecord:
     cls: ClassSettings
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False  # finally answered, by whatever way
-    begun: bool = False
+    answered: bool = False  # finally, in whatever way
+    established: bool = False
 
     @property
-    def out(self) -> Attempt | None:
+    def pending(self) -> Attempt | None:
         return self.attempts[-1] if self.attempts and self.attempts[-1].outcome is None else None
 
 
-class RuleBook:
+class RuleChecker:
     """Random legal orders of events against one balancer, and the four rules checked on all it does."""
 
     def __init__(self, settings: Settings, random: Random, balancer: Any = None) -> None:
         self.settings, self.random = settings, random
         self.balancer = balancer or Balancer(settings, random.randrange(1 << 32))
         self.now = 1000.0
-        self.cases: dict[int, Case] = {}
-        self.wakes: list[tuple[float, int]] = []
+        self.records: dict[int, RequestRecord] = {}
+        self.timers: list[tuple[float, int]] = []
         self.endpoints: dict[int, EndpointEntry] = {}
-        self.told: dict[int, float] = {}  # when a server was told not ready
-        self.out: dict[int, float] = {}  # taken out by staff, since when
-        self.pushes: dict[int, list[float]] = {}
-        self.live, self.live_at = 0.0, self.now
+        self.unready_since: dict[int, float] = {}  # when the list last named an endpoint as not ready
+        self.detached_since: dict[int, float] = {}  # detached by an operator, since when
+        self.sends: dict[int, list[float]] = {}
+        self.connections, self.connections_at = 0.0, self.now
         self.next_id = 1
         self.version = 1
         for i in range(1, 6):
             self.endpoints[i] = entry(i, zone=i % 2, cell=i % 3)
-        self.hand([listed(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
+        self.deliver([listed(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
 
-    def hand(self, events: list[Event]) -> None:
+    def deliver(self, events: list[Event]) -> None:
         for action in self.balancer.handle(self.now, events):
             self.check(action)
 
     def check(self, action: Action) -> None:
         if isinstance(action, ScheduleTimer):
             assert action.delay_ms >= 0
-            self.wakes.append((self.now + action.delay_ms, action.token))
+            self.timers.append((self.now + action.delay_ms, action.token))
         elif isinstance(action, Send):
             self.check_send(action)
         elif isinstance(action, (Reject, Fail)):
-            case = self.cases[action.request]
-            assert not case.answered, "a second final answer"
-            assert self.now <= case.deadline + self.settings.answer_slack_ms, "answered too late"
+            record = self.records[action.request]
+            assert not record.answered, "a second final answer"
+            assert self.now <= record.deadline + self.settings.answer_slack_ms, "answered too late"
             if isinstance(action, Reject):
-                self.check_refusal(case)
-            case.answered = True
+                self.check_rejection(record)
+            record.answered = True
         elif isinstance(action, Cancel):
-            case = self.cases[action.request]
-            case.attempts[action.attempt].cancelled = True
+            record = self.records[action.request]
+            record.attempts[action.attempt].cancelled = True
         elif isinstance(action, Migrate):
-            case = self.cases[action.request]
-            assert case.begun or case.answered
-            case.answered = True
+            record = self.records[action.request]
+            assert record.established or record.answered
+            record.answered = True
 
     @staticmethod
-    def ran(case: Case) -> list[Attempt]:
-        return [a for a in case.attempts if a.outcome is None or a.outcome not in NOT_PROCESSED]
+    def may_have_run(record: RequestRecord) -> list[Attempt]:
+        return [a for a in record.attempts if a.outcome is None or a.outcome not in NOT_PROCESSED]
 
-    def check_refusal(self, case: Case) -> None:
-        keyed_to_some = case.cls.effect == Effect.IDEMPOTENCY_KEY and case.cls.scope != Scope.ALL
-        if case.cls.effect == Effect.NOT_IDEMPOTENT or keyed_to_some:
-            assert not self.ran(case), "refused though it may have run"
+    def check_rejection(self, record: RequestRecord) -> None:
+        keyed_to_some = record.cls.effect == Effect.IDEMPOTENCY_KEY and record.cls.scope != Scope.ALL
+        if record.cls.effect == Effect.NOT_IDEMPOTENT or keyed_to_some:
+            assert not self.may_have_run(record), "rejected though it may have run"
 
     def check_send(self, action: Send) -> None:
-        case = self.cases[action.request]
-        assert not case.answered, "sent after its end"
-        assert case.out is None, "two attempts out at once"
-        assert len(case.attempts) < self.settings.max_attempts
+        record = self.records[action.request]
+        assert not record.answered, "sent after its end"
+        assert record.pending is None, "two attempts out at once"
+        assert len(record.attempts) < self.settings.max_attempts
         endpoint = self.endpoints[action.endpoint]
-        assert action.endpoint not in self.out, "sent to a server taken out"
+        assert action.endpoint not in self.detached_since, "sent to a detached endpoint"
         if endpoint.state != EndpointStatus.READY:
-            grace_ends = self.told[action.endpoint] + self.settings.drain_grace_ms
+            grace_ends = self.unready_since[action.endpoint] + self.settings.drain_grace_ms
             assert self.now <= grace_ends, "sent to a drained server"
-        ran = self.ran(case)
-        if ran and case.cls.effect == Effect.NOT_IDEMPOTENT:
+        ran = self.may_have_run(record)
+        if ran and record.cls.effect == Effect.NOT_IDEMPOTENT:
             raise AssertionError("an unsafe request was tried again")
-        if ran and case.cls.effect == Effect.IDEMPOTENCY_KEY:
+        if ran and record.cls.effect == Effect.IDEMPOTENCY_KEY:
             first = self.endpoints[ran[0].endpoint]
-            assert self.now <= ran[0].sent + case.cls.window_ms, "sent again after its window"
-            assert case.cls.scope != Scope.ZONE or endpoint.zone == first.zone
-            assert case.cls.scope != Scope.CELL or endpoint.cell == first.cell
+            assert self.now <= ran[0].sent + record.cls.window_ms, "sent again after its window"
+            assert record.cls.scope != Scope.ZONE or endpoint.zone == first.zone
+            assert record.cls.scope != Scope.CELL or endpoint.cell == first.cell
         if endpoint.started_ms > 0 and self.now - endpoint.started_ms < self.settings.slow_start_ms:
-            self.check_cold(action.endpoint, endpoint.started_ms)
-        until = min(case.deadline, self.now + action.timeout_ms)
-        case.attempts.append(Attempt(action.endpoint, self.now, until))
-
-    def lived(self) -> float:
-        """Requests and connections here, or that were here of late: what servers have shown they hold."""
-        live = sum(not c.answered or c.out is not None for c in self.cases.values())
-        fade = math.exp((self.live_at - self.now) / self.settings.slow_start_ms)
-        self.live, self.live_at = max(float(live), self.live * fade), self.now
-        return self.live
-
-    def check_cold(self, endpoint: int, started: float) -> None:
-        """A server that can hold what this gateway's servers hold fills no faster than it warms."""
-        pushes = self.pushes.setdefault(endpoint, [])
-        pushes.append(self.now)
+            self.check_slow_start(action.endpoint, endpoint.started_ms)
+        until = min(record.deadline, self.now + action.timeout_ms)
+        record.attempts.append(Attempt(action.endpoint, self.now, until))
+
+    def recent_connections(self) -> float:
+        """Requests and connections of this gateway, now or recently: what endpoints have shown to bear."""
+        connections = sum(not c.answered or c.pending is not None for c in self.records.values())
+        fade = math.exp((self.connections_at - self.now) / self.settings.slow_start_ms)
+        self.connections, self.connections_at = max(float(connections), self.connections * fade), self.now
+        return self.connections
+
+    def check_slow_start(self, endpoint: int, started: float) -> None:
+        """An endpoint that bears what this gateway's endpoints have fills no faster than it warms up."""
+        sent_ms = self.sends.setdefault(endpoint, [])
+        sent_ms.append(self.now)
         s = self.settings
-        recent = [t for t in pushes if t > self.now - s.slow_start_window_ms and t >= started]
+        recent = [t for t in sent_ms if t > self.now - s.slow_start_window_ms and t >= started]
         warmth = (
             s.slow_start_initial_fraction
             + (1 - s.slow_start_initial_fraction) * (self.now - started) / s.slow_start_ms
         )
-        live = self.lived()
+        connections = self.recent_connections()
         ready = sum(e.state == EndpointStatus.READY for e in self.endpoints.values())
         most = (
-            FULLEST
+            FULL_LOAD_MULTIPLE
             * s.slow_start_load_multiple
             * warmth
-            * max(1.0, live / max(1, ready))
+            * max(1.0, connections / max(1, ready))
             * s.slow_start_window_ms
             / s.slow_start_ms
         )
-        assert len(recent) <= most + 3, f"a cold server was pushed: {len(recent)} sends, at most {most:.1f}"
+        assert len(recent) <= most + 3, (
+            f"an endpoint in slow start got too much: {len(recent)} sends, at most {most:.1f}"
+        )
 
     def step(self) -> None:
         """Five milliseconds: what is due, and perhaps something that happens."""
         self.now += 5
         random, events, left = self.random, list[Event](), list[int]()
         if random.random() < 0.01:
-            self.staff()
-        due = [w for w in self.wakes if w[0] <= self.now]
-        self.wakes = [w for w in self.wakes if w[0] > self.now]
+            self.operator_action()
+        due = [w for w in self.timers if w[0] <= self.now]
+        self.timers = [w for w in self.timers if w[0] > self.now]
         events += [TimerFired(token) for _, token in due]
-        for request, case in self.cases.items():
-            events += self.attempt_events(request, case)
+        for request, record in self.records.items():
+            events += self.attempt_events(request, record)
         if random.random() < 0.3:
             events.append(self.arrival())
         if random.random() < 0.02:
@@ -290,49 +293,49 @@
         if random.random() < 0.02:
             endpoint = random.choice(list(self.endpoints))
             events.append(LatencyReported(random.randrange(1, 50), endpoint, random.uniform(0, 500)))
-        if random.random() < 0.03 and self.cases:
-            request = random.choice(list(self.cases))
+        if random.random() < 0.03 and self.records:
+            request = random.choice(list(self.records))
             events.append(LoadReported(request, 1, random.uniform(0, 3000)))
-        if random.random() < 0.02 and self.cases:
-            request = random.choice(list(self.cases))
-            if not self.cases[request].begun:
+        if random.random() < 0.02 and self.records:
+            request = random.choice(list(self.records))
+            if not self.records[request].established:
                 left.append(request)
                 events.append(ClientDisconnected(request))
-        self.lived()
+        self.recent_connections()
         if events:
-            self.hand(events)
-        for request in left:  # what is told in this batch binds from the next on
-            self.cases[request].answered = True
-        self.overdue()
+            self.deliver(events)
+        for request in left:  # what this batch says binds from the next on
+            self.records[request].answered = True
+        self.check_deadlines()
 
-    def staff(self) -> None:
-        """Take a server out, or put one back that was restarted meanwhile."""
+    def operator_action(self) -> None:
+        """Detach an endpoint, or attach one that was restarted meanwhile."""
         endpoint = self.random.choice(list(self.endpoints))
-        since = self.out.pop(endpoint, None)
+        since = self.detached_since.pop(endpoint, None)
         if since is None:
-            self.out[endpoint] = self.now
-            self.hand([EndpointDetached(endpoint)])
+            self.detached_since[endpoint] = self.now
+            self.deliver([EndpointDetached(endpoint)])
             return
         if self.endpoints[endpoint].started_ms < since:
             self.endpoints[endpoint] = replace(self.endpoints[endpoint], started_ms=self.now)
-        self.hand([EndpointAttached(endpoint)])
+        self.deliver([EndpointAttached(endpoint)])
 
-    def attempt_events(self, request: int, case: Case) -> list[Event]:
-        attempt, number, random = case.out, len(case.attempts) - 1, self.random
+    def attempt_events(self, request: int, record: RequestRecord) -> list[Event]:
+        attempt, number, random = record.pending, len(record.attempts) - 1, self.random
         if attempt is None:
             return []
         took = self.now - attempt.sent
         outcome: Outcome | None = None
         if attempt.cancelled:
             outcome = Outcome.CANCELLED
-        elif case.begun:
-            if case.answered or random.random() < 0.005:
+        elif record.established:
+            if record.answered or random.random() < 0.005:
                 outcome = random.choice([Outcome.OK, Outcome.RESET, Outcome.CANCELLED])
         elif self.now >= attempt.until:
             outcome = Outcome.TIMEOUT
-        elif random.random() < 0.1 and not case.answered:
+        elif random.random() < 0.1 and not record.answered:
             if random.random() < 0.5:
-                case.begun = True
+                record.established = True
                 return [AttemptEstablished(request, attempt.endpoint, took, number)]
             outcome = random.choice(
                 [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT]
@@ -340,16 +343,16 @@
         if outcome is None:
             return []
         attempt.outcome = outcome
-        if case.begun:
-            case.answered = True
-        return [AttemptEnded(request, outcome, attempt.endpoint, number, case.answered, took)]
+        if record.established:
+            record.answered = True
+        return [AttemptEnded(request, outcome, attempt.endpoint, number, record.answered, took)]
 
     def arrival(self) -> Event:
         cls = self.random.randrange(len(self.settings.classes))
         rules = self.settings.classes[cls]
         left = rules.deadline_ms * self.random.choice([0.02, 0.3, 1.0])
         request, self.next_id = self.next_id, self.next_id + 1
-        self.cases[request] = Case(rules, self.now + left)
+        self.records[request] = RequestRecord(rules, self.now + left)
         group = self.random.randrange(4)
         return replace(asked(request, group=group, left=left, cls=cls), mid_flow=self.random.random() < 0.1)
 
@@ -366,12 +369,12 @@
         ):
             new = replace(new, started_ms=self.now)
         if state != EndpointStatus.READY and old.state == EndpointStatus.READY:
-            self.told[endpoint] = self.now
-        self.told.setdefault(endpoint, self.now)
+            self.unready_since[endpoint] = self.now
+        self.unready_since.setdefault(endpoint, self.now)
         self.endpoints[endpoint] = new
         return [listed(new, kind=ListUpdateKind.CHANGES, version=self.version)]
 
-    def overdue(self) -> None:
-        for request, case in self.cases.items():
-            if not case.answered and not case.begun:
-                assert self.now <= case.deadline + self.settings.answer_slack_ms, f"{request} has no answer"
+    def check_deadlines(self) -> None:
+        for request, record in self.records.items():
+            if not record.answered and not record.established:
+                assert self.now <= record.deadline + self.settings.answer_slack_ms, f"{request} has no answer"
--- a/tests/support/shared_store.py
+++ b/tests/support/shared_store.py
@@ -37,8 +37,10 @@
 class Client:
     """One client: it asks until it is served, a while after each failure."""
 
-    def __init__(self, gateway: int, key: int, came: float) -> None:
-        self.gateway, self.key, self.came = gateway, key, came
+    def __init__(self, gateway: int, key: int, arrived: float) -> None:
+        self.gateway = gateway
+        self.key = key
+        self.arrived = arrived
         self.up: float | None = None
         self.asked = 0
 
@@ -47,7 +49,10 @@
     """One attempt, from its send until it has ended."""
 
     def __init__(self, client: Client, endpoint: int, number: int, sent: float) -> None:
-        self.client, self.endpoint, self.number, self.sent = client, endpoint, number, sent
+        self.client = client
+        self.endpoint = endpoint
+        self.number = number
+        self.sent = sent
         self.over = False
 
 
@@ -57,25 +62,27 @@
     def __init__(
         self, settings: Settings, gateways: int, hosts: int, setup_ms: float, seed: int = 1, grey: int = 0
     ) -> None:
-        self.settings, self.setup_ms, self.grey = settings, setup_ms, grey
+        self.settings = settings
+        self.setup_ms = setup_ms
+        self.grey = grey
         self.random = Random(seed)
         self.balancers = [Balancer(settings, self.random.randrange(1 << 32)) for _ in range(gateways)]
         self.now = 0.0
         self.queue: deque[tuple[int, Attempt]] = deque()  # what waits for the store
         self.busy = False
         self.attempts = 0
-        self.out: list[dict[int, Attempt]] = [{} for _ in range(gateways)]
-        self.tries: list[dict[int, int]] = [{} for _ in range(gateways)]
+        self.pending: list[dict[int, Attempt]] = [{} for _ in range(gateways)]
+        self.attempt_counts: list[dict[int, int]] = [{} for _ in range(gateways)]
         self.clients: dict[tuple[int, int], Client] = {}
         self.all: list[Client] = []
         self._due: list[tuple[float, int, Any, tuple[Any, ...]]] = []
         self._order, self._ids = count(), count(1)
         for gateway in range(gateways):
-            self.tell(
+            self.deliver(
                 gateway, EndpointListUpdated(ListUpdateKind.FULL, 1, [entry(i) for i in range(1, hosts + 1)])
             )
 
-    def at(self, when: float, act: Any, *what: Any) -> None:
+    def schedule(self, when: float, act: Any, *what: Any) -> None:
         heappush(self._due, (when, next(self._order), act, what))
 
     def run(self, until: float) -> None:
@@ -88,39 +95,39 @@
         """A client, from this moment on."""
         client = Client(gateway, key, when)
         self.all.append(client)
-        self.at(when, self.ask, client)
+        self.schedule(when, self.ask, client)
 
     def ask(self, client: Client) -> None:
         client.asked += 1
         request = next(self._ids)
         self.clients[client.gateway, request] = client
         left = self.settings.classes[0].deadline_ms
-        self.tell(client.gateway, RequestArrived(request, 0, 0, client.key, left, 0.0, 0))
+        self.deliver(client.gateway, RequestArrived(request, 0, 0, client.key, left, 0.0, 0))
 
-    def tell(self, gateway: int, event: Event) -> None:
+    def deliver(self, gateway: int, event: Event) -> None:
         for action in self.balancers[gateway].handle(self.now, [event]):
             self.do(gateway, action)
 
     def do(self, gateway: int, action: Action) -> None:
         if isinstance(action, ScheduleTimer):
-            self.at(self.now + action.delay_ms, self.tell, gateway, TimerFired(action.token))
+            self.schedule(self.now + action.delay_ms, self.deliver, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
-            assert action.request not in self.out[gateway], "two attempts at once"
-            number = self.tries[gateway].get(action.request, 0)
-            self.tries[gateway][action.request] = number + 1
+            assert action.request not in self.pending[gateway], "two attempts at once"
+            number = self.attempt_counts[gateway].get(action.request, 0)
+            self.attempt_counts[gateway][action.request] = number + 1
             attempt = Attempt(self.clients[gateway, action.request], action.endpoint, number, self.now)
-            self.out[gateway][action.request] = attempt
+            self.pending[gateway][action.request] = attempt
             self.attempts += 1
-            self.at(self.now + action.timeout_ms, self.end, action.request, attempt, Outcome.TIMEOUT)
+            self.schedule(self.now + action.timeout_ms, self.end, action.request, attempt, Outcome.TIMEOUT)
             if action.endpoint != self.grey:
                 self.queue.append((action.request, attempt))
                 self.work()
         elif isinstance(action, Cancel):
-            attempt = self.out[gateway][action.request]
-            self.at(self.now, self.end, action.request, attempt, Outcome.CANCELLED)
+            attempt = self.pending[gateway][action.request]
+            self.schedule(self.now, self.end, action.request, attempt, Outcome.CANCELLED)
         elif isinstance(action, (Reject, Fail)):
             client = self.clients[gateway, action.request]
-            self.at(self.now + self.random.uniform(500, 1500), self.ask, client)
+            self.schedule(self.now + self.random.uniform(500, 1500), self.ask, client)
         assert not isinstance(action, Migrate)
 
     def end(self, request: int, attempt: Attempt, outcome: Outcome) -> None:
@@ -128,14 +135,14 @@
             return
         attempt.over = True
         gateway = attempt.client.gateway
-        del self.out[gateway][request]
+        del self.pending[gateway][request]
         final, took = attempt.client.up is not None, self.now - attempt.sent
-        self.tell(gateway, AttemptEnded(request, outcome, attempt.endpoint, attempt.number, final, took))
+        self.deliver(gateway, AttemptEnded(request, outcome, attempt.endpoint, attempt.number, final, took))
 
     def work(self) -> None:
         if not self.busy and self.queue:
             self.busy = True
-            self.at(self.now + self.setup_ms, self.done, *self.queue.popleft())
+            self.schedule(self.now + self.setup_ms, self.done, *self.queue.popleft())
 
     def done(self, request: int, attempt: Attempt) -> None:
         """Set up, be it for nobody."""
@@ -143,8 +150,8 @@
         if not attempt.over:
             attempt.over = True
             client = attempt.client
-            del self.out[client.gateway][request]
+            del self.pending[client.gateway][request]
             client.up = self.now
             took = self.now - attempt.sent
-            self.tell(client.gateway, AttemptEstablished(request, attempt.endpoint, took, attempt.number))
+            self.deliver(client.gateway, AttemptEstablished(request, attempt.endpoint, took, attempt.number))
         self.work()
