--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/client_placement.py
@@ -1,9 +1,9 @@
 """The ways to place one connection each from many clients that share nothing, without any sockets.
 
-    python -m benchmarks.crowd_ways [--seeds 20] [--clients 600] [--servers 15]
+    python -m benchmarks.client_placement [--seeds 20] [--clients 600] [--servers 15]
 
 For each way: the share of keys that a gateway with all the connections puts on the same server (they end at
-once, or stand, so that it evens out what luck brings; its ring as points fall, or evened), the fullest
+once, or stand, so that it evens out what luck brings; its ring as points fall, or smoothed), the fullest
 server's connections by the mean (calm, and with three servers that have just started), the part of keys
 that move without need when a server leaves, and connections at the fullest cold server within the first
 second against what the rule allows. The last line is plain luck: each connection to a server drawn evenly.
