--- a/puffindeck/client_side/client_balancer.py
+++ b/puffindeck/client_side/client_balancer.py
@@ -2,15 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Iterable
 from dataclasses import replace
-from typing import Any
 
 from puffindeck.client_side.admission import Admission
 from puffindeck.client_side.client_strategies import ClientRing, ClientStrategies
-from puffindeck.interface import Action, Event, Settings
+from puffindeck.interface import Settings
 from puffindeck.policy import Balancer
-from puffindeck.policy.records import Request
 
 
 class ClientBalancer(Balancer):
@@ -40,14 +37,6 @@
         """The ring that it places on."""
         return self._client.ring
 
-    def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """As Balancer's. Deadlines of calls that are over are dropped first: they would bring timers."""
-        self.state.timers.drop_first_while(self._is_over)
-        return super().handle(now_ms, events)
-
-    def _is_over(self, argument: Any) -> bool:
-        return isinstance(argument, Request) and argument.id not in self.requests
-
     def heard(self, now_ms: float) -> None:
         """The source of the list has given a sign of life, with or without changes."""
         self._client.freshness.heard(now_ms)
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -215,14 +215,23 @@
 
 
 class ClientObserver(LifecycleListener):
-    """Keeps the admission's memory of arrivals and losses, and the age of the list."""
+    """Keeps the admission's memory of arrivals and losses, the age of the list, and the timers few."""
 
     def __init__(self, state: GatewayState, admission: Admission, freshness: ListFreshness) -> None:
         self._context = state.context
         self._slow_start = state.slow_start
+        self._timers = state.timers
+        self._requests = state.requests
         self._admission = admission
         self._freshness = freshness
 
+    def batch_started(self) -> None:
+        """Drop the deadlines of calls that are over: they would bring timers."""
+        self._timers.drop_first_while(self._is_over)
+
+    def _is_over(self, argument: object) -> bool:
+        return isinstance(argument, Request) and argument.id not in self._requests
+
     def request_arrived(self) -> None:
         """Record an arrival."""
         self._admission.arrived(self._context.now_ms)
--- a/puffindeck/client_side/pool_router.py
+++ b/puffindeck/client_side/pool_router.py
@@ -2,12 +2,12 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import replace
 from typing import cast
 
 from puffindeck.client_side.client_strategies import ClientStrategies
-from puffindeck.interface import Action, Event, Settings
+from puffindeck.interface import Settings
 from puffindeck.policy.records import Request
 from puffindeck.routing import PoolRouter
 from puffindeck.routing.pool_state import PoolState
@@ -28,14 +28,6 @@
         watching = replace(settings, must_watch_endpoints=True)
         super().__init__(watching, seed, should_leave, pool_connections, self.client.build)
 
-    def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """As Balancer's. Deadlines of calls that are over are dropped first: they would bring timers."""
-        self.state.timers.drop_first_while(self._is_over)
-        return super().handle(now_ms, events)
-
-    def _is_over(self, argument: object) -> bool:
-        return isinstance(argument, Request) and argument.id not in self.requests
-
 
 class ClientPoolRouter(PoolRouter):
     """A client's decisions over all pools, with what it knows of the endpoint list as a whole."""
--- a/puffindeck/policy/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -167,6 +167,8 @@
         timers = self.state.timers
         context.now_ms = now_ms
         actions = context.actions = []
+        for listener in self._listeners:
+            listener.batch_started()
         if not self._rebalancer.is_started():
             if context.settings.must_watch_endpoints:
                 self._watch(None)
--- a/puffindeck/policy/strategies.py
+++ b/puffindeck/policy/strategies.py
@@ -44,6 +44,9 @@
 class LifecycleListener:
     """Is called at the steps of requests. Subclasses override what they need."""
 
+    def batch_started(self) -> None:
+        """Events are about to be handled."""
+
     def request_arrived(self) -> None:
         """A request has come, perhaps one that is known already."""
 
@@ -87,9 +90,7 @@
         "timers",
     )
 
-    def __init__(
-        self, context: DecisionContext, minimum_connections: Callable[[], float] = lambda: 0.0
-    ) -> None:
+    def __init__(self, context: DecisionContext, minimum_connections: Callable[[], float]) -> None:
         self.context = context
         self.timers = TimerQueue()
         self.requests: dict[int, Request] = {}  # RequestLifecycle adds and removes
