--- a/benchmarks/crowd_ways.py
+++ b/benchmarks/client_placement.py
@@ -1,9 +1,9 @@
 """The ways to place one connection each from many clients that share nothing, without any sockets.
 
-    python -m benchmarks.crowd_ways [--seeds 20] [--clients 600] [--servers 15]
+    python -m benchmarks.client_placement [--seeds 20] [--clients 600] [--servers 15]
 
 For each way: the share of keys that a gateway with all the connections puts on the same server (they end at
-once, or stand, so that it evens out what luck brings; its ring as points fall, or evened), the fullest
+once, or stand, so that it evens out what luck brings; its ring as points fall, or smoothed), the fullest
 server's connections by the mean (calm, and with three servers that have just started), the part of keys
 that move without need when a server leaves, and connections at the fullest cold server within the first
 second against what the rule allows. The last line is plain luck: each connection to a server drawn evenly.
@@ -20,9 +20,9 @@
 from statistics import mean
 
 from benchmarks.table import table
-from puffindeck.client_side import Member
-from puffindeck.client_side.even import Ring, owner
-from puffindeck.client_side.ring import EVENNESS, EvenBalancer
+from puffindeck.client_side import ClientBalancer
+from puffindeck.client_side.ring_smoothing import owner
+from puffindeck.client_side.smoothed_ring import DEFAULT_EVENNESS, SmoothedRingBalancer
 from puffindeck.hashes import mix64, ring_positions
 from puffindeck.interface import (
     AttemptEnded,
@@ -39,6 +39,7 @@
     Settings,
 )
 from puffindeck.policy import Balancer
+from puffindeck.policy.hash_ring import Ring
 
 SETTINGS = Settings(
     classes=(ClassSettings(300, 1200),),
@@ -81,7 +82,7 @@
 ) -> list[int]:
     """One gateway that gets all the connections, as the daemon does; they stand, or end at once."""
     told = replace(SETTINGS, gateways=1, evenness=evenness)
-    one = EvenBalancer(told, 1) if evenness else Balancer(told, 1)
+    one = SmoothedRingBalancer(told, 1) if evenness else Balancer(told, 1)
     one.handle(NOW, [listed(endpoints, cold)])
     found = []
     for i, key in enumerate(keys):
@@ -109,21 +110,20 @@
     return way
 
 
+def ring_number(endpoint: int, turn: int) -> int:
+    """A number of the endpoint's own for each set of its points on the ring."""
+    return int.from_bytes(blake2b(b"%d %d" % (endpoint, turn), digest_size=7).digest())
+
+
 def with_points(times: int) -> Way:
     """More points on the ring, cold servers passed by."""
 
     def drawn(endpoint: int) -> list[int]:
-        return [
-            point
-            for turn in range(times)
-            for point in ring_positions(
-                int.from_bytes(blake2b(b"%d %d" % (endpoint, turn), digest_size=7).digest())
-            )
-        ]
+        return [point for turn in range(times) for point in ring_positions(ring_number(endpoint, turn))]
 
     def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
         owners = {point: s for s in endpoints if s not in cold for point in drawn(s)}
-        ring: Ring = sorted(owners), owners
+        ring = Ring(sorted(owners), owners)
         return [owner(ring, mix64(key) >> 34) for key in keys]
 
     return way
@@ -157,7 +157,7 @@
     ("a subset of 3 by the client's number", subset(3)),
     ("a subset of 5 by the client's number", subset(5)),
     *(
-        (f"shares of the ring evened to {bound:g}", each_alone(Member, bound))
+        (f"shares of the ring evened to {bound:g}", each_alone(ClientBalancer, bound))
         for bound in (1.0, 1.03, 1.05, 1.1, 1.25)
     ),
     ("plain luck on even shares", luck),
@@ -173,7 +173,7 @@
     rows = []
     usual = told.clients / told.endpoints
     budget = 3 * 0.31 * usual / 9
-    daemons = [(evenness, stand) for evenness in (0.0, EVENNESS) for stand in (False, True)]
+    daemons = [(evenness, stand) for evenness in (0.0, DEFAULT_EVENNESS) for stand in (False, True)]
     for name, way in WAYS:
         alike: dict[tuple[float, bool], list[float]] = {daemon: [] for daemon in daemons}
         calm, chilled, moved, coldest = [], [], [], []
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -27,7 +27,7 @@
 from msgspec.structs import replace
 
 from benchmarks.table import table
-from puffindeck.client_side.ring import EVENNESS
+from puffindeck.client_side.smoothed_ring import DEFAULT_EVENNESS
 from puffindeck.config.endpoint_list import Target
 from tests.support.rpc_world import METHODS, Discovery
 
@@ -115,7 +115,7 @@
         self.options = options
         self.folder = folder
         self.front = "plugin" if front == "plugin" else "lines"
-        self.evenness = EVENNESS if front == "even" else 0.0
+        self.evenness = DEFAULT_EVENNESS if front == "even" else 0.0
         self.names = [f"b{i}" for i in range(options.servers)]
         self.discovery = Discovery()
         self.parts: list[Process] = []
@@ -140,7 +140,7 @@
             config = {
                 "discovery": f"127.0.0.1:{self.discovery.port}",
                 "rpc": {"class": "status", "methods": METHODS},
-                "settings": settings(self.options.clients, EVENNESS),
+                "settings": settings(self.options.clients, DEFAULT_EVENNESS),
             }
             (self.folder / "client.toml").write_text(tomli_w.dumps(config))
 
--- a/packages/fleet/src/puffindeck_fleet/region_enforcement.py
+++ b/packages/fleet/src/puffindeck_fleet/region_enforcement.py
@@ -13,13 +13,13 @@
 
 
 class RegionalDecisions(Protocol):
-    """The part of a regional decision module that is used here. `puffindeck_residency.Regional` has it."""
+    """The part of a regional decision module that is used here. `puffindeck_residency.RegionalBalancer` has it."""
 
     @property
     def orders(self) -> dict[int, tuple[str, ...]]:
         """The allowed regions of requests that a rule applies to, in the order of preference."""
 
-    def outside(self) -> list[int]:
+    def connections_outside_regions(self) -> list[int]:
         """The requests whose connection is in a region that is not allowed."""
 
 
@@ -66,7 +66,7 @@
         if now_ms - self._checked_ms < CHECK_INTERVAL_MS:
             return []
         self._checked_ms = now_ms
-        violating = self._module.outside()
+        violating = self._module.connections_outside_regions()
         if not violating:
             self._violated_since_ms = None
             return []
@@ -79,7 +79,7 @@
     def violations_by_service(self, requests: Mapping[int, FilteredRequest]) -> dict[str, int]:
         """The number of connections in regions that are not allowed, by service."""
         counts: dict[str, int] = {}
-        for number in self._module.outside():
+        for number in self._module.connections_outside_regions():
             constraint = evaluate(self._ruleset_store.active(), requests[number].view, self._region)
             for name in constraint.service_names if constraint is not None else ():
                 counts[name] = counts.get(name, 0) + 1
--- a/packages/fleet/src/puffindeck_fleet/request_filter.py
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -44,7 +44,7 @@
     """The decision module behind quotas and rules of residency.
 
     `view` gives what a front knows of a request, and `tenant` the tenant by that. With `ruleset_store` the decision
-    module has to be a `puffindeck_residency.Regional`. `moved_within_ms`: milliseconds within which connections
+    module has to be a `puffindeck_residency.RegionalBalancer`. `moved_within_ms`: milliseconds within which connections
     migrate that are in a region that is no longer allowed.
     """
 
@@ -73,9 +73,9 @@
         self._requests: dict[int, FilteredRequest] = {}
         self._released: list[int] = []  # requests that migrate with the next actions
 
-    def ceilings(self) -> dict[int, float]:
+    def load_limits(self) -> dict[int, float]:
         """The load limits of the decision module."""
-        return self._inner.ceilings()
+        return self._inner.load_limits()
 
     def release(self, charge: Charge) -> None:
         """A connection has lost its permit: it migrates with the next actions (`FLUSH`)."""
--- a/packages/residency/src/puffindeck_residency/__init__.py
+++ b/packages/residency/src/puffindeck_residency/__init__.py
@@ -1,7 +1,7 @@
 """Services that may be served only in certain regions. docs/design/residency.md compares the designs."""
 
 from puffindeck_residency.errors import BooksDiffer, BookUnreadable, ResidencyError
-from puffindeck_residency.regional import Regional, RegionalBalancer
+from puffindeck_residency.regional import RegionalBalancer
 from puffindeck_residency.ruleset import RegionConstraint, Ruleset, ServiceRule, evaluate
 from puffindeck_residency.ruleset_store import LiveMembersUpdated, RulesetStore
 
@@ -10,7 +10,6 @@
     "BooksDiffer",
     "LiveMembersUpdated",
     "RegionConstraint",
-    "Regional",
     "RegionalBalancer",
     "ResidencyError",
     "Ruleset",
--- a/puffindeck/core/dispatcher.py
+++ b/puffindeck/core/dispatcher.py
@@ -21,7 +21,7 @@
         """Take what has happened, at a moment in milliseconds since 1970; return what is to be done."""
         ...
 
-    def ceilings(self) -> dict[int, float]:
+    def load_limits(self) -> dict[int, float]:
         """Return the load limit of each endpoint that has one."""
         ...
 
--- a/puffindeck/net/decision_module.py
+++ b/puffindeck/net/decision_module.py
@@ -16,11 +16,11 @@
     """
     settings, seed = config.settings, config.seed
     if config.routing is not None:
-        from puffindeck.routing import Pooled
+        from puffindeck.routing import PoolRouter
 
-        return Pooled(config.routing, settings, seed, directory.number, directory.name)
+        return PoolRouter(config.routing, settings, seed, directory.number, directory.name)
     if not settings.evenness:
         return Balancer(settings, seed)
-    from puffindeck.client_side import EvenBalancer
+    from puffindeck.client_side import SmoothedRingBalancer
 
-    return EvenBalancer(settings, seed)
+    return SmoothedRingBalancer(settings, seed)
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -93,8 +93,7 @@
                 rules.stale_after_ms,
                 rules.refuse_when_stale,
             )
-            balancer = RegionalBalancer(config.settings, config.seed)
-            balancer.region_of = self._region_of(ruleset_store)
+            balancer = RegionalBalancer(config.settings, config.seed, self._region_of(ruleset_store))
         return RequestFilter(
             balancer,
             config.settings,
--- a/puffindeck/net/hot_restart.py
+++ b/puffindeck/net/hot_restart.py
@@ -64,7 +64,7 @@
         """Store the load limits for a next process, which would overload strained hosts without them."""
         self._deadlines.after(HANDOVER_INTERVAL, self._write_handover_state)
         if self._lifecycle.is_ready and self._lifecycle.shutdown is None:
-            ceilings = self._engine.balancer.ceilings()
+            ceilings = self._engine.balancer.load_limits()
             limits = {self._directory.name(endpoint): limit for endpoint, limit in ceilings.items()}
             with suppress(OSError):
                 self.registry.write_handover_state(limits, monotonic_ms())
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -169,7 +169,7 @@
         shared = self._started().shared
         if shared.balancer.ready:
             return grpc.ChannelConnectivity.READY
-        if shared.balancer.list_fails or shared.balancer.version >= 0:
+        if shared.balancer.list_failures or shared.balancer.version >= 0:
             return grpc.ChannelConnectivity.TRANSIENT_FAILURE
         return grpc.ChannelConnectivity.CONNECTING
 
--- a/puffindeck/rpc/shared_state.py
+++ b/puffindeck/rpc/shared_state.py
@@ -10,7 +10,7 @@
 import msgspec
 from twisted.logger import STDLibLogObserver, globalLogPublisher
 
-from puffindeck.client_side import Member
+from puffindeck.client_side import ClientBalancer
 from puffindeck.config.client_config import ClientConfig
 from puffindeck.core.clock import Clock, to_ms
 from puffindeck.core.dispatcher import Decisions
@@ -39,7 +39,7 @@
         """The version of the endpoint list; under 0 before the first."""
 
     @property
-    def list_fails(self) -> int:
+    def list_failures(self) -> int:
         """How often in a row the list could not be had."""
 
     def heard(self, now_ms: float) -> None:
@@ -92,11 +92,11 @@
     def _make_balancer(self) -> ClientDecisions:
         config = self.config
         if config.routing is None:
-            return Member(config.settings, config.seed)
-        from puffindeck.client_side.pooled import PooledMember  # only where there are pools
+            return ClientBalancer(config.settings, config.seed)
+        from puffindeck.client_side.pool_router import ClientPoolRouter  # only where there are pools
 
         names = self.directory
-        return PooledMember(config.routing, config.settings, config.seed, names.number, names.name)
+        return ClientPoolRouter(config.routing, config.settings, config.seed, names.number, names.name)
 
     def _load_known_endpoints(self) -> None:
         """Begin with the list of the configuration, or have the decision module request one."""
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -188,7 +188,7 @@
     assert installed.residency is not None
     initial = installed.residency.ruleset
     rulesets = RulesetStore(name, initial, lambda text: initial, installed.voters, 30000.0, True)
-    inner = SimpleNamespace(outside=list, handle=lambda now, events: [])
+    inner = SimpleNamespace(connections_outside_regions=list, handle=lambda now, events: [])
     settings = Settings((), 1, 0, 1, 0.0, 0.0, 1.0, 0.0, 1.0, 0.0)
     request_filter = RequestFilter(inner, settings, limits, ruleset_store=rulesets)
     gateway.join(None, request_filter)
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -115,7 +115,7 @@
         with patch.object(served_classes, "DROP_DELAY", milliseconds(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
         self.assertEqual([e.settings.max_attempts for e in self.ends(SettingsChanged)][-1], 1)
-        self.assertEqual((old.most, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
+        self.assertEqual((old.max_attempts, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
         now = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
         self.assertEqual(tuple(now[self.node.classes.numbers[name]].name for name in served), served)
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -30,8 +30,8 @@
 
 TOLD = milliseconds(6000)
 OK = b"HTTP/1.1 200 OK\r\n"
-MOST_WAIT = milliseconds(1.5 * balancer.ASK_MOST_MS)
-FIRST_WAIT = milliseconds(1.5 * balancer.ASK_MS)
+MOST_WAIT = milliseconds(1.5 * balancer.MAX_WATCH_RETRY_MS)
+FIRST_WAIT = milliseconds(1.5 * balancer.WATCH_RETRY_MS)
 
 
 def test_a_lost_call_a_wait_and_an_answer_fit_in_the_time_after_which_a_change_counts_as_told() -> None:
@@ -61,7 +61,7 @@
     def quick(self) -> None:
         times = (
             (discovery, ("ANSWER_TIMEOUT", "SILENCE_TIMEOUT", "LIST_TIMEOUT")),
-            (balancer, ("ASK_MS", "ASK_MOST_MS")),
+            (balancer, ("WATCH_RETRY_MS", "MAX_WATCH_RETRY_MS")),
         )
         for module, names in times:
             for name in names:
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -56,7 +56,7 @@
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
             self.assertEqual(self.ends(AttemptEnded)[-1].outcome, outcome)
             endpoint = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
-            endpoint.suspect_until, endpoint.ceiling = 0.0, float("inf")  # each as if it were the first
+            endpoint.ejected_until_ms, endpoint.load_limit = 0.0, float("inf")  # each as if it were the first
         await self.hosts["h0"].port.stopListening()
         client = await self.client(ASK)
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -13,7 +13,7 @@
 from grpc.aio import Metadata
 from msgspec import to_builtins
 
-from puffindeck.client_side.even import owner
+from puffindeck.client_side.ring_smoothing import owner
 from puffindeck.config.client_config import ClientConfig, RpcConfig, RpcTable, parse_rpc
 from puffindeck.config.endpoint_list import EndpointList, Target
 from puffindeck.hashes import mix64
