--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -101,7 +101,7 @@
         stream.cancel()
         shared, _ = channel._started()
         await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
-        self.assertFalse(decisions(channel).places)
+        self.assertFalse(decisions(channel).locations)
 
 
 def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
--- a/tests/service_discovery/test_asyncio_watch.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -68,7 +68,7 @@
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
         await self.world.discovery.stop()
-        await wait_until(lambda: decisions(channel).list_fails >= 3, "it was not asked again")
+        await wait_until(lambda: decisions(channel).list_failures >= 3, "it was not asked again")
         self.assertTrue(await stub.status(b"", timeout=2))
         self.world.discovery.update(self.world.servers["one"].target("DRAINING"))
         await self.world.discovery.start()
@@ -157,13 +157,14 @@
         for channel in channels:
             balancer = decisions(channel)
             await wait_until(
-                lambda m=balancer: len(m.ready) == 10 and m._cold_now(),  # type: ignore[misc]
+                lambda m=balancer: len(m.ready) == 10 and m.client_ring.warming(),  # type: ignore[misc]
                 "the change did not come",
             )
         for i, channel in enumerate(channels):
             self.assertTrue(await Stub(channel).status(b"", timeout=2, metadata=key_metadata(f"desk {i}")))
         cold_keys = sum(
-            balancer.home(_request(f"desk {i}")) is balancer.endpoints[shared.directory.number("b2")]
+            balancer.client_ring.full.home(_request(f"desk {i}"))
+            is balancer.endpoints[shared.directory.number("b2")]
             for i, (shared, balancer) in enumerate((c._started()[0], decisions(c)) for c in channels)
         )
         self.assertGreater(cold_keys, 0)
@@ -193,7 +194,7 @@
         )
         for channel in channels:
             balancer = decisions(channel)
-            await wait_until(lambda m=balancer: m._cold_now(), "the change did not come")  # type: ignore[misc]
+            await wait_until(lambda m=balancer: m.client_ring.warming(), "the change did not come")  # type: ignore[misc]
         old.calls.clear()
         for i, task in reading.items():
             if task.done():
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -290,7 +290,7 @@
     def key_of(self, channel: BalancedChannel, server: str) -> str:
         """A key whose home is this server, by the channel's own decisions."""
         shared = channel._started()[0]
-        ring = decisions(channel).whole(None)
+        ring = decisions(channel).client_ring.full.ring_for(None)
         wanted = shared.directory.number(server)
         return next(
             key
