--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -14,6 +14,7 @@
 from unittest.mock import patch
 
 import msgspec
+from twisted.internet.defer import maybeDeferred
 
 from puffindeck import config
 from puffindeck.core.clock import milliseconds
@@ -39,6 +40,19 @@
         path.write_text(json.dumps(file))
         return str(path)
 
+    def discovery_of_the_program(self) -> Listener:
+        """A discovery that only a program calls: the node of the story calls its own again and again."""
+        listener = Listener()
+        self.addCleanup(self.close_listener, listener)
+        return listener
+
+    async def close_listener(self, listener: Listener) -> None:
+        """Close a listener that is not the story's own, and its connections."""
+        for peer in listener.peers:
+            peer.transport.abortConnection()
+        await maybeDeferred(listener.port.stopListening)
+        await self.until(lambda: all(peer.end for peer in listener.peers), "its connections to close")
+
     @staticmethod
     def logged(log: Path, after: int) -> bool:
         return "reload: done" in log.read_text()[after:]
@@ -167,7 +181,8 @@
 
     async def test_a_hangup_does_not_end_the_program(self) -> None:
         self.build()
-        path = self.configured()
+        discovery = self.discovery_of_the_program()
+        path = self.configured(discovery=discovery.address)
         log = self.folder() / "log"
         with log.open("wb") as out:
             program = subprocess.Popen(
@@ -175,7 +190,7 @@
             )
         self.addCleanup(program.kill)
         self.assertIsNotNone(await self.discovery.next())  # the node of the story
-        self.assertIsNotNone(await self.discovery.next())  # the program
+        self.assertIsNotNone(await discovery.next())  # the program, which has its signal handlers by now
         for _ in range(2):
             before = len(log.read_text())
             program.send_signal(signal.SIGHUP)
