--- a/packages/faults/src/puffindeck_faults/checker.py
+++ b/packages/faults/src/puffindeck_faults/checker.py
@@ -11,6 +11,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
+from puffindeck_faults.partial_lines import begins_line_of
 from puffindeck_faults.records import Attempt, ClientRecord, HostChange, ProcessRecord, Records
 
 SLACK_S = 0.05  # added to every time limit: sockets, and this process's own delays
@@ -71,10 +72,24 @@
         self._clients = {client.request: client for client in records.clients}
         self._attempts: dict[str, list[Attempt]] = defaultdict(list)
         for attempt in sorted(records.attempts, key=lambda one: one.first_byte or math.inf):
-            if attempt.first_byte is not None:
-                self._attempts[attempt.request].append(attempt)
+            request = self._request_of(attempt)
+            if attempt.first_byte is not None and request is not None:
+                self._attempts[request].append(attempt)
         self._receipts = {one.receipt: one for one in records.attempts if one.receipt}
 
+    def _request_of(self, attempt: Attempt) -> str | None:
+        """The request of an attempt; None if that can't be known, as the lines of several clients begin so.
+
+        A node closes an attempt within its first line where the client has left meanwhile or its time is over.
+        A part of a line that no client's line begins with is returned as a request that no client has.
+        """
+        if attempt.request or not attempt.partial_line:
+            return attempt.request
+        begun = [client.request for client in self._records.clients if begins_line_of(client, attempt.partial_line)]
+        if not begun:
+            return f"the part {attempt.partial_line!r}"
+        return begun[0] if len(begun) == 1 else None
+
     def _killed(self, client: ClientRecord) -> bool:
         """Was its node killed without SIGTERM while the client was connected?"""
         ends = min(client.ended or math.inf, client.left or math.inf)
--- a/packages/faults/src/puffindeck_faults/clients.py
+++ b/packages/faults/src/puffindeck_faults/clients.py
@@ -80,7 +80,9 @@
             return
         record.connected = now()
         try:
-            writer.write(self._first_line(record))
+            first_line = self._first_line(record)
+            record.first_line = first_line.decode()
+            writer.write(first_line)
             record.sent = now()
             await self._read_answer(record, reader, leave_after_s)
             if record.answer is not None and record.answer.startswith("UP"):
--- a/packages/faults/src/puffindeck_faults/hosts.py
+++ b/packages/faults/src/puffindeck_faults/hosts.py
@@ -11,6 +11,7 @@
 from puffindeck_faults.records import Attempt, Records, now
 from puffindeck_testing.ports import free_port
 
+MAX_FIRST_LINE_BYTES = 1 << 16  # a longer one is read no further
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER, socket(7): on, for 0 s
 
 
@@ -76,11 +77,18 @@
             writer.close()
 
     async def _read_first_line(self, reader: asyncio.StreamReader, attempt: Attempt) -> bool:
-        line = await reader.read(1)
-        if not line:
-            return False
-        attempt.first_byte = now()
-        line += await reader.readuntil(b"\r\n")
+        """Read a connection's first line. False if the connection ends before; what has come is then noted."""
+        line = bytearray()
+        while not line.endswith(b"\r\n"):
+            try:
+                octet = await reader.read(1)  # one at a time: a reset loses what a longer read waits for
+            except OSError:
+                octet = b""
+            if not octet or len(line) == MAX_FIRST_LINE_BYTES:
+                attempt.partial_line = line.decode("ascii", "replace")
+                return False
+            attempt.first_byte = attempt.first_byte or now()
+            line += octet
         words = line.decode("ascii").split()
         attempt.read = now()
         attempt.request = words[1] if len(words) == 4 and words[0] == "OPEN" else "?"
--- a/packages/faults/src/puffindeck_faults/records.py
+++ b/packages/faults/src/puffindeck_faults/records.py
@@ -24,6 +24,7 @@
     receipt: str = ""  # the text after UP, different for each connection
     closed: float | None = None
     ended_by_host: bool = False
+    partial_line: str = ""  # of a connection that was closed within its first line: what had come of it
 
 
 @dataclass
@@ -44,6 +45,7 @@
     left: float | None = None  # when the client closed the connection
     ended: float | None = None  # when the node closed the connection
     reset: bool = False  # the node closed it by a reset
+    first_line: str = ""  # as the client sent it, with its line end; empty: it has sent none
 
 
 @dataclass
--- a/packages/faults/tests/test_checker.py
+++ b/packages/faults/tests/test_checker.py
@@ -36,6 +36,8 @@
         ClientRecord("c", "n0", "chat", 1.0, connected=9.9, sent=10.0, left=10.1),
         ClientRecord("d", "n0", "chat", 1.0),  # no connection came up
     ]
+    for client in records.clients[:3]:
+        client.first_line = f"OPEN {client.request} 1f c=chat,d=1000,g=5\r\n"
     records.attempts = [
         Attempt("h0", 10.05, "a", 10.05, 10.06, 10.2, "h0-1", 20.1),
         Attempt("h1", 10.01, "b", 10.02, 10.02, None, "", 10.3),
@@ -71,6 +73,15 @@
     records.attempts.append(Attempt("h1", 12.0, "?", 12.0, 12.0))
 
 
+def closed_within_the_line_of_one_attempt_too_many(records: Records) -> None:
+    for place in range(2):
+        records.attempts.append(Attempt("h1", 10.81, "", 10.82 + place / 100, closed=10.85, partial_line="OPEN b 1"))
+
+
+def begun_for_nobody_and_closed_within_its_line(records: Records) -> None:
+    records.attempts.append(Attempt("h1", 10.31, "", 10.32, closed=10.4, partial_line="OPEN c 1f"))
+
+
 def one_attempt_too_many(records: Records) -> None:
     for place in range(2):
         records.attempts.append(Attempt("h1", 10.81, "b", 10.82 + place / 100, None, None, "", 10.85))
@@ -134,6 +145,8 @@
     answered_late: "lost",
     another_receipt: "lost",
     strange_first_line: "lost",
+    closed_within_the_line_of_one_attempt_too_many: "attempts",
+    begun_for_nobody_and_closed_within_its_line: "lost",
     one_attempt_too_many: "attempts",
     second_copy: "duplicate",
     begun_for_nobody: "lost",
@@ -175,3 +188,44 @@
     assert [one.rule for one in check(records, TERMS)] == ["drain"]
     records.outages = [Outage(3.0, 8.0)]
     assert check(records, TERMS) == []
+
+
+def closed_within(received: str) -> Records:
+    """Valid records, but that one attempt for `c` was closed when so much of its line had come."""
+    records = valid()
+    one = attempt(records, "c")
+    one.request, one.read, one.partial_line = "", None, received
+    return records
+
+
+LINE_TO_HOST = "OPEN c 1f c=chat,d=987,g=5\r\n"
+
+
+@pytest.mark.parametrize("octets", range(1, len(LINE_TO_HOST)))
+def test_an_attempt_that_was_closed_within_a_clients_line_is_no_violation(octets: int) -> None:
+    assert check(closed_within(LINE_TO_HOST[:octets]), TERMS) == []
+
+
+OTHER_PARTS = (
+    "",
+    "X",
+    "open",
+    "OPEN  ",
+    "OPEN z",
+    "OPEN d",  # which has sent no line
+    "OPEN cc",
+    "OPEN c 2",
+    "OPEN c 1f c=chat,d=0",
+    "OPEN c 1f c=chat,d=1001",  # more than the client has
+    "OPEN c 1f c=chat,d=x",
+    "OPEN c 1f c=chat,d=,",
+    "OPEN c 1f c=chat,d=987,g=6",
+    "OPEN c 1f c=chat,d=987,g=5\r\r",
+    "OPEN c 1f c=chat,d=987,g=5\r\nO",
+    "\ufffd",
+)
+
+
+@pytest.mark.parametrize("received", OTHER_PARTS)
+def test_a_part_of_a_line_that_no_clients_line_begins_with_is_a_violation(received: str) -> None:
+    assert [one.rule for one in check(closed_within(received), TERMS)] == ["lost"]
