--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -14,8 +14,8 @@
 
 from benchmarks.table import table
 from puffindeck_membership import Membership, MemberUpdate, Phase
-from puffindeck_testing.baseline_protocols import FirstSwim, Heartbeats
-from puffindeck_testing.virtual_network import Link, Net
+from puffindeck_testing.baseline_protocols import Heartbeats, SwimWithoutSuspicion
+from puffindeck_testing.virtual_network import Link, VirtualNetwork
 
 MEMBERSHIP = "membership"
 HEARTBEATS = "heartbeats to all"
@@ -51,9 +51,9 @@
     octets: float  # a member a second
 
 
-def network(case: Case) -> Net:
+def network(case: Case) -> VirtualNetwork:
     """The members of a case, which know each other."""
-    net = Net(case.seed, Link(loss=0.3) if case.scenario == "troubled" else None)
+    net = VirtualNetwork(case.seed, Link(loss=0.3) if case.scenario == "troubled" else None)
     addresses = {f"m{i}": f"10.{i >> 8}.{i & 255}.1:7000" for i in range(case.members)}
     updates = [MemberUpdate(name, Phase.ALIVE, 1, 1, at, "") for name, at in addresses.items()]
     for i, (name, at) in enumerate(addresses.items()):
@@ -64,12 +64,12 @@
         elif case.protocol == HEARTBEATS:
             member = Heartbeats(name, addresses, seed)
         else:
-            member = FirstSwim(name, addresses, seed)
+            member = SwimWithoutSuspicion(name, addresses, seed)
         net.add(name, at, member)
     return net
 
 
-def schedule_faults(net: Net, random: Random, until_ms: float) -> None:
+def schedule_faults(net: VirtualNetwork, random: Random, until_ms: float) -> None:
     """Schedule pauses of 4 s, one a member in ten minutes, and as many one-sided cuts of a minute."""
     names = list(net.hosts)
     faults_per_ms = len(names) / FAULT_INTERVAL_MS
@@ -103,7 +103,7 @@
     return result(case, net, victim, begin_ms)
 
 
-def result(case: Case, net: Net, victim: str, begin_ms: float) -> Result:
+def result(case: Case, net: VirtualNetwork, victim: str, begin_ms: float) -> Result:
     """The figures of a run that is over. `victim` is empty if no member was killed."""
     known_ms: dict[str, float] = {}  # by the member that knows of the victim's death
     false_deaths = set()
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -16,7 +16,7 @@
     TimerFired,
 )
 from puffindeck_messaging import Report
-from puffindeck_testing.virtual_network import Link, Net
+from puffindeck_testing.virtual_network import Link, VirtualNetwork
 
 MINUTE = 60000.0
 
@@ -25,9 +25,11 @@
     return f"10.0.0.{i}:7000"
 
 
-def fleet(count: int, seed: int = 1, *, link: Link | None = None, known: bool = True, settle: float = 5000.0) -> Net:
+def fleet(
+    count: int, seed: int = 1, *, link: Link | None = None, known: bool = True, settle: float = 5000.0
+) -> VirtualNetwork:
     """Members e1, e2, ... that know each other; or that have to find each other by their peers."""
-    net = Net(seed, link)
+    net = VirtualNetwork(seed, link)
     names = [f"e{i}" for i in range(1, count + 1)]
     all_updates = [MemberUpdate(name, Phase.ALIVE, 1, i, address(i), "north") for i, name in enumerate(names, 1)]
     for i, name in enumerate(names, 1):
@@ -46,33 +48,33 @@
     return net
 
 
-def phases(net: Net, at: str) -> dict[str, Phase]:
-    return {update.name: Phase(update.phase) for update in net.hosts[at].played.members()}
+def phases(net: VirtualNetwork, at: str) -> dict[str, Phase]:
+    return {update.name: Phase(update.phase) for update in net.hosts[at].member.members()}
 
 
-def all_alive(net: Net, *but: str) -> bool:
+def all_alive(net: VirtualNetwork, *but: str) -> bool:
     return all(phase == Phase.ALIVE for name in net.hosts if name not in but for phase in phases(net, name).values())
 
 
-def deaths(net: Net) -> list[tuple[float, str, str]]:
+def deaths(net: VirtualNetwork) -> list[tuple[float, str, str]]:
     return [(when, who, c.update.name) for when, who, c in net.changes if c.update.phase == Phase.DEAD]
 
 
-def incarnation(net: Net, of: str, at: str) -> int:
-    return next(int(update.incarnation) for update in net.hosts[at].played.members() if update.name == of)
+def incarnation(net: VirtualNetwork, of: str, at: str) -> int:
+    return next(int(update.incarnation) for update in net.hosts[at].member.members() if update.name == of)
 
 
-def process_incarnations(net: Net, of: str) -> set[int]:
+def process_incarnations(net: VirtualNetwork, of: str) -> set[int]:
     return {
         update.process_incarnation
         for host in net.hosts.values()
-        for update in host.played.members()
+        for update in host.member.members()
         if update.name == of
     }
 
 
 def test_members_find_each_other_by_one_peer_that_answers() -> None:
-    net = Net(3)
+    net = VirtualNetwork(3)
     for i in range(1, 8):  # e1 knows nobody; each other one only the one before
         peers = {f"e{i - 1}": address(i - 1)} if i > 1 else {}
         net.add(
@@ -81,7 +83,7 @@
     net.run(10000)
     assert all(len(phases(net, name)) == 7 for name in net.hosts)
     assert all_alive(net)
-    assert {update.region for update in net.hosts["e1"].played.members()} == {"south"}
+    assert {update.region for update in net.hosts["e1"].member.members()} == {"south"}
 
 
 def test_a_wrong_peer_is_reported_and_harms_nobody() -> None:
@@ -91,7 +93,7 @@
     net.run(net.now + 10000)
     assert set(phases(net, "e4")) == {"e1", "e2", "e3", "e4"}
     assert all_alive(net)
-    reported = [a for _, who, a in net.other if who == "e4" and isinstance(a, Report)]
+    reported = [a for _, who, a in net.other_actions if who == "e4" and isinstance(a, Report)]
     assert {(type(r.error), r.error.where, r.error.details["found"]) for r in reported} == {
         (PeerMisnamed, "fleet.peers.e9", "e1")
     }
@@ -156,7 +158,7 @@
         assert all_alive(net)
         assert incarnation(net, "e1", "e2") == 2
         assert {name for _, _, name in deaths(net)} == {"e1"}  # and it declared no other member dead
-        assert not net.hosts["e1"].played.excluded_by_peers
+        assert not net.hosts["e1"].member.excluded_by_peers
 
 
 def test_a_third_of_all_datagrams_lost_for_minutes_kills_nobody() -> None:
@@ -164,7 +166,7 @@
         net = fleet(count, link=Link(loss=0.3))
         net.run(net.now + (3 if count < 40 else 1) * MINUTE)
         assert not deaths(net), count
-        net.usual = Link()
+        net.default_link = Link()
         net.run(net.now + 5000)
         assert all_alive(net)
 
@@ -172,7 +174,7 @@
 @pytest.mark.parametrize("count", [3, 5, 40])
 def test_one_that_does_not_hear_another_asks_others(count: int) -> None:
     net = fleet(count)
-    observers = net.hosts["e2"].played.table.topology.observers("e2")
+    observers = net.hosts["e2"].member.table.topology.observers("e2")
     net.cut("e2", observers[0])
     net.run(net.now + 30000)
     assert not deaths(net)
@@ -194,13 +196,13 @@
         net.cut("e1", other)
     net.run(net.now + 15000)
     assert all(phases(net, name)["e1"] == Phase.DEAD for name in ("e2", "e3", "e4", "e5"))
-    assert net.hosts["e1"].played.excluded_by_peers
+    assert net.hosts["e1"].member.excluded_by_peers
     assert {name for _, _, name in deaths(net)} == {"e1"}
     for other in ("e2", "e3", "e4", "e5"):
         net.cut("e1", other, cut=False)
     net.run(net.now + 3000)
     assert all_alive(net)
-    assert not net.hosts["e1"].played.excluded_by_peers
+    assert not net.hosts["e1"].member.excluded_by_peers
 
 
 def test_a_split_of_3_and_2_and_its_healing() -> None:
@@ -229,7 +231,7 @@
     net = fleet(5, link=Link(loss=0.05, delay_ms=(0.0, 500.0), copies=0.3))
     net.run(net.now + MINUTE)
     assert not deaths(net)
-    assert net.hosts["e1"].played.dropped["repeated"] > 0
+    assert net.hosts["e1"].member.dropped["repeated"] > 0
     begun = net.now
     net.kill("e3")
     net.run(begun + 6000)
@@ -237,7 +239,7 @@
 
 
 def test_a_clock_that_is_an_hour_off_changes_nothing_but_is_known() -> None:
-    net = Net(1)
+    net = VirtualNetwork(1)
     for i in range(1, 6):
         peers = {f"e{j}": address(j) for j in range(1, 6) if j != i}
         member = Membership(f"e{i}", address(i), process_incarnation=i, peers=peers, seed=i)
@@ -245,8 +247,8 @@
     net.run(30000)
     assert not deaths(net)
     assert all_alive(net)
-    assert abs(net.hosts["e2"].played.clock_offset_ms() - 3600000) < 5
-    assert abs(net.hosts["e1"].played.clock_offset_ms()) < 5
+    assert abs(net.hosts["e2"].member.clock_offset_ms() - 3600000) < 5
+    assert abs(net.hosts["e1"].member.clock_offset_ms()) < 5
 
 
 def test_a_start_at_once_after_a_kill_takes_the_name_over() -> None:
@@ -258,7 +260,7 @@
         net.add("e2", address(2), Membership("e2", address(2), "north", process_incarnation=99, peers=peers, seed=99))
         net.run(net.now + 4000)
         assert all_alive(net), gap
-        assert not any(isinstance(a, NameTakenOver) for _, _, a in net.other)
+        assert not any(isinstance(a, NameTakenOver) for _, _, a in net.other_actions)
         assert process_incarnations(net, "e2") == {99}
 
 
@@ -272,7 +274,7 @@
     later = Membership("e2", address(9), "north", process_incarnation=99, peers=peers, seed=99)
     net.add("e2 again", address(9), later)
     net.run(net.now + 3000)
-    conflicts = [(who, a.address) for _, who, a in net.other if isinstance(a, NameTakenOver)]
+    conflicts = [(who, a.address) for _, who, a in net.other_actions if isinstance(a, NameTakenOver)]
     assert {who for who, _ in conflicts} == {"e2 again"}
     assert conflicts[0][1] == address(2)
     net.kill("e2 again")  # as its process does
@@ -284,7 +286,7 @@
 
 def test_one_that_leaves_tells_so_at_once() -> None:
     net = fleet(40)
-    net.take(net.hosts["e2"], net.hosts["e2"].played.handle(net.now, [Leave()]))
+    net.perform(net.hosts["e2"], net.hosts["e2"].member.handle(net.now, [Leave()]))
     net.run(net.now + 300)
     net.kill("e2")
     net.run(net.now + 1200)
@@ -299,7 +301,7 @@
     net = fleet(5)
     for name in ("e2", "nobody"):
         for _ in range(3):
-            net.take(net.hosts["e1"], net.hosts["e1"].played.handle(net.now, [ConnectionRefused(name)]))
+            net.perform(net.hosts["e1"], net.hosts["e1"].member.handle(net.now, [ConnectionRefused(name)]))
             net.run(net.now + 100)
     net.run(net.now + 5000)
     assert not deaths(net)
--- a/packages/testing/src/puffindeck_testing/virtual_network.py
+++ b/packages/testing/src/puffindeck_testing/virtual_network.py
@@ -30,7 +30,7 @@
 encoder = msgspec.msgpack.Encoder()
 
 
-class Played(Protocol):
+class Member(Protocol):
     """A member of the network."""
 
     def handle(self, now_ms: float, events: Any) -> list[Any]:
@@ -54,7 +54,7 @@
 
     name: str
     address: str
-    played: Any  # Played, and whatever a test reads of it
+    member: Any  # Member, and whatever a test reads of it
     up: bool = True
     vanished: bool = False  # its machine answers nothing
     paused: bool = False
@@ -65,29 +65,29 @@
     wake_ms: float = float("inf")
 
 
-class Net:
+class VirtualNetwork:
     """The members, their links, and the queue of events on virtual time (milliseconds)."""
 
     def __init__(self, seed: int, link: Link | None = None) -> None:
         self.random = Random(seed)
         self.now = 0.0
-        self.usual = link or Link()
+        self.default_link = link or Link()
         self.links: dict[tuple[str, str], Link] = {}
         self.hosts: dict[str, Host] = {}
         self.at_address: dict[str, Host] = {}
-        self.changes: list[tuple[float, str, MemberChanged]] = []  # when, who noticed, what
-        self.other: list[tuple[float, str, Any]] = []  # actions that are neither posts nor wakes nor changes
-        self.parcels: Callable[[str, PayloadReceived], None] = lambda name, parcel: None
+        self.changes: list[tuple[float, str, MemberChanged]] = []  # ms, observer, change
+        self.other_actions: list[tuple[float, str, Any]] = []  # actions that are no datagram, timer or change
+        self.on_payload: Callable[[str, PayloadReceived], None] = lambda name, payload: None
         self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self._count = 0
 
     # Members
 
-    def add(self, name: str, address: str, played: Played) -> Host:
+    def add(self, name: str, address: str, member: Member) -> Host:
         """Add a member, or a new process of one, at an address."""
-        host = Host(name, address, played)
+        host = Host(name, address, member)
         self.hosts[name] = self.at_address[address] = host
-        self.at(self.now, self._tell, host)
+        self.at(self.now, self._deliver, host)
         return host
 
     def kill(self, name: str, machine: bool = False) -> None:
@@ -97,20 +97,20 @@
     def pause(self, name: str, for_ms: float) -> None:
         """Pause a member's process (SIGSTOP), and continue it after that time (SIGCONT)."""
         self.hosts[name].paused = True
-        self.at(self.now + for_ms, self._go_on, name)
+        self.at(self.now + for_ms, self._continue, name)
 
-    def _go_on(self, name: str) -> None:
+    def _continue(self, name: str) -> None:
         host = self.hosts[name]
         host.paused = False
         waiting, host.waiting = host.waiting, []
         for event in waiting or [TimerFired()]:
-            self._tell(host, event)
+            self._deliver(host, event)
 
     # Links
 
     def link(self, one: str, other: str, **changes: Any) -> None:
         """Change fields of the link from one to the other."""
-        self.links[one, other] = replace(self.links.get((one, other), self.usual), **changes)
+        self.links[one, other] = replace(self.links.get((one, other), self.default_link), **changes)
 
     def cut(self, one: str, other: str, cut: bool = True, both: bool = False) -> None:
         """Cut the link from one to the other, with `both` in both directions; `cut=False` restores it."""
@@ -142,20 +142,20 @@
 
     # Datagrams
 
-    def _tell(self, host: Host, *events: Any) -> None:
+    def _deliver(self, host: Host, *events: Any) -> None:
         if not host.up:
             return
         if host.paused:
             if len(host.waiting) < RECEIVE_BUFFER:
                 host.waiting += events
             return
-        self.take(host, host.played.handle(self.now + host.skew_ms, events))
+        self.perform(host, host.member.handle(self.now + host.skew_ms, events))
 
-    def take(self, host: Host, actions: list[Any]) -> None:
+    def perform(self, host: Host, actions: list[Any]) -> None:
         """Carry out a member's actions."""
         for action in actions:
             if isinstance(action, SendDatagram):
-                self._post(host, action)
+                self._send(host, action)
             elif isinstance(action, ScheduleTimer):
                 when = action.at_ms - host.skew_ms
                 if when < host.wake_ms or host.wake_ms <= self.now:
@@ -164,9 +164,9 @@
             elif isinstance(action, MemberChanged):
                 self.changes.append((self.now, host.name, action))
             elif isinstance(action, PayloadReceived):
-                self.parcels(host.name, action)
+                self.on_payload(host.name, action)
             else:
-                self.other.append((self.now, host.name, action))
+                self.other_actions.append((self.now, host.name, action))
 
     def _wake(self, host: Host, when: float) -> None:
         if self.hosts.get(host.name) is host and host.wake_ms == when:
@@ -175,25 +175,25 @@
                     host.waiting.append(TimerFired())
                 return
             host.wake_ms = float("inf")
-            self._tell(host, TimerFired())
+            self._deliver(host, TimerFired())
 
-    def _post(self, host: Host, post: SendDatagram) -> None:
+    def _send(self, host: Host, datagram: SendDatagram) -> None:
         host.sent += 1
-        host.octets += len(encoder.encode(post.envelope)) + HEADER_OCTETS
-        to = self.at_address.get(post.address)
+        host.octets += len(encoder.encode(datagram.envelope)) + HEADER_OCTETS
+        to = self.at_address.get(datagram.address)
         if to is None:
             return
-        link = self.links.get((host.name, to.name), self.usual)
+        link = self.links.get((host.name, to.name), self.default_link)
         if link.cut or self.random.random() < link.loss:
             return
         for _ in range(1 + (self.random.random() < link.copies)):
             low, high = link.delay_ms
-            self.at(self.now + low + (high - low) * self.random.random(), self._arrive, host, to, post)
+            self.at(self.now + low + (high - low) * self.random.random(), self._arrive, host, to, datagram)
 
-    def _arrive(self, sender: Host, to: Host, post: SendDatagram) -> None:
+    def _arrive(self, sender: Host, to: Host, datagram: SendDatagram) -> None:
         if to.up:
-            self._tell(to, DatagramReceived(post.envelope, sender.address))
-        elif post.probe and not to.vanished:
-            back = self.links.get((to.name, sender.name), self.usual)
+            self._deliver(to, DatagramReceived(datagram.envelope, sender.address))
+        elif datagram.probe and not to.vanished:
+            back = self.links.get((to.name, sender.name), self.default_link)
             if not back.cut and self.random.random() >= back.loss:
-                self.at(self.now + back.delay_ms[1], self._tell, sender, ConnectionRefused(post.name))
+                self.at(self.now + back.delay_ms[1], self._deliver, sender, ConnectionRefused(datagram.name))
