--- a/packages/faults/src/puffindeck_faults/discovery.py
+++ b/packages/faults/src/puffindeck_faults/discovery.py
@@ -46,6 +46,7 @@
         """Listen for a node, on its former port if it had one."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            """Serve one connection to this node's port."""
             await self._serve(node, reader, writer)
 
         port = self.ports.setdefault(node, free_port())
--- a/packages/testing/src/puffindeck_testing/relay.py
+++ b/packages/testing/src/puffindeck_testing/relay.py
@@ -32,6 +32,7 @@
         self._relay = relay
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
+        """Hand a sender's datagram to the relay."""
         self._relay.on_datagram(data)
 
 
@@ -40,6 +41,7 @@
         self._relay = relay
 
     def error_received(self, exc: Exception) -> None:
+        """Report a refusal by the destination to the relay; other errors are ignored."""
         if isinstance(exc, ConnectionRefusedError):
             self._relay.on_refused()
 
--- a/packages/testing/src/puffindeck_testing/world.py
+++ b/packages/testing/src/puffindeck_testing/world.py
@@ -134,6 +134,7 @@
         """Wait until a gateway serves. Raises NodeExitedError if it ends before."""
 
         def is_ready() -> bool:
+            """Whether the gateway says that it serves. Raises NodeExitedError if its process has ended."""
             raise_if_exited(name, self.processes[name], self._log_path(name))
             return self.operator_call(name, "/_ready") == "yes"
 
--- a/puffindeck/importer/operator_file.py
+++ b/puffindeck/importer/operator_file.py
@@ -70,6 +70,7 @@
     """The longest timeouts, which hold for all. The report names backends that have others."""
 
     def longest(kind: str, default_ms: float) -> float:
+        """The longest timeout of this kind in ms; `default_ms` if no backend has one."""
         times = [backend.timeouts_ms[kind] for backend in backends if kind in backend.timeouts_ms]
         return max(times, default=default_ms)
 
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -134,6 +134,7 @@
         known: dict[tuple[int, int], str] = {}
 
         def region_of(zone: int) -> str:
+            """Return a zone's region, looked up once in each generation of the rulesets."""
             key = ruleset_store.generation, zone
             if key not in known:
                 name = self._directory.zone_name(zone)
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -25,6 +25,7 @@
         self._endpoint_name = endpoint_name
 
         def limited(what: str) -> RateLimitedLog:
+            """A log at level info for one kind of line, at most MAX_LINES in a period."""
             return RateLimitedLog(log, deadlines, what, MAX_LINES, "info")
 
         self._attempts = limited("requests: attempts")
--- a/puffindeck/rpc/interceptor_chain.py
+++ b/puffindeck/rpc/interceptor_chain.py
@@ -78,6 +78,7 @@
             return self._begin_call(details, request)
 
         async def continuation(changed_details: ClientCallDetails, changed_request: Any) -> Any:
+            """The call as the interceptors after this one return it. Raises what they raise."""
             return await self.run(changed_details, changed_request, position + 1)
 
         intercept = getattr(self._interceptors[position], self._method_name)
