--- a/benchmarks/client_placement.py
+++ b/benchmarks/client_placement.py
@@ -27,7 +27,6 @@
 from puffindeck.interface import (
     AttemptEnded,
     AttemptEstablished,
-    ClassSettings,
     EndpointEntry,
     EndpointListUpdated,
     EndpointStatus,
@@ -36,24 +35,11 @@
     Outcome,
     RequestArrived,
     Send,
-    Settings,
 )
 from puffindeck.policy import Balancer
 from puffindeck.policy.hash_ring import Ring
+from tests.support.client_settings import SETTINGS
 
-SETTINGS = Settings(
-    classes=(ClassSettings(300, 1200),),
-    gateways=600,
-    zone=0,
-    max_attempts=3,
-    drain_grace_ms=500,
-    answer_slack_ms=20,
-    slow_start_initial_fraction=0.31,
-    slow_start_ms=9000,
-    slow_start_load_multiple=3,
-    slow_start_window_ms=1000,
-    max_retry_after_ms=1500,
-)
 NOW = 1.8e12
 # servers, those of them that are cold, and keys; the server that each key goes to
 Way = Callable[[list[int], list[int], list[int]], list[int]]
--- a/benchmarks/decision_cost.py
+++ b/benchmarks/decision_cost.py
@@ -21,24 +21,13 @@
 from struct import pack
 
 from benchmarks.table import table
+from tests.simulator.settings_table import KNOWN_SETTINGS
 
 ROOT = Path(__file__).parent.parent
 ENDPOINT_COUNTS = (15, 10_000)
 OPEN_AT_ONCE = 200  # connections that are open at the same time
 STEP_MS = 2.0  # of simulated time between two arrivals
-SETTINGS = {
-    "classes": [{"aimMs": 300, "hardLimitMs": 1200, "repeat": "pure"}],
-    "peersTotal": 4,
-    "limits": {"maxAttempts": 3},
-    "rules": {
-        "drainGraceMs": 500,
-        "answerSlackMs": 8,
-        "coldFrom": 0.2,
-        "warmAfterMs": 9000,
-        "overloadFactor": 3,
-        "fallMs": 2000,
-    },
-}
+SETTINGS = KNOWN_SETTINGS | {"peersTotal": 4}
 
 
 def record(code: int, data: bytes) -> bytes:
--- a/tests/client_side/test_client_balancer.py
+++ b/tests/client_side/test_client_balancer.py
@@ -20,7 +20,6 @@
 from puffindeck.interface import (
     AttemptEnded,
     AttemptEstablished,
-    ClassSettings,
     EndpointAttached,
     EndpointDetached,
     EndpointEntry,
@@ -31,25 +30,12 @@
     Reject,
     RequestArrived,
     Send,
-    Settings,
     SettingsChanged,
 )
 from puffindeck.policy import Balancer
 from puffindeck.policy.hash_ring import Ring
+from tests.support.client_settings import SETTINGS
 
-SETTINGS = Settings(
-    classes=(ClassSettings(300, 1200),),
-    gateways=600,
-    zone=0,
-    max_attempts=3,
-    drain_grace_ms=500,
-    answer_slack_ms=20,
-    slow_start_initial_fraction=0.31,
-    slow_start_ms=9000,
-    slow_start_load_multiple=3,
-    slow_start_window_ms=1000,
-    max_retry_after_ms=1500,
-)
 SERVERS = Random(11).sample(range(1, 2**32), 15)
 START = 1.0e12
 
--- a/tests/simulator/settings_table.py
+++ b/tests/simulator/settings_table.py
@@ -1,6 +1,10 @@
 """Settings as the simulator sends them."""
 
-TABLE = {
+from __future__ import annotations
+
+from typing import Any
+
+KNOWN_SETTINGS: dict[str, Any] = {
     "classes": [{"aimMs": 300, "hardLimitMs": 1200, "repeat": "pure"}],
     "peersTotal": 2,
     "limits": {"maxAttempts": 3},
@@ -12,5 +16,5 @@
         "overloadFactor": 3,
         "fallMs": 2000,
     },
-    "somethingNew": {"is": "ignored"},
 }
+TABLE: dict[str, Any] = KNOWN_SETTINGS | {"somethingNew": {"is": "ignored"}}
