--- a/benchmarks/pool_return.py
+++ b/benchmarks/pool_return.py
@@ -17,11 +17,9 @@
 import argparse
 from collections import Counter, defaultdict
 from dataclasses import replace
-from heapq import heappop, heappush
 from itertools import count, product
 from random import Random
 from statistics import mean
-from typing import Any
 
 from benchmarks.table import table
 from puffindeck.interface import (
@@ -46,6 +44,7 @@
     TimerFired,
 )
 from puffindeck.routing import Pool, PoolRouter, RouteTable, Routing
+from puffindeck_testing.virtual_time import VirtualTime
 
 PRIMARIES, BACKUPS = (1, 2, 3), (4, 5)
 DIE, GONE, BACK, TOLD, END = 40e3, 44e3, 60e3, 62e3, 90e3
@@ -78,9 +77,7 @@
         self.gateways = [
             PoolRouter(routing, told, self.random.getrandbits(32), int, str) for _ in range(gateways)
         ]
-        self.now = 0.0
-        self._due: list[tuple[float, int, Any, tuple[Any, ...]]] = []
-        self._order = count()
+        self.time = VirtualTime()
         self.ids = count(1)
         self.came: dict[tuple[int, int], tuple[float, int]] = {}  # when a client first came, and its key
         self.tries: Counter[tuple[int, int]] = Counter()
@@ -92,9 +89,6 @@
         self.refused = 0
         self.full = 1.0
 
-    def at(self, when: float, act: Any, *what: Any) -> None:
-        heappush(self._due, (when, next(self._order), act, what))
-
     def listed(self, kind: ListUpdateKind, version: int, state: EndpointStatus, started: float) -> None:
         entries = [EndpointEntry(s, 0, 0, 0, state, 1.0, started) for s in PRIMARIES]
         if kind == ListUpdateKind.FULL:
@@ -107,13 +101,11 @@
         when = 0.0
         while when < END:
             when += self.random.expovariate(self.rate / 1000)
-            self.at(when, self.come, when, self.random.getrandbits(60))
-        self.at(DIE, self.die)
-        self.at(GONE, self.listed, ListUpdateKind.CHANGES, 2, EndpointStatus.GONE, 0.0)
-        self.at(TOLD, self.listed, ListUpdateKind.CHANGES, 3, EndpointStatus.READY, BACK)
-        while self._due and self._due[0][0] <= END:
-            self.now, _, act, what = heappop(self._due)
-            act(*what)
+            self.time.schedule(when, self.come, when, self.random.getrandbits(60))
+        self.time.schedule(DIE, self.die)
+        self.time.schedule(GONE, self.listed, ListUpdateKind.CHANGES, 2, EndpointStatus.GONE, 0.0)
+        self.time.schedule(TOLD, self.listed, ListUpdateKind.CHANGES, 3, EndpointStatus.READY, BACK)
+        self.time.run(END)
 
     def come(self, first: float, key: int) -> None:
         gateway, request = self.random.randrange(len(self.gateways)), next(self.ids)
@@ -121,7 +113,7 @@
         self.tell(gateway, RequestArrived(request, 0, 0, key, 1800, 0.0, 0))
 
     def alive(self, endpoint: int) -> bool:
-        return endpoint in BACKUPS or not DIE <= self.now < BACK
+        return endpoint in BACKUPS or not DIE <= self.time.now_ms < BACK
 
     def die(self) -> None:
         self.full = sum(self.held[s] for s in PRIMARIES) / len(PRIMARIES)
@@ -138,24 +130,24 @@
             )
 
     def tell(self, gateway: int, event: Event) -> None:
-        for action in self.gateways[gateway].handle(self.now, [event]):
+        for action in self.gateways[gateway].handle(self.time.now_ms, [event]):
             self.do(gateway, action)
 
     def do(self, gateway: int, action: Action) -> None:
         if isinstance(action, ScheduleTimer):
-            self.at(self.now + action.delay_ms, self.tell, gateway, TimerFired(action.token))
+            self.time.schedule_after(action.delay_ms, self.tell, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
             number, endpoint = self.tries[gateway, action.request], action.endpoint
             self.tries[gateway, action.request] += 1
-            self.sends[endpoint].append(self.now)
-            if self.now >= TOLD:
-                self.new.append((self.now, endpoint in PRIMARIES))
+            self.sends[endpoint].append(self.time.now_ms)
+            if self.time.now_ms >= TOLD:
+                self.new.append((self.time.now_ms, endpoint in PRIMARIES))
             took = SETUP if self.alive(endpoint) else 1.0
-            self.at(self.now + took, self.over, gateway, action.request, endpoint, number, took)
+            self.time.schedule_after(took, self.over, gateway, action.request, endpoint, number, took)
         elif isinstance(action, Reject):
             self.refused += 1
             first, key = self.came[gateway, action.request]
-            self.at(self.now + (action.retry_after_ms or AGAIN), self.come, first, key)
+            self.time.schedule_after(action.retry_after_ms or AGAIN, self.come, first, key)
         else:
             assert not isinstance(action, (Fail, Cancel, Migrate))
 
@@ -163,11 +155,13 @@
         if not self.alive(endpoint):
             self.tell(gateway, AttemptEnded(request, Outcome.CONNECT_FAILED, endpoint, number, False, took))
             return
-        self.waits.append((self.came[gateway, request][0], self.now - self.came[gateway, request][0]))
+        self.waits.append((self.came[gateway, request][0], self.time.now_ms - self.came[gateway, request][0]))
         self.held[endpoint] += 1
         self._places[gateway, request] = endpoint
         self.tell(gateway, AttemptEstablished(request, endpoint, took, number))
-        self.at(self.now + self.random.expovariate(1 / self.stay), self.leave, gateway, request, Outcome.OK)
+        self.time.schedule_after(
+            self.random.expovariate(1 / self.stay), self.leave, gateway, request, Outcome.OK
+        )
 
     # Figures
 
--- a/packages/testing/src/puffindeck_testing/virtual_network.py
+++ b/packages/testing/src/puffindeck_testing/virtual_network.py
@@ -9,7 +9,6 @@
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
-from heapq import heappop, heappush
 from random import Random
 from typing import Any, Protocol
 
@@ -24,6 +23,7 @@
     SendDatagram,
     TimerFired,
 )
+from puffindeck_testing.virtual_time import VirtualTime
 
 HEADER_OCTETS = 28 + 15  # IP and UDP headers, and the datagram's own frame
 RECEIVE_BUFFER = 200  # datagrams that a paused process's socket buffers
@@ -70,7 +70,6 @@
 
     def __init__(self, seed: int, link: Link | None = None) -> None:
         self.random = Random(seed)
-        self.now = 0.0
         self.usual = link or Link()
         self.links: dict[tuple[str, str], Link] = {}
         self.hosts: dict[str, Host] = {}
@@ -78,8 +77,7 @@
         self.changes: list[tuple[float, str, MemberChanged]] = []  # when, who noticed, what
         self.other: list[tuple[float, str, Any]] = []  # actions that are neither posts nor wakes nor changes
         self.parcels: Callable[[str, PayloadReceived], None] = lambda name, parcel: None
-        self._events: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self._count = 0
+        self._time = VirtualTime()
 
     # Members
 
@@ -128,17 +126,18 @@
 
     # Time
 
+    @property
+    def now(self) -> float:
+        """The present moment of virtual time (ms)."""
+        return self._time.now_ms
+
     def at(self, when: float, act: Callable[..., None], *args: Any) -> None:
         """Call a function at a moment of virtual time (ms)."""
-        self._count += 1
-        heappush(self._events, (when, self._count, act, args))
+        self._time.schedule(when, act, *args)
 
     def run(self, until: float) -> None:
         """Advance virtual time up to that moment (ms), and run all events until then."""
-        while self._events and self._events[0][0] <= until:
-            self.now, _, act, args = heappop(self._events)
-            act(*args)
-        self.now = until
+        self._time.run(until)
 
     # Datagrams
 
--- a/tests/support/shared_store.py
+++ b/tests/support/shared_store.py
@@ -7,10 +7,8 @@
 from __future__ import annotations
 
 from collections import deque
-from heapq import heappop, heappush
 from itertools import count
 from random import Random
-from typing import Any
 
 from puffindeck.interface import (
     Action,
@@ -31,6 +29,7 @@
     TimerFired,
 )
 from puffindeck.policy import Balancer
+from puffindeck_testing.virtual_time import VirtualTime
 from tests.support.gateway import entry
 
 
@@ -67,7 +66,7 @@
         self.grey = grey
         self.random = Random(seed)
         self.balancers = [Balancer(settings, self.random.randrange(1 << 32)) for _ in range(gateways)]
-        self.now = 0.0
+        self.time = VirtualTime()
         self.queue: deque[tuple[int, Attempt]] = deque()  # what waits for the store
         self.busy = False
         self.attempts = 0
@@ -75,27 +74,20 @@
         self.attempt_counts: list[dict[int, int]] = [{} for _ in range(gateways)]
         self.clients: dict[tuple[int, int], Client] = {}
         self.all: list[Client] = []
-        self._due: list[tuple[float, int, Any, tuple[Any, ...]]] = []
-        self._order, self._ids = count(), count(1)
+        self._ids = count(1)
         for gateway in range(gateways):
             self.deliver(
                 gateway, EndpointListUpdated(ListUpdateKind.FULL, 1, [entry(i) for i in range(1, hosts + 1)])
             )
 
-    def schedule(self, when: float, act: Any, *what: Any) -> None:
-        heappush(self._due, (when, next(self._order), act, what))
-
     def run(self, until: float) -> None:
-        while self._due and self._due[0][0] <= until:
-            self.now, _, act, what = heappop(self._due)
-            act(*what)
-        self.now = until
+        self.time.run(until)
 
     def come(self, when: float, gateway: int, key: int) -> None:
         """A client, from this moment on."""
         client = Client(gateway, key, when)
         self.all.append(client)
-        self.schedule(when, self.ask, client)
+        self.time.schedule(when, self.ask, client)
 
     def ask(self, client: Client) -> None:
         client.asked += 1
@@ -105,29 +97,31 @@
         self.deliver(client.gateway, RequestArrived(request, 0, 0, client.key, left, 0.0, 0))
 
     def deliver(self, gateway: int, event: Event) -> None:
-        for action in self.balancers[gateway].handle(self.now, [event]):
+        for action in self.balancers[gateway].handle(self.time.now_ms, [event]):
             self.do(gateway, action)
 
     def do(self, gateway: int, action: Action) -> None:
         if isinstance(action, ScheduleTimer):
-            self.schedule(self.now + action.delay_ms, self.deliver, gateway, TimerFired(action.token))
+            self.time.schedule_after(action.delay_ms, self.deliver, gateway, TimerFired(action.token))
         elif isinstance(action, Send):
             assert action.request not in self.pending[gateway], "two attempts at once"
             number = self.attempt_counts[gateway].get(action.request, 0)
             self.attempt_counts[gateway][action.request] = number + 1
-            attempt = Attempt(self.clients[gateway, action.request], action.endpoint, number, self.now)
+            attempt = Attempt(
+                self.clients[gateway, action.request], action.endpoint, number, self.time.now_ms
+            )
             self.pending[gateway][action.request] = attempt
             self.attempts += 1
-            self.schedule(self.now + action.timeout_ms, self.end, action.request, attempt, Outcome.TIMEOUT)
+            self.time.schedule_after(action.timeout_ms, self.end, action.request, attempt, Outcome.TIMEOUT)
             if action.endpoint != self.grey:
                 self.queue.append((action.request, attempt))
                 self.work()
         elif isinstance(action, Cancel):
             attempt = self.pending[gateway][action.request]
-            self.schedule(self.now, self.end, action.request, attempt, Outcome.CANCELLED)
+            self.time.schedule(self.time.now_ms, self.end, action.request, attempt, Outcome.CANCELLED)
         elif isinstance(action, (Reject, Fail)):
             client = self.clients[gateway, action.request]
-            self.schedule(self.now + self.random.uniform(500, 1500), self.ask, client)
+            self.time.schedule_after(self.random.uniform(500, 1500), self.ask, client)
         assert not isinstance(action, Migrate)
 
     def end(self, request: int, attempt: Attempt, outcome: Outcome) -> None:
@@ -136,13 +130,13 @@
         attempt.over = True
         gateway = attempt.client.gateway
         del self.pending[gateway][request]
-        final, took = attempt.client.up is not None, self.now - attempt.sent
+        final, took = attempt.client.up is not None, self.time.now_ms - attempt.sent
         self.deliver(gateway, AttemptEnded(request, outcome, attempt.endpoint, attempt.number, final, took))
 
     def work(self) -> None:
         if not self.busy and self.queue:
             self.busy = True
-            self.schedule(self.now + self.setup_ms, self.done, *self.queue.popleft())
+            self.time.schedule_after(self.setup_ms, self.done, *self.queue.popleft())
 
     def done(self, request: int, attempt: Attempt) -> None:
         """Set up, be it for nobody."""
@@ -151,7 +145,7 @@
             attempt.over = True
             client = attempt.client
             del self.pending[client.gateway][request]
-            client.up = self.now
-            took = self.now - attempt.sent
+            client.up = self.time.now_ms
+            took = self.time.now_ms - attempt.sent
             self.deliver(client.gateway, AttemptEstablished(request, attempt.endpoint, took, attempt.number))
         self.work()
