--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -6,6 +6,7 @@
 import json
 import time
 from collections.abc import AsyncIterator, Awaitable, Callable
+from dataclasses import replace
 from pathlib import Path
 from typing import Any
 
@@ -17,30 +18,23 @@
 from puffindeck.config.client_config import ClientConfig, RpcConfig, RpcTable, parse_rpc
 from puffindeck.config.endpoint_list import EndpointList, Target
 from puffindeck.hashes import mix64
-from puffindeck.interface import ClassSettings, Effect, Settings
+from puffindeck.interface import ClassSettings, Effect
 from puffindeck.rpc.grpc import BalancedChannel
 from puffindeck.service_discovery.keys import number
+from tests.support import client_settings
 
 SERVICE = "exchange.Feed"
-SETTINGS = Settings(
+SETTINGS = replace(
+    client_settings.SETTINGS,
     classes=(
         ClassSettings(300, 1200, name="status"),
         ClassSettings(600, 2400, name="watch"),
         ClassSettings(300, 1200, effect=Effect.NOT_IDEMPOTENT, name="claim"),
     ),
     gateways=200,
-    zone=0,
-    max_attempts=3,
-    drain_grace_ms=500,
-    answer_slack_ms=20,
-    slow_start_initial_fraction=0.31,
-    slow_start_ms=9000,
-    slow_start_load_multiple=3,
-    slow_start_window_ms=1000,
     connect_timeout_ms=250,
     must_watch_endpoints=True,
     can_cancel=True,
-    max_retry_after_ms=1500,
     zones=("a",),
     kinds=("m",),
 )
