--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -13,11 +13,12 @@
 from puffindeck.interface import Effect, Scope
 from puffindeck.net import lifecycle, node
 from puffindeck.net import node as node_module
+from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
 from tests.support.crossing_story import ASK, CrossingStory
 from tests.support.node_story import ASK as ROUTED_ASK
-from tests.support.node_story import SETTINGS, Listener, Story, reactor
+from tests.support.node_story import SETTINGS, Listener, Peer, Story, reactor
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
@@ -32,6 +33,16 @@
         assert self.node.lifecycle.shutdown is not None
         return self.node.lifecycle.shutdown
 
+    async def moving_with_half_a_line(self) -> tuple[Peer, ClientProtocol, Peer]:
+        """A client that is to move and has half a line, the node's side of it, and its host."""
+        self.build()
+        client, _, host = await self.served(ASK)
+        (line,) = self.node.connections.clients
+        host.write(b"half of a li")
+        await self.until(lambda: client.left(b"half of a li"), "the half")
+        self.node.engine.migrate_before_stop(line.request)
+        return client, line, host
+
     async def test_who_waits_at_the_port_is_answered_before_it_closes(self) -> None:
         self.build()
         self.node.lifecycle.is_accepting = False
@@ -106,12 +117,7 @@
 
     async def test_a_line_that_does_not_end_before_the_end_gets_no_move_into_it(self) -> None:
         # "half of a liMOVE" is a line that no host has sent
-        self.build()
-        client, _, host = await self.served(ASK)
-        (line,) = self.node.connections.clients
-        host.write(b"half of a li")
-        await self.until(lambda: client.left(b"half of a li"), "the half")
-        self.node.engine.migrate_before_stop(line.request)
+        client, line, host = await self.moving_with_half_a_line()
         self.assertIs(line.state, ConnectionState.MOVING)
         self.leaving()._check()
         self.assertEqual(await client.ended(), "ConnectionDone")
@@ -119,12 +125,7 @@
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_a_host_that_ends_in_the_middle_of_the_line_before_a_move(self) -> None:
-        self.build()
-        client, _, host = await self.served(ASK)
-        (line,) = self.node.connections.clients
-        host.write(b"half of a li")
-        await self.until(lambda: client.left(b"half of a li"), "the half")
-        self.node.engine.migrate_before_stop(line.request)
+        client, _, host = await self.moving_with_half_a_line()
         host.transport.loseConnection()
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.left(b"half of a li"))
