--- a/packages/residency/tests/test_regional.py
+++ b/packages/residency/tests/test_regional.py
@@ -10,6 +10,7 @@
 from tests.support.gateway import SETTINGS, Gateway, entry, listed
 
 REGIONS = {0: "north", 1: "south", 2: "east"}
+SOUTHERN_SERVERS = (4, 5, 6)
 
 
 def gateway(endpoints: int = 9) -> Any:
@@ -27,6 +28,12 @@
     return endpoint
 
 
+def change_south(made: Any, status: EndpointStatus) -> None:
+    """Deliver a second list update, in which all servers of the south have this status."""
+    changed = [replace(entry(i, zone=1), state=status) for i in SOUTHERN_SERVERS]
+    made.do(listed(*changed, kind=ListUpdateKind.CHANGES, version=2))
+
+
 def region(endpoint: int | None) -> str:
     return "" if endpoint is None else REGIONS[(endpoint - 1) // 3]
 
@@ -43,7 +50,7 @@
         endpoint = ask(made, request, "south")
         assert endpoint is not None
         made.begin(request)
-    counts = [len(made.balancer.endpoints[i].connections) for i in (4, 5, 6)]
+    counts = [len(made.balancer.endpoints[i].connections) for i in SOUTHERN_SERVERS]
     assert sum(counts) == 90
     assert max(counts) <= 1.5 * 30
 
@@ -63,17 +70,11 @@
 
 def test_a_region_that_returns_cold_takes_what_its_budget_lets_it_and_the_next_one_the_rest() -> None:
     made = gateway()
-    made.do(
-        listed(
-            *(replace(entry(i, zone=1), state=EndpointStatus.DRAINING) for i in (4, 5, 6)),
-            kind=ListUpdateKind.CHANGES,
-            version=2,
-        )
-    )
+    change_south(made, EndpointStatus.DRAINING)
     for request in range(100, 140):
         assert region(ask(made, request, "south", "north")) == "north"
         made.begin(request)
-    back = [replace(entry(i, zone=1), started_ms=made.now) for i in (4, 5, 6)]
+    back = [replace(entry(i, zone=1), started_ms=made.now) for i in SOUTHERN_SERVERS]
     made.do(listed(*back, kind=ListUpdateKind.CHANGES, version=3))
     found = []
     for request in range(200, 260):
@@ -87,13 +88,7 @@
 
 def test_with_all_allowed_regions_down_a_request_is_refused_at_once_and_goes_nowhere() -> None:
     made = gateway()
-    made.do(
-        listed(
-            *(replace(entry(i, zone=1), state=EndpointStatus.GONE) for i in (4, 5, 6)),
-            kind=ListUpdateKind.CHANGES,
-            version=2,
-        )
-    )
+    change_south(made, EndpointStatus.GONE)
     for request in range(100, 120):
         assert ask(made, request, "south") is None
     refusals = [a for a in made.actions if isinstance(a, Reject)]
@@ -103,7 +98,7 @@
 
 def test_a_server_of_no_known_zone_serves_no_ruled_service() -> None:
     made = gateway()
-    made.do(listed(*(entry(i, zone=7) for i in (4, 5, 6)), kind=ListUpdateKind.CHANGES, version=2))
+    made.do(listed(*(entry(i, zone=7) for i in SOUTHERN_SERVERS), kind=ListUpdateKind.CHANGES, version=2))
     assert ask(made, 100, "south") is None
     made.do(listed(entry(5, zone=1), kind=ListUpdateKind.CHANGES, version=3))
     assert ask(made, 101, "south") == 5
