--- a/tests/core/test_generational_arena.py
+++ b/tests/core/test_generational_arena.py
@@ -4,7 +4,7 @@
 
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_story import Story
+from tests.support.node_test_case import Story
 
 
 class ArenaStories(Story):
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -18,7 +18,7 @@
 from puffindeck.net.node import Node as NetNode
 from puffindeck_testing.ports import held_port
 from tests.importer.haproxy_reference import Reference, Where
-from tests.support.node_story import Dial, Listener, Peer, Story, reactor
+from tests.support.node_test_case import Dial, Listener, Peer, Story, reactor
 
 SAMPLES = Path(__file__).parent / "haproxy"
 BOXES = ("A", "B", "C", "D")
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -15,7 +15,7 @@
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import admin_api, lifecycle
 from puffindeck.net.graceful_shutdown import DrainSchedule
-from tests.support.node_story import ASK, Peer, Story
+from tests.support.node_test_case import ASK, Peer, Story
 
 
 class AdminApiStories(Story):
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -5,7 +5,7 @@
 from unittest.mock import patch
 
 from puffindeck.net import admission
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, Story
 
 
 class AdmissionStories(Story):
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, Story
 
 
 class FirstLineStories(Story):
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -10,8 +10,8 @@
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
-from tests.support.crossing_story import ASK, CrossingStory
-from tests.support.node_story import Story
+from tests.support.node_test_case import Story
+from tests.support.raw_client_test_case import ASK, CrossingStory
 
 
 class CloseStories(CrossingStory):
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -20,7 +20,7 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import Effect, EndpointListUpdated, ListUpdateKind, SettingsChanged
 from puffindeck.net import served_classes
-from tests.support.node_story import ASK, Listener, Story
+from tests.support.node_test_case import ASK, Listener, Story
 
 
 class ReloadStories(Story):
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -19,7 +19,7 @@
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
-from tests.support.node_story import ASK, Peer, Story, reactor
+from tests.support.node_test_case import ASK, Peer, Story, reactor
 
 WHOLE = b"GET /catalog/members HTTP/1.1"
 
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -26,7 +26,7 @@
 )
 from tests.net.test_discovery import ListStory, chunk, listing
 from tests.support.gateway import SETTINGS, Gateway, listed
-from tests.support.node_story import Peer
+from tests.support.node_test_case import Peer
 
 TOLD = milliseconds(6000)
 OK = b"HTTP/1.1 200 OK\r\n"
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -16,9 +16,9 @@
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
-from tests.support.crossing_story import ASK, CrossingStory
-from tests.support.node_story import ASK as ROUTED_ASK
-from tests.support.node_story import SETTINGS, Listener, Peer, Story, reactor
+from tests.support.node_test_case import ASK as ROUTED_ASK
+from tests.support.node_test_case import SETTINGS, Listener, Peer, Story, reactor
+from tests.support.raw_client_test_case import ASK, CrossingStory
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -19,7 +19,7 @@
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.node import Node
 from puffindeck.net.process_registry import ProcessRegistry, count_open_descriptors
-from tests.support.node_story import ASK, Peer, Story, reactor
+from tests.support.node_test_case import ASK, Peer, Story, reactor
 
 
 class UpgradeStories(Story):
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -6,7 +6,7 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.net import listening, logs
-from tests.support.node_story import Story
+from tests.support.node_test_case import Story
 
 
 class ListeningStories(Story):
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from puffindeck.interface import AttemptEnded, LatencyReported, Outcome
-from tests.support.node_story import Story
+from tests.support.node_test_case import Story
 
 
 class RelayStories(Story):
--- a/tests/net/test_request_line.py
+++ b/tests/net/test_request_line.py
@@ -4,7 +4,7 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.net.request_line import RequestLine, RequestLineError
-from tests.support.node_story import Story
+from tests.support.node_test_case import Story
 
 
 class RequestLineStories(Story):
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -13,7 +13,7 @@
 from puffindeck.net import request_log
 from puffindeck.net.logs import line
 from puffindeck.net.request_log import RequestLog
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, Story
 
 
 class RequestLogStories(Story):
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -7,9 +7,9 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.net import silence_monitor
-from tests.support.crossing_story import ASK as SHORT_ASK
-from tests.support.crossing_story import CrossingStory
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, Story
+from tests.support.raw_client_test_case import ASK as SHORT_ASK
+from tests.support.raw_client_test_case import CrossingStory
 
 
 class SilentHostStories(Story):
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -14,9 +14,9 @@
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.upstream_connection import UpstreamConnection
 from puffindeck.net.upstream_protocol import UpstreamProtocol
-from tests.support.crossing_story import ASK, CHAT, CrossingStory
-from tests.support.node_story import ASK as ROUTED_ASK
-from tests.support.node_story import Story
+from tests.support.node_test_case import ASK as ROUTED_ASK
+from tests.support.node_test_case import Story
+from tests.support.raw_client_test_case import ASK, CHAT, CrossingStory
 
 
 class LeaverStories(CrossingStory):
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -4,7 +4,7 @@
 
 from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, Story
 
 
 class FailureStories(Story):
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -11,7 +11,7 @@
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import packets
 from puffindeck.quic.flow import AMPLIFICATION_LIMIT
-from tests.support.node_story import Story
+from tests.support.node_test_case import Story
 from tests.support.quic_peers import IDS, KEY, QuicClient, QuicPeer, QuicServer
 
 
--- a/tests/rpc/test_endpoint.py
+++ b/tests/rpc/test_endpoint.py
@@ -13,7 +13,7 @@
 from puffindeck.config import Target
 from puffindeck.core.clock import milliseconds
 from puffindeck.rpc.endpoint import BalancedEndpoint, Balancing, Refused
-from tests.support.node_story import SETTINGS, Listener, reactor
+from tests.support.node_test_case import SETTINGS, Listener, reactor
 
 AMP: Any = Factory.forProtocol(amp.AMP)
 
--- a/tests/support/quic_peers.py
+++ b/tests/support/quic_peers.py
@@ -23,7 +23,7 @@
 
 from puffindeck.quic import packets
 from puffindeck.quic.connection_ids import ConnectionIds
-from tests.support.node_story import reactor
+from tests.support.node_test_case import reactor
 
 KEY = bytes.fromhex("8f95f09245765f80256934e50c66207f")
 IDS = ConnectionIds(1, 4, 8, KEY)
