--- a/tests/core/test_generational_arena.py
+++ b/tests/core/test_generational_arena.py
@@ -4,10 +4,10 @@
 
 from puffindeck.core.requests import AttemptId
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_test_case import Story
+from tests.support.node_test_case import NodeTestCase
 
 
-class ArenaStories(Story):
+class ArenaStories(NodeTestCase):
     """A late callback of the engine."""
 
     def test_a_late_callback_finds_no_one_in_a_slot_given_away_again(self) -> None:
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -18,14 +18,14 @@
 from puffindeck.net.node import Node as NetNode
 from puffindeck_testing.ports import held_port
 from tests.importer.haproxy_reference import Reference, Where
-from tests.support.node_test_case import Dial, Listener, Peer, Story, reactor
+from tests.support.node_test_case import Dial, Listener, NodeTestCase, Peer, reactor
 
 SAMPLES = Path(__file__).parent / "haproxy"
 BOXES = ("A", "B", "C", "D")
 FRONTS = ("FRONT", "SECOND", "THIRD")
 
 
-class RouteStories(Story):
+class RouteStories(NodeTestCase):
     """One sample each, in the states of its servers that matter."""
 
     async def begin(self, name: str, **environment: str) -> Reference:
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -15,10 +15,10 @@
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import admin_api, lifecycle
 from puffindeck.net.graceful_shutdown import DrainSchedule
-from tests.support.node_test_case import ASK, Peer, Story
+from tests.support.node_test_case import ASK, NodeTestCase, Peer
 
 
-class AdminApiStories(Story):
+class AdminApiStories(NodeTestCase):
     """A node with a second address."""
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -5,10 +5,10 @@
 from unittest.mock import patch
 
 from puffindeck.net import admission
-from tests.support.node_test_case import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 
 
-class AdmissionStories(Story):
+class AdmissionStories(NodeTestCase):
     """Strangers that take descriptors."""
 
     async def test_hundreds_of_silent_clients_leave_room_for_the_usual_ones(self) -> None:
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -6,10 +6,10 @@
 from typing import Any
 
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_test_case import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 
 
-class FirstLineStories(Story):
+class FirstLineStories(NodeTestCase):
     """Clients and their first lines."""
 
     async def test_a_line_reads_the_same_wherever_it_is_cut(self) -> None:
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -10,7 +10,7 @@
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
-from tests.support.node_test_case import Story
+from tests.support.node_test_case import NodeTestCase
 from tests.support.raw_client_test_case import ASK, CrossingStory
 
 
@@ -148,7 +148,7 @@
         self.assertEqual(await self.exactly(plain, 6), b"PONG\r\n")
 
 
-class RudeStories(Story):
+class RudeStories(NodeTestCase):
     """Strangers that say nothing, or send what can't be read, at full speed."""
 
     async def test_a_silent_or_dribbling_client_is_closed_soon(self) -> None:
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -20,10 +20,10 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import Effect, EndpointListUpdated, ListUpdateKind, SettingsChanged
 from puffindeck.net import served_classes
-from tests.support.node_test_case import ASK, Listener, Story
+from tests.support.node_test_case import ASK, Listener, NodeTestCase
 
 
-class ReloadStories(Story):
+class ReloadStories(NodeTestCase):
     """A node, and the file that it reads at a reload."""
 
     def folder(self) -> Path:
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -19,7 +19,7 @@
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
-from tests.support.node_test_case import ASK, Peer, Story, reactor
+from tests.support.node_test_case import ASK, NodeTestCase, Peer, reactor
 
 WHOLE = b"GET /catalog/members HTTP/1.1"
 
@@ -33,7 +33,7 @@
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-class ListStory(Story):
+class ListStory(NodeTestCase):
     """A node and its discovery, call by call."""
 
     def all(self) -> list[Target]:
@@ -198,7 +198,7 @@
     assert not state.list_begun  # a new call reads from its start
 
 
-class ListStories(Story):
+class ListStories(NodeTestCase):
     """Discovery, well and ill."""
 
     async def test_news_counts_at_once_and_a_drain_keeps_what_it_has(self) -> None:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -17,7 +17,7 @@
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
 from tests.support.node_test_case import ASK as ROUTED_ASK
-from tests.support.node_test_case import SETTINGS, Listener, Peer, Story, reactor
+from tests.support.node_test_case import SETTINGS, Listener, NodeTestCase, Peer, reactor
 from tests.support.raw_client_test_case import ASK, CrossingStory
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
@@ -270,7 +270,7 @@
         self.assertIsNone(fresh.listeners.main)
 
 
-class MoveStories(Story):
+class MoveStories(NodeTestCase):
     """A node that moves its clients."""
 
     async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
@@ -314,7 +314,7 @@
         assert pace.before_kill(milliseconds(3000)) == pace
 
 
-class ShortDeadlineStories(Story):
+class ShortDeadlineStories(NodeTestCase):
     """A node that is told to stop where requests have half a second."""
 
     async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -19,10 +19,10 @@
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.node import Node
 from puffindeck.net.process_registry import ProcessRegistry, count_open_descriptors
-from tests.support.node_test_case import ASK, Peer, Story, reactor
+from tests.support.node_test_case import ASK, NodeTestCase, Peer, reactor
 
 
-class UpgradeStories(Story):
+class UpgradeStories(NodeTestCase):
     """A node whose clients' socket is held by the platform, and the process that is to follow it."""
 
     async def build_both(self) -> None:
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -6,10 +6,10 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.net import listening, logs
-from tests.support.node_test_case import Story
+from tests.support.node_test_case import NodeTestCase
 
 
-class ListeningStories(Story):
+class ListeningStories(NodeTestCase):
     """Strangers that come at full speed."""
 
     async def test_a_turn_takes_in_few_and_their_lines_are_few(self) -> None:
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -5,10 +5,10 @@
 from functools import partial
 
 from puffindeck.interface import AttemptEnded, LatencyReported, Outcome
-from tests.support.node_test_case import Story
+from tests.support.node_test_case import NodeTestCase
 
 
-class RelayStories(Story):
+class RelayStories(NodeTestCase):
     """Clients that are served."""
 
     async def test_bytes_pass_unchanged_and_only_d_is_new(self) -> None:
--- a/tests/net/test_request_line.py
+++ b/tests/net/test_request_line.py
@@ -4,10 +4,10 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.net.request_line import RequestLine, RequestLineError
-from tests.support.node_test_case import Story
+from tests.support.node_test_case import NodeTestCase
 
 
-class RequestLineStories(Story):
+class RequestLineStories(NodeTestCase):
     """A line needs no peers."""
 
     def test_a_head_is_read_in_place(self) -> None:
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -13,10 +13,10 @@
 from puffindeck.net import request_log
 from puffindeck.net.logs import line
 from puffindeck.net.request_log import RequestLog
-from tests.support.node_test_case import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 
 
-class RequestLogStories(Story):
+class RequestLogStories(NodeTestCase):
     """What the log has of a request."""
 
     def written(self) -> list[str]:
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -7,12 +7,12 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.net import silence_monitor
-from tests.support.node_test_case import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 from tests.support.raw_client_test_case import ASK as SHORT_ASK
 from tests.support.raw_client_test_case import CrossingStory
 
 
-class SilentHostStories(Story):
+class SilentHostStories(NodeTestCase):
     """Served clients whose host says nothing more."""
 
     async def test_a_silent_hosts_client_is_moved(self) -> None:
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -15,7 +15,7 @@
 from puffindeck.net.upstream_connection import UpstreamConnection
 from puffindeck.net.upstream_protocol import UpstreamProtocol
 from tests.support.node_test_case import ASK as ROUTED_ASK
-from tests.support.node_test_case import Story
+from tests.support.node_test_case import NodeTestCase
 from tests.support.raw_client_test_case import ASK, CHAT, CrossingStory
 
 
@@ -178,7 +178,7 @@
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
 
 
-class RestoreStories(Story):
+class RestoreStories(NodeTestCase):
     """Connections from before the run."""
 
     async def test_a_connection_from_before_the_run_goes_to_its_host_with_any_time(self) -> None:
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -4,10 +4,10 @@
 
 from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_test_case import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 
 
-class FailureStories(Story):
+class FailureStories(NodeTestCase):
     """What goes wrong, and what the module hears of it."""
 
     async def test_a_host_that_says_bye_before_anything_else_is_no_answer(self) -> None:
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -11,11 +11,11 @@
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import packets
 from puffindeck.quic.flow import AMPLIFICATION_LIMIT
-from tests.support.node_test_case import Story
+from tests.support.node_test_case import NodeTestCase
 from tests.support.quic_peers import IDS, KEY, QuicClient, QuicPeer, QuicServer
 
 
-class QuicFrontStories(Story):
+class QuicFrontStories(NodeTestCase):
     """Connections kept with their server by their ids."""
 
     def build_quic(
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -136,7 +136,7 @@
         return self.peer
 
 
-class Story(TestCase):
+class NodeTestCase(TestCase):
     """A node with hosts and discovery round it, all closed at the end."""
 
     asked = 0
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -13,13 +13,13 @@
 
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
-from tests.support.node_test_case import SETTINGS, Peer, Story
+from tests.support.node_test_case import SETTINGS, NodeTestCase, Peer
 
 ASK = "OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=1100"
 CHAT = SETTINGS.classes[0]
 
 
-class CrossingStory(Story):
+class CrossingStory(NodeTestCase):
     """A node, and clients on plain sockets."""
 
     def raw(self) -> socket.socket:
