--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -11,10 +11,10 @@
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
 from tests.support.node_test_case import NodeTestCase
-from tests.support.raw_client_test_case import ASK, CrossingStory
+from tests.support.raw_client_test_case import ASK, RawClientTestCase
 
 
-class CloseStories(CrossingStory):
+class CloseStories(RawClientTestCase):
     """The node ends a connection that has asked nothing, and its client asks in that moment."""
 
     async def test_a_request_that_has_come_when_a_resting_connection_is_ended_is_served(self) -> None:
@@ -78,7 +78,7 @@
         self.assertFalse(self.reached())
 
 
-class ReadinessStories(CrossingStory):
+class ReadinessStories(RawClientTestCase):
     """Clients that ask whether this node is ready before it is."""
 
     async def asking(self) -> tuple[socket.socket, ClientProtocol]:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -18,13 +18,13 @@
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
 from tests.support.node_test_case import ASK as ROUTED_ASK
 from tests.support.node_test_case import SETTINGS, Listener, NodeTestCase, Peer, reactor
-from tests.support.raw_client_test_case import ASK, CrossingStory
+from tests.support.raw_client_test_case import ASK, RawClientTestCase
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
 
 
-class StopStories(CrossingStory):
+class StopStories(RawClientTestCase):
     """A node that ends."""
 
     def leaving(self, pace: DrainSchedule = OVER_NOW) -> GracefulShutdown:
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -9,7 +9,7 @@
 from puffindeck.net import silence_monitor
 from tests.support.node_test_case import ASK, NodeTestCase
 from tests.support.raw_client_test_case import ASK as SHORT_ASK
-from tests.support.raw_client_test_case import CrossingStory
+from tests.support.raw_client_test_case import RawClientTestCase
 
 
 class SilentHostStories(NodeTestCase):
@@ -39,7 +39,7 @@
         self.assertGreater(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
 
 
-class SilenceStories(CrossingStory):
+class SilenceStories(RawClientTestCase):
     """A host that stops in the middle of its answer."""
 
     async def test_half_an_answer_is_no_sign_of_life(self) -> None:
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -16,10 +16,10 @@
 from puffindeck.net.upstream_protocol import UpstreamProtocol
 from tests.support.node_test_case import ASK as ROUTED_ASK
 from tests.support.node_test_case import NodeTestCase
-from tests.support.raw_client_test_case import ASK, CHAT, CrossingStory
+from tests.support.raw_client_test_case import ASK, CHAT, RawClientTestCase
 
 
-class LeaverStories(CrossingStory):
+class LeaverStories(RawClientTestCase):
     """Clients that leave, and the reactor has not come to it."""
 
     def at_connect(self, do: Callable[[], None]) -> Any:
@@ -116,7 +116,7 @@
         self.assertRegex(await client.line(), rb"^BUSY \d+$|^ERR$")  # at once: nothing may be sent any more
 
 
-class AnswerStories(CrossingStory):
+class AnswerStories(RawClientTestCase):
     """A host's answer, and its end."""
 
     async def test_up_that_has_come_when_the_deadline_expires_is_handed_on(self) -> None:
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -19,7 +19,7 @@
 CHAT = SETTINGS.classes[0]
 
 
-class CrossingStory(NodeTestCase):
+class RawClientTestCase(NodeTestCase):
     """A node, and clients on plain sockets."""
 
     def raw(self) -> socket.socket:
