--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -50,8 +50,8 @@
         return status
 
     async def serving(self) -> Peer:
-        watch = await self.watched()
-        self.news(watch, 2, False)
+        watch = await self.accept_watch()
+        self.send_update(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         return watch
 
@@ -100,7 +100,7 @@
         for _ in range(2):  # the call may arrive twice, and one call back undoes both
             self.assertEqual(await self.call(f"PUT /_hosts/detach?member={uid}"), 200)
         self.assertEqual(await client.line(), b"MOVE")
-        self.news(watch, 3, False, self.target(uid))
+        self.send_update(watch, 3, False, self.target(uid))
         for _ in range(3):
             _, reached, _ = await self.served(ASK)
             self.assertNotEqual(reached, uid)
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -18,8 +18,8 @@
         with patch.object(self.node.admission, "_descriptors_in_use", lambda: 2 * 256 // 3):
             self.assertFalse(self.node.admission.is_out_of_descriptors())
         told = [await self.client("PING") for _ in range(20)]
-        watch = await self.watched()
-        self.news(watch, 2, False)
+        watch = await self.accept_watch()
+        self.send_update(watch, 2, False)
         for front in told:
             self.assertEqual(await front.line(), b"PONG")
         usual = await self.client()  # its line takes its time
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -14,8 +14,8 @@
 
     async def test_a_line_reads_the_same_wherever_it_is_cut(self) -> None:
         self.build()
-        watch = await self.watched()
-        self.news(watch, 2, False)
+        watch = await self.accept_watch()
+        self.send_update(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         for line, answer in ((b"PING\r\n", b"PONG"), (b"OPEN 1 2 c=none,d=5\r\n", b"ERR")):
             for cut in range(1, len(line)):
@@ -35,9 +35,9 @@
     async def test_pong_comes_only_once_ready_and_not_while_stopping(self) -> None:
         self.build()
         client = await self.client("PING")
-        watch = await self.watched()
+        watch = await self.accept_watch()
         self.assertFalse(self.node.lifecycle.is_ready)
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         self.assertEqual(await client.line(), b"PONG")
         self.assertEqual(self.main_port.getHost().host, "127.0.0.1")
 
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -89,11 +89,11 @@
 
     async def test_each_question_before_readiness_has_its_answer(self) -> None:
         self.build()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         plain, line = await self.asking()
         plain.sendall(b"PING\r\n")
         await self.until(lambda: line._unanswered_pings == 2, "the second question")
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         await self.until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.exactly(plain, 12), b"PONG\r\nPONG\r\n")
 
@@ -116,12 +116,12 @@
 
     async def test_a_request_before_readiness_takes_the_questions_place(self) -> None:
         self.build()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         plain, line = await self.asking()
         plain.sendall(ASK.encode() + b"\r\n")
         _, host = await self.host_of()
         await host.line()
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         host.write(b"UP r\r\n")
         await self.until(lambda: line.state is ConnectionState.RELAYING, "UP")
@@ -163,8 +163,8 @@
             self.assertEqual(await dribbling.line(), b"ERR")
             self.assertEqual(await dribbling.ended(), "ConnectionDone")
             waiting = await self.client("PING")  # the list is not there yet: it waits for that
-            watch = await self.watched()
-            self.news(watch, 2, False)
+            watch = await self.accept_watch()
+            self.send_update(watch, 2, False)
             self.assertEqual(await waiting.line(), b"PONG")
             self.assertEqual(await waiting.ended(), "ConnectionDone")
 
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -66,7 +66,7 @@
         read = config.load_node_config({"EDGE_CONFIG": path})
         self.node.config = msgspec.structs.replace(self.node.config, file=read.file)
         client, uid, host = await self.served(ASK)
-        old = await self.watched()
+        old = await self.accept_watch()
         other = Listener()
         self.addCleanup(self.discovery.port.stopListening)
         (h0, h1), before = self.hosts, self.node.watch
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -82,7 +82,7 @@
 
     async def test_an_agent_with_nothing_new_makes_the_node_ready_all_the_same(self) -> None:
         self.build(must_watch_endpoints=True)  # watched from `known` on: no list has to come
-        watch = await self.watched()
+        watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
@@ -203,9 +203,9 @@
 
     async def test_news_counts_at_once_and_a_drain_keeps_what_it_has(self) -> None:
         self.build()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         client, uid, host = await self.served(ASK)
-        self.news(watch, 2, False, self.target(uid, "DRAINING"))
+        self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         await self.until(lambda: self.ends(EndpointListUpdated)[-1].version == 2, "the news")
         for _ in range(4):
             other = await self.client(ASK)
@@ -244,8 +244,8 @@
                 [ListUpdateKind.CACHED, ListUpdateKind.FAILED],
             )
             for ill in (b"", b"3\r\n{]\n\r\n"):
-                watch = await self.watched()
-                self.news(watch, 5, True, *(self.target(uid) for uid in self.hosts))
+                watch = await self.accept_watch()
+                self.send_update(watch, 5, True, *(self.target(uid) for uid in self.hosts))
                 await self.until(
                     lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
                 )
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -93,12 +93,12 @@
 
     async def test_an_answer_that_stalls_behind_its_headers(self) -> None:
         self.quick()
-        await self.watched()
+        await self.accept_watch()
         await self.drained(self.node.deadlines.clock.now())
 
     async def test_a_watch_that_falls_silent(self) -> None:
         self.quick()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
         await self.until(lambda: self.node.lifecycle.is_ready, "the empty line")
         await self.drained(self.node.deadlines.clock.now())
@@ -106,7 +106,7 @@
     async def test_a_list_that_trickles_in_is_one_that_does_not_come(self) -> None:
         # each octet was a sign of life, and the start of a line waited for its end for good
         self.quick()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         begun = self.node.deadlines.clock.now()
         while len(self.discovery.peers) == 1:
             watch.write(chunk(b"{"))
@@ -115,7 +115,7 @@
 
     async def test_a_whole_list_whose_octets_buy_time(self) -> None:
         self.quick()
-        await self.watched()
+        await self.accept_watch()
         self.reload_to_whole()
         slow = await self.discovery.next()
         begun = self.node.deadlines.clock.now()
@@ -138,18 +138,18 @@
     async def test_versions_that_count_anew_bring_the_whole_list(self) -> None:
         # a lower version was passed over by the module, drains with it
         self.quick()
-        watch = await self.watched()
-        self.news(watch, 40, True, *self.all())
+        watch = await self.accept_watch()
+        self.send_update(watch, 40, True, *self.all())
         await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
-        self.news(watch, 3, False, self.target("h0", "DRAINING"))
+        self.send_update(watch, 3, False, self.target("h0", "DRAINING"))
         await self.whole(4, self.target("h1"))
         await self.until(lambda: (ListUpdateKind.FULL, 4) in self.lists(), "the list of the new count")
         self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_what_the_older_discovery_says_after_a_reload_is_not_heard(self) -> None:
         self.quick()
-        watch = await self.watched()
-        self.news(watch, 40, True, *self.all())
+        watch = await self.accept_watch()
+        self.send_update(watch, 40, True, *self.all())
         await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.write(chunk(listing(41, False, self.target("h0", "DRAINING")) + b"\n"))  # on its way
         self.reload_to_whole()
@@ -160,8 +160,8 @@
 
     async def test_a_watch_that_ends_in_the_moment_of_a_reload_fails_nothing_of_the_new_one(self) -> None:
         self.quick()
-        watch = await self.watched()
-        self.news(watch, 40, True, *self.all())
+        watch = await self.accept_watch()
+        self.send_update(watch, 40, True, *self.all())
         await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.transport.abortConnection()
         self.reload_to_whole()
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -204,7 +204,7 @@
 
     async def test_a_reload_while_it_ends_moves_discovery(self) -> None:
         self.build()
-        await self.watched()
+        await self.accept_watch()
         other = Listener()
         self.addCleanup(other.port.stopListening)
         host, port = other.address.split(":")
@@ -227,7 +227,7 @@
 
     async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
         self.build()
-        await self.watched()
+        await self.accept_watch()
         client, _, host = await self.served(ASK)
         other = Listener()
         self.addCleanup(other.port.stopListening)
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -42,9 +42,9 @@
         return msgspec.structs.replace(told, inherited=self.socket.fileno(), folder=self.folder)
 
     async def made_ready(self, started: Node) -> None:
-        watch = await self.watched()
+        watch = await self.accept_watch()
         self.assertIsNone(started.listeners.main)  # it accepts nobody before it is ready
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         await self.until(lambda: started.listeners.main, "readiness")
 
     async def close_second(self) -> None:
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -100,9 +100,9 @@
 
     async def test_a_draining_box_keeps_its_stream_and_gets_no_new_work(self) -> None:
         self.build_quic()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         client, uid = await self.connect_and_talk()
-        self.news(watch, 2, False, self.target(uid, "DRAINING"))
+        self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         endpoint = self.node.directory.number(uid)
         await self.until(lambda: endpoint in self.node.engine.reachability.unavailable_since, "the news")
         notified_at = self.node.deadlines.clock.now()
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -239,7 +239,7 @@
         self.assertEqual(await client.line(), b"UP r1")
         return client, uid, host
 
-    async def watched(self) -> Peer:
+    async def accept_watch(self) -> Peer:
         """The node's watch, answered."""
         watch = await self.discovery.next()
         request = await watch.line()
@@ -247,7 +247,7 @@
         watch.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return watch
 
-    def news(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
+    def send_update(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
         """Send a piece of the list over a watch."""
         rows = [{f: getattr(t, f) for f in t.__struct_fields__} for t in targets]
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -54,8 +54,8 @@
 
     async def resting(self) -> tuple[socket.socket, ClientProtocol]:
         """Return a client that has its PONG, and the node's side of it."""
-        watch = await self.watched()
-        self.news(watch, 2, False)
+        watch = await self.accept_watch()
+        self.send_update(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
