--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -96,13 +96,13 @@
     async def test_a_detached_host_gets_nothing_whatever_the_list_says_and_its_clients_move(self) -> None:
         self.build()
         watch = await self.serving()
-        client, uid, _ = await self.served(ASK)
+        client, uid, _ = await self.establish(ASK)
         for _ in range(2):  # the call may arrive twice, and one call back undoes both
             self.assertEqual(await self.call(f"PUT /_hosts/detach?member={uid}"), 200)
         self.assertEqual(await client.line(), b"MOVE")
         self.send_update(watch, 3, False, self.target(uid))
         for _ in range(3):
-            _, reached, _ = await self.served(ASK)
+            _, reached, _ = await self.establish(ASK)
             self.assertNotEqual(reached, uid)
         self.assertEqual(await self.call(f"PUT /_hosts/attach?member={uid}"), 200)
         self.assertEqual((len(self.ends(EndpointDetached)), len(self.ends(EndpointAttached))), (1, 1))
@@ -121,7 +121,7 @@
         client = await self.client(ASK)
         await self.until(lambda: self.node.connections.upstreams, "the attempt")
         self.node.detachment.detach("h0")
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.ended()
         self.assertEqual(host.buffer, b"")
         self.assertFalse(self.node.engine.may_reach(number))
@@ -173,7 +173,7 @@
         await self.serving()
         front = await self.client("PING")
         self.assertEqual(await front.line(), b"PONG")
-        first, _, _ = await self.served(ASK)
+        first, _, _ = await self.establish(ASK)
         with patch.object(
             lifecycle,
             "DRAIN",
@@ -182,7 +182,7 @@
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         front.write(b"PING\r\n")
         self.assertEqual(await front.line(), b"BUSY")
-        late, _, host = await self.served(ASK)
+        late, _, host = await self.establish(ASK)
         host.write(b"half a li")
         half = await self.client(ASK)  # its hosts say nothing
         leaving = self.node.lifecycle.shutdown
@@ -201,13 +201,13 @@
         for listener in self.hosts.values():
             while listener.accepted.pending:
                 await listener.next()
-        back, _, _ = await self.served(ASK)
+        back, _, _ = await self.establish(ASK)
         self.assertIsNone(back.end)
 
     async def test_a_lame_duck_called_back_moves_nobody_more(self) -> None:
         self.build()
         await self.serving()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         with patch.object(
             lifecycle,
             "DRAIN",
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -28,7 +28,7 @@
         await self.until(lambda: all(front.end for front in told), "who was told PONG to go first")
         self.assertEqual(sum(peer.end is not None for peer in (usual, *rude)), 0)
         usual.write(ASK.encode() + b"\r\n")
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await usual.line(), b"UP r1")
@@ -47,7 +47,7 @@
         with patch("twisted.internet.tcp.Client.createInternetSocket", side_effect=OSError(24, "none left")):
             client.write(ASK.encode() + b"\r\n")
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
-        await self.served(ASK)
+        await self.establish(ASK)
         with patch.object(admission, "RESERVED_FOR_NODE", 1024):  # no room for a client and its host
             other = await self.client(ASK)
             self.assertRegex(await other.line(), rb"^BUSY \d+$")
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -60,14 +60,14 @@
             client = await self.client(line)
             self.assertEqual(await client.line(), b"ERR")
             await client.ended()
-        await self.served(ASK)
+        await self.establish(ASK)
 
     async def test_lines_sent_at_once_or_before_an_answer_reach_no_host(self) -> None:
         self.build()
         client = await self.client("\r\n".join([ASK] * 300))
         self.assertEqual(await client.line(), b"ERR")
         client = await self.client(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         client.write(ASK.encode() + b"\r\n")
         self.assertEqual(await client.line(), b"ERR")
@@ -77,7 +77,7 @@
 
     async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
         self.build()
-        first, _, host = await self.served(ASK.replace("9b1f03aa5c7e2d41", "77"))
+        first, _, host = await self.establish(ASK.replace("9b1f03aa5c7e2d41", "77"))
         second = await self.client(ASK.replace("9b1f03aa5c7e2d41", "77"))
         self.assertEqual(await second.line(), b"ERR")
         first.write(b"still here\r\n")
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -65,7 +65,7 @@
         path = self.configured()
         read = config.load_node_config({"EDGE_CONFIG": path})
         self.node.config = msgspec.structs.replace(self.node.config, file=read.file)
-        client, uid, host = await self.served(ASK)
+        client, uid, host = await self.establish(ASK)
         old = await self.accept_watch()
         other = Listener()
         self.addCleanup(self.discovery.port.stopListening)
@@ -122,7 +122,7 @@
         two = {**one, "name": "two"}
         self.reread(self.configured(settings=table | {"classes": [one, two, {**one, "name": "chat"}]}))
         numbers = dict(self.node.classes.numbers)
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         old = self.node.engine.balancer.requests[next(iter(self.node.engine.requests)).number]
         new = {**two, "name": "new", "repeat": "side_effect", "hardLimitMs": 700.0}
         limits = table["limits"] | {"maxAttempts": 1}
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -204,12 +204,12 @@
     async def test_news_counts_at_once_and_a_drain_keeps_what_it_has(self) -> None:
         self.build()
         watch = await self.accept_watch()
-        client, uid, host = await self.served(ASK)
+        client, uid, host = await self.establish(ASK)
         self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         await self.until(lambda: self.ends(EndpointListUpdated)[-1].version == 2, "the news")
         for _ in range(4):
             other = await self.client(ASK)
-            reached, peer = await self.host_of()
+            reached, peer = await self.accept_attempt()
             self.assertNotEqual(reached, uid)
             peer.write(b"ERR\r\n")
             other.transport.abortConnection()
@@ -223,7 +223,7 @@
             drained = {self.node.directory.number("h0"): milliseconds(0)}
             with patch.object(self.node.engine.reachability, "unavailable_since", drained):
                 await self.client(ASK)
-                _, host = await self.host_of()
+                _, host = await self.accept_attempt()
                 await host.ended()
                 self.assertEqual(host.buffer, b"")
             self.assertTrue(asked.called)
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -36,7 +36,7 @@
     async def moving_with_half_a_line(self) -> tuple[Peer, ClientProtocol, Peer]:
         """A client that is to move and has half a line, the node's side of it, and its host."""
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
@@ -132,7 +132,7 @@
 
     async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
         await self.until(lambda: line.relay._line_open, "the half")
@@ -145,7 +145,7 @@
 
     async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
@@ -160,7 +160,7 @@
 
     async def test_moves_are_held_for_in_time(self) -> None:
         self.build()
-        await self.served(ASK)
+        await self.establish(ASK)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
@@ -181,7 +181,7 @@
 
     async def test_a_lame_duck_that_is_stopped_ends(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
@@ -228,7 +228,7 @@
     async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
         self.build()
         await self.accept_watch()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         other = Listener()
         self.addCleanup(other.port.stopListening)
         name, port = other.address.split(":")
@@ -275,7 +275,7 @@
 
     async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
         self.build()
-        client, _, host = await self.served(ROUTED_ASK)
+        client, _, host = await self.establish(ROUTED_ASK)
         host.write(b"half a ")
         await self.until(lambda: client.buffer, "the half line")
         slow = await self.client()
@@ -289,7 +289,9 @@
             patch.object(program, "stop") as stop,
         ):
             self.node.stop()
-            late, _, _ = await self.served(ROUTED_ASK)  # other nodes may be stopping too, or not be back yet
+            late, _, _ = await self.establish(
+                ROUTED_ASK
+            )  # other nodes may be stopping too, or not be back yet
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
             await self.until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
@@ -320,7 +322,7 @@
     async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
         chat = replace(SETTINGS.classes[0], deadline_ms=500)
         self.build(classes=(chat,))
-        client, _, host = await self.served(ROUTED_ASK.replace("d=1100", "d=450"))
+        client, _, host = await self.establish(ROUTED_ASK.replace("d=1100", "d=450"))
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -65,7 +65,7 @@
     async def test_the_older_process_serves_until_the_newer_is_ready_then_moves_all_and_ends(self) -> None:
         await self.build_both()
         client = await self.dial(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
@@ -92,7 +92,7 @@
             self.assertEqual(self.node.lifecycle.reason_not_ready(), "stopping")
             await self.until(lambda: not self.main_port.connected, "the older to shut its port")
             accepted.write(ASK.replace("9b1f03aa5c7e2d41", "aa").encode() + b"\r\n")  # still owed an answer
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.write(b"UP r2\r\n")
             self.assertEqual([await accepted.line(), await accepted.line()], [b"UP r2", b"MOVE"])
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -16,7 +16,7 @@
         client = await self.client()
         for piece in (b"OPEN 9b1f 7f3a c=ch", b"at,d=1100,again=1,z=9\r", b"\n"):
             client.write(piece)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         head = (await host.line()).decode()
         self.assertRegex(head, r"^OPEN 9b1f 7f3a c=chat,d=\d+,again=1,z=9$")
         self.assertLessEqual(int(head.split("d=")[1].split(",")[0]), 1100)
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -47,7 +47,7 @@
         plain, line = await self.met()
         with self.at_connect(plain.close):
             plain.sendall(ASK.encode() + b"\r\n")
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(host.received, b"")
@@ -63,7 +63,7 @@
 
         with self.at_connect(given_up):
             await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
@@ -72,7 +72,7 @@
         self.build()
         plain, line = await self.met()
         plain.sendall(ASK.encode() + b"\r\n")
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         (link,) = self.node.connections.upstreams
         plain.close()
@@ -90,7 +90,7 @@
 
         with self.at_connect(late):
             client.write(ASK.encode() + b"\r\n")
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
             self.assertEqual(host.received, b"")
             self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
@@ -98,7 +98,7 @@
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
         client = await self.client(ASK)
-        uid, host = await self.host_of()
+        uid, host = await self.accept_attempt()
         await host.line()
         begins: list[Any] = []
         connect = UpstreamConnection.connect
@@ -109,7 +109,7 @@
 
         with patch.object(UpstreamConnection, "connect", noted):
             host.transport.abortConnection()
-            _, second = await self.host_of(uid)
+            _, second = await self.accept_attempt(uid)
             await second.line()
         self.assertLess(begins[0], milliseconds(400))
         second.transport.abortConnection()
@@ -149,7 +149,7 @@
             patch.object(UpstreamProtocol, "connectionMade", then),
         ):
             await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
 
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -15,11 +15,11 @@
         self.build()
         client = await self.client(ASK)
         for _ in range(2):
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.write(b"BYE\r\n")
             host.transport.loseConnection()
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
@@ -29,7 +29,7 @@
         self.build(hosts=6)
         for _ in range(3):
             client = await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.transport.getHandle().send(b"UP r1\r\n")
             host.transport.abortConnection()
@@ -48,7 +48,7 @@
             (b"", Outcome.RESET),
         ):
             client = await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.write(said)
             if not said:
@@ -77,7 +77,7 @@
         self.build(hosts=1)
         start = self.node.deadlines.clock.now()
         client = await self.client(ASK.replace("1100", "400"))
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertLess(to_ms(self.node.deadlines.clock.now() - start), 1000)  # a busy machine is no failure
@@ -87,7 +87,7 @@
     async def test_a_client_that_leaves_takes_its_attempt_along(self) -> None:
         self.build()
         client = await self.client(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         client.transport.abortConnection()
         await host.ended()
         self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.CANCELLED)
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -221,7 +221,7 @@
             peer.write(line.encode().replace(b"9b1f03aa5c7e2d41", b"%016x" % self.asked) + b"\r\n")
         return peer
 
-    async def host_of(self, *but: str) -> tuple[str, Peer]:
+    async def accept_attempt(self, *but: str) -> tuple[str, Peer]:
         """The host that a client has been sent to."""
         await self.until(
             lambda: any(h.accepted.pending for u, h in self.hosts.items() if u not in but),
@@ -230,10 +230,10 @@
         uid = next(u for u, h in self.hosts.items() if u not in but and h.accepted.pending)
         return uid, await self.hosts[uid].next()
 
-    async def served(self, line: str) -> tuple[Peer, str, Peer]:
+    async def establish(self, line: str) -> tuple[Peer, str, Peer]:
         """A client, its host's name, and its host, with the connection up."""
         client = await self.client(line)
-        uid, host = await self.host_of()
+        uid, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -70,6 +70,6 @@
         """A client whose request is with a host that says nothing."""
         self.build(classes=(replace(CHAT, **rules),), **(told or {}))
         client = await self.client(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         return client, host
