--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -6,16 +6,16 @@
 from typing import Any
 
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 
 
-class FirstLineStories(Story):
+class FirstLineStories(NodeTestCase):
     """Clients and their first lines."""
 
     async def test_a_line_reads_the_same_wherever_it_is_cut(self) -> None:
         self.build()
-        watch = await self.watched()
-        self.news(watch, 2, False)
+        watch = await self.accept_watch()
+        self.send_update(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         for line, answer in ((b"PING\r\n", b"PONG"), (b"OPEN 1 2 c=none,d=5\r\n", b"ERR")):
             for cut in range(1, len(line)):
@@ -35,9 +35,9 @@
     async def test_pong_comes_only_once_ready_and_not_while_stopping(self) -> None:
         self.build()
         client = await self.client("PING")
-        watch = await self.watched()
+        watch = await self.accept_watch()
         self.assertFalse(self.node.lifecycle.is_ready)
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         self.assertEqual(await client.line(), b"PONG")
         self.assertEqual(self.main_port.getHost().host, "127.0.0.1")
 
@@ -60,14 +60,14 @@
             client = await self.client(line)
             self.assertEqual(await client.line(), b"ERR")
             await client.ended()
-        await self.served(ASK)
+        await self.establish(ASK)
 
     async def test_lines_sent_at_once_or_before_an_answer_reach_no_host(self) -> None:
         self.build()
         client = await self.client("\r\n".join([ASK] * 300))
         self.assertEqual(await client.line(), b"ERR")
         client = await self.client(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         client.write(ASK.encode() + b"\r\n")
         self.assertEqual(await client.line(), b"ERR")
@@ -77,7 +77,7 @@
 
     async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
         self.build()
-        first, _, host = await self.served(ASK.replace("9b1f03aa5c7e2d41", "77"))
+        first, _, host = await self.establish(ASK.replace("9b1f03aa5c7e2d41", "77"))
         second = await self.client(ASK.replace("9b1f03aa5c7e2d41", "77"))
         self.assertEqual(await second.line(), b"ERR")
         first.write(b"still here\r\n")
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -20,10 +20,10 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import Effect, EndpointListUpdated, ListUpdateKind, SettingsChanged
 from puffindeck.net import served_classes
-from tests.support.node_story import ASK, Listener, Story
+from tests.support.node_test_case import ASK, Listener, NodeTestCase
 
 
-class ReloadStories(Story):
+class ReloadStories(NodeTestCase):
     """A node, and the file that it reads at a reload."""
 
     def folder(self) -> Path:
@@ -65,8 +65,8 @@
         path = self.configured()
         read = config.load_node_config({"EDGE_CONFIG": path})
         self.node.config = msgspec.structs.replace(self.node.config, file=read.file)
-        client, uid, host = await self.served(ASK)
-        old = await self.watched()
+        client, uid, host = await self.establish(ASK)
+        old = await self.accept_watch()
         other = Listener()
         self.addCleanup(self.discovery.port.stopListening)
         (h0, h1), before = self.hosts, self.node.watch
@@ -122,7 +122,7 @@
         two = {**one, "name": "two"}
         self.reread(self.configured(settings=table | {"classes": [one, two, {**one, "name": "chat"}]}))
         numbers = dict(self.node.classes.numbers)
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         old = self.node.engine.balancer.requests[next(iter(self.node.engine.requests)).number]
         new = {**two, "name": "new", "repeat": "side_effect", "hardLimitMs": 700.0}
         limits = table["limits"] | {"maxAttempts": 1}
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -19,7 +19,7 @@
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
-from tests.support.node_story import ASK, Peer, Story, reactor
+from tests.support.node_test_case import ASK, NodeTestCase, Peer, reactor
 
 WHOLE = b"GET /catalog/members HTTP/1.1"
 
@@ -33,7 +33,7 @@
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
-class ListStory(Story):
+class ListStory(NodeTestCase):
     """A node and its discovery, call by call."""
 
     def all(self) -> list[Target]:
@@ -82,7 +82,7 @@
 
     async def test_an_agent_with_nothing_new_makes_the_node_ready_all_the_same(self) -> None:
         self.build(must_watch_endpoints=True)  # watched from `known` on: no list has to come
-        watch = await self.watched()
+        watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
@@ -198,18 +198,18 @@
     assert not state.list_begun  # a new call reads from its start
 
 
-class ListStories(Story):
+class ListStories(NodeTestCase):
     """Discovery, well and ill."""
 
     async def test_news_counts_at_once_and_a_drain_keeps_what_it_has(self) -> None:
         self.build()
-        watch = await self.watched()
-        client, uid, host = await self.served(ASK)
-        self.news(watch, 2, False, self.target(uid, "DRAINING"))
+        watch = await self.accept_watch()
+        client, uid, host = await self.establish(ASK)
+        self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         await self.until(lambda: self.ends(EndpointListUpdated)[-1].version == 2, "the news")
         for _ in range(4):
             other = await self.client(ASK)
-            reached, peer = await self.host_of()
+            reached, peer = await self.accept_attempt()
             self.assertNotEqual(reached, uid)
             peer.write(b"ERR\r\n")
             other.transport.abortConnection()
@@ -223,7 +223,7 @@
             drained = {self.node.directory.number("h0"): milliseconds(0)}
             with patch.object(self.node.engine.reachability, "unavailable_since", drained):
                 await self.client(ASK)
-                _, host = await self.host_of()
+                _, host = await self.accept_attempt()
                 await host.ended()
                 self.assertEqual(host.buffer, b"")
             self.assertTrue(asked.called)
@@ -244,8 +244,8 @@
                 [ListUpdateKind.CACHED, ListUpdateKind.FAILED],
             )
             for ill in (b"", b"3\r\n{]\n\r\n"):
-                watch = await self.watched()
-                self.news(watch, 5, True, *(self.target(uid) for uid in self.hosts))
+                watch = await self.accept_watch()
+                self.send_update(watch, 5, True, *(self.target(uid) for uid in self.hosts))
                 await self.until(
                     lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
                 )
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -4,10 +4,10 @@
 
 from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 
 
-class FailureStories(Story):
+class FailureStories(NodeTestCase):
     """What goes wrong, and what the module hears of it."""
 
     async def test_a_host_that_says_bye_before_anything_else_is_no_answer(self) -> None:
@@ -15,11 +15,11 @@
         self.build()
         client = await self.client(ASK)
         for _ in range(2):
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.write(b"BYE\r\n")
             host.transport.loseConnection()
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
@@ -29,7 +29,7 @@
         self.build(hosts=6)
         for _ in range(3):
             client = await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.transport.getHandle().send(b"UP r1\r\n")
             host.transport.abortConnection()
@@ -48,7 +48,7 @@
             (b"", Outcome.RESET),
         ):
             client = await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.write(said)
             if not said:
@@ -77,7 +77,7 @@
         self.build(hosts=1)
         start = self.node.deadlines.clock.now()
         client = await self.client(ASK.replace("1100", "400"))
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertLess(to_ms(self.node.deadlines.clock.now() - start), 1000)  # a busy machine is no failure
@@ -87,7 +87,7 @@
     async def test_a_client_that_leaves_takes_its_attempt_along(self) -> None:
         self.build()
         client = await self.client(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         client.transport.abortConnection()
         await host.ended()
         self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.CANCELLED)
--- a/tests/support/node_story.py
+++ b/tests/support/node_test_case.py
@@ -136,7 +136,7 @@
         return self.peer
 
 
-class Story(TestCase):
+class NodeTestCase(TestCase):
     """A node with hosts and discovery round it, all closed at the end."""
 
     asked = 0
@@ -221,7 +221,7 @@
             peer.write(line.encode().replace(b"9b1f03aa5c7e2d41", b"%016x" % self.asked) + b"\r\n")
         return peer
 
-    async def host_of(self, *but: str) -> tuple[str, Peer]:
+    async def accept_attempt(self, *but: str) -> tuple[str, Peer]:
         """The host that a client has been sent to."""
         await self.until(
             lambda: any(h.accepted.pending for u, h in self.hosts.items() if u not in but),
@@ -230,16 +230,16 @@
         uid = next(u for u, h in self.hosts.items() if u not in but and h.accepted.pending)
         return uid, await self.hosts[uid].next()
 
-    async def served(self, line: str) -> tuple[Peer, str, Peer]:
+    async def establish(self, line: str) -> tuple[Peer, str, Peer]:
         """A client, its host's name, and its host, with the connection up."""
         client = await self.client(line)
-        uid, host = await self.host_of()
+        uid, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
         return client, uid, host
 
-    async def watched(self) -> Peer:
+    async def accept_watch(self) -> Peer:
         """The node's watch, answered."""
         watch = await self.discovery.next()
         request = await watch.line()
@@ -247,7 +247,7 @@
         watch.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return watch
 
-    def news(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
+    def send_update(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
         """Send a piece of the list over a watch."""
         rows = [{f: getattr(t, f) for f in t.__struct_fields__} for t in targets]
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
