--- a/packages/fleet/src/puffindeck_fleet/region_enforcement.py
+++ b/packages/fleet/src/puffindeck_fleet/region_enforcement.py
@@ -16,7 +16,7 @@
     """The part of a regional decision module that is used here. `puffindeck_residency.RegionalBalancer` has it."""
 
     @property
-    def orders(self) -> dict[int, tuple[str, ...]]:
+    def allowed_regions(self) -> dict[int, tuple[str, ...]]:
         """The allowed regions of requests that a rule applies to, in the order of preference."""
 
     def connections_outside_regions(self) -> list[int]:
@@ -87,6 +87,6 @@
 
     def _set_regions(self, request: int, constraint: RegionConstraint | None) -> None:
         if constraint is None:
-            self._module.orders.pop(request, None)
+            self._module.allowed_regions.pop(request, None)
         else:
-            self._module.orders[request] = constraint.allowed
+            self._module.allowed_regions[request] = constraint.allowed
--- a/packages/residency/src/puffindeck_residency/regional.py
+++ b/packages/residency/src/puffindeck_residency/regional.py
@@ -21,10 +21,10 @@
     region are eligible and count for the mean load.
     """
 
-    def __init__(self, state: GatewayState, orders: dict[int, tuple[str, ...]], region_of: RegionOf) -> None:
+    def __init__(self, state: GatewayState, allowed_regions: dict[int, tuple[str, ...]], region_of: RegionOf) -> None:
         self._registry = state.registry
         self._capacities = state.capacities
-        self.orders = orders
+        self.allowed_regions = allowed_regions
         self.region_of = region_of
         self.region: str | None = None  # that is being looked at
 
@@ -56,7 +56,7 @@
 
     def review(self, request: Request) -> Verdict:
         """Answer at once where all allowed regions are down: the request may go nowhere else."""
-        order = self.orders.get(request.id)
+        order = self.allowed_regions.get(request.id)
         if order is not None and not any(self.endpoints_in(region) for region in order):
             return Verdict.ANSWER
         return Verdict.PLACE
@@ -66,7 +66,7 @@
 
     def request_removed(self, request: Request) -> None:
         """Forget the regions of a request that is over."""
-        self.orders.pop(request.id, None)
+        self.allowed_regions.pop(request.id, None)
 
 
 class RegionalPlacement:
@@ -78,7 +78,7 @@
 
     def choose(self, request: Request) -> Choice:
         """The endpoint for a request."""
-        order = self._constraints.orders.get(request.id)
+        order = self._constraints.allowed_regions.get(request.id)
         if order is None:
             return self._otherwise.choose(request)
         for region in self._constraints.candidates(order):
@@ -95,18 +95,18 @@
 class RegionalBalancer(Balancer):
     """Attempts, retries, slow start and migration all choose within the allowed regions.
 
-    `orders` has the allowed regions of each constrained request, the preferred one first; whoever hands in a
+    `allowed_regions` has the allowed regions of each constrained request, the preferred one first; whoever hands in a
     request's arrival sets them before.
     """
 
     def __init__(self, settings: Settings, seed: int, region_of: RegionOf) -> None:
         """`region_of` says which region a zone is in now, "" for none."""
-        self.orders: dict[int, tuple[str, ...]] = {}
+        self.allowed_regions: dict[int, tuple[str, ...]] = {}
         self._region_of = region_of
         super().__init__(settings, seed, self._strategies)
 
     def _strategies(self, state: GatewayState) -> Strategies:
-        self._constraints = constraints = RegionConstraints(state, self.orders, self._region_of)
+        self._constraints = constraints = RegionConstraints(state, self.allowed_regions, self._region_of)
         return Strategies(
             endpoint_filter=constraints,
             scope=constraints,
@@ -123,7 +123,7 @@
     def connections_outside_regions(self) -> list[int]:
         """Established connections whose endpoint is in none of their allowed regions now."""
         found = []
-        for number, order in self.orders.items():
+        for number, order in self.allowed_regions.items():
             request = self.requests.get(number)
             if request is None or not request.established or request.answered or request.endpoint is None:
                 continue
--- a/packages/residency/tests/test_regional.py
+++ b/packages/residency/tests/test_regional.py
@@ -23,7 +23,7 @@
 
 
 def ask(made: Any, request: int, *order: str, key: int = 0) -> int | None:
-    made.balancer.orders[request] = order
+    made.balancer.allowed_regions[request] = order
     endpoint: int | None = made.ask(request, key=key or request)
     return endpoint
 
@@ -110,7 +110,7 @@
         ask(made, request, "south")
         made.begin(request)
     assert made.balancer.connections_outside_regions() == []
-    made.balancer.orders[103] = ("north",)
+    made.balancer.allowed_regions[103] = ("north",)
     assert made.balancer.connections_outside_regions() == [103]
     made.do(listed(entry(4, zone=7), entry(5, zone=7), entry(6, zone=7), kind=ListUpdateKind.CHANGES, version=2))
     assert len(made.balancer.connections_outside_regions()) == 10  # their zone changed in the list
