--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -33,7 +33,7 @@
 from puffindeck.policy.context import DEFAULT_BOUND
 from puffindeck.policy.placement import MINIMUM_BOUND
 from puffindeck.policy.slow_start import FULL_LOAD_MULTIPLE
-from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed, sends
+from tests.support.gateway import SETTINGS, Gateway, entry, listed, request_arrived, sends
 
 
 def test_gateways_agree_on_homes_whatever_their_seed() -> None:
@@ -447,7 +447,7 @@
         gateway.connect(request, group=1, load=1000.0)  # while there is room nobody is turned away
     gateway.wait(2000)
     gateway.delay(1, 500)
-    gateway.do(asked(50))
+    gateway.do(request_arrived(50))
     assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.wait(300))
 
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -6,7 +6,7 @@
 
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Send
 from puffindeck.policy.slow_start import FULL_LOAD_MULTIPLE
-from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, listed, request_arrived
 
 COLD = replace(
     SETTINGS,
@@ -75,7 +75,7 @@
         gateway.connect(request, key=request)
     gateway.do(listed(*(replace(entry(i), started_ms=gateway.now) for i in range(1, 6)), version=2))
     for request in range(100, 140):
-        gateway.do(asked(request, key=request, left=60000))
+        gateway.do(request_arrived(request, key=request, remaining_ms=60000))
     held = 60 / 5  # those that wait need a place too
     for second in range(10):
         warmth = (
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -34,7 +34,7 @@
     WatchEndpoints,
 )
 from puffindeck.routing import Condition, ConditionError, Pool, PoolRouter, Route, RouteTable, Routing, View
-from tests.support.gateway import SETTINGS, Gateway, RuleChecker, asked, entry, listed, sends
+from tests.support.gateway import SETTINGS, Gateway, RuleChecker, entry, listed, request_arrived, sends
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
 
@@ -138,7 +138,7 @@
 def test_a_request_without_a_pool_is_refused_at_once_with_a_time() -> None:
     world = gateway(MAIN, default="")
     world.balancer.routing = Routing(RouteTable((), ""), (MAIN,))
-    (refusal,) = world.do(asked(1))
+    (refusal,) = world.do(request_arrived(1))
     assert isinstance(refusal, Reject)
     assert 0 < refusal.retry_after_ms <= RULES.max_retry_after_ms
     assert not world.balancer.locations
@@ -233,12 +233,12 @@
     for request in range(1, 6):
         world.connect(request, key=request)
     assert Counter(world.at.values())[1] <= 2
-    assert [type(a) for a in world.do(asked(6))] == [Reject]
+    assert [type(a) for a in world.do(request_arrived(6))] == [Reject]
     world.end(1, Outcome.OK, final=True)
     assert world.connect(7) in (1, 2)
     small = gateway(Pool("main", (names(1, 2),), server_limits={"1": 1, "2": 1}), endpoints=2)
     assert {small.connect(1, key=1), small.connect(2, key=2)} == {1, 2}
-    assert [type(a) for a in small.do(asked(3)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in small.do(request_arrived(3)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_a_drained_server_takes_nothing_new_and_keeps_what_it_has() -> None:
@@ -253,12 +253,12 @@
     world.do(
         listed(*(entry(i, EndpointStatus.GONE) for i in range(1, 6)), kind=ListUpdateKind.CHANGES, version=2)
     )
-    assert [type(a) for a in world.do(asked(1)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in world.do(request_arrived(1)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_before_the_first_list_a_request_waits_for_it() -> None:
     world = gateway(MAIN, endpoints=0)
-    assert not [a for a in world.do(asked(1)) if isinstance(a, (Reject, Fail, Send))]
+    assert not [a for a in world.do(request_arrived(1)) if isinstance(a, (Reject, Fail, Send))]
     world.do(listed(entry(1)))
     assert sends(world.wait(500))
 
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -16,7 +16,7 @@
 from puffindeck.config.client_config import load_client_config
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
-from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, listed, request_arrived
 from tests.support.rpc_world import Stub, World, client_config, decisions, key_metadata, wait_until
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
@@ -58,7 +58,7 @@
             version=2,
         )
     )
-    assert [type(a) for a in one.do(asked(2)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in one.do(request_arrived(2)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_what_a_client_knows_of_the_roster_is_known_over_all_pools() -> None:
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -75,8 +75,10 @@
     return EndpointListUpdated(kind, version, list(entries))
 
 
-def asked(request: int, *, group: int = 0, key: int = 0, left: float = 1200, cls: int = 0) -> RequestArrived:
-    return RequestArrived(request, cls, 0, key, left, 0.0, group)
+def request_arrived(
+    request: int, *, group: int = 0, key: int = 0, remaining_ms: float = 1200, cls: int = 0
+) -> RequestArrived:
+    return RequestArrived(request, cls, 0, key, remaining_ms, 0.0, group)
 
 
 def sends(actions: list[Action]) -> list[Send]:
@@ -122,7 +124,7 @@
 
     def ask(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
         """A new request; the server it was sent to."""
-        self.do(asked(request, group=group, key=key, cls=cls))
+        self.do(request_arrived(request, group=group, key=key, cls=cls))
         return self.at.get(request)
 
     def begin(self, request: int, took: float = 20.0) -> None:
@@ -354,7 +356,10 @@
         request, self.next_id = self.next_id, self.next_id + 1
         self.records[request] = RequestRecord(rules, self.now + left)
         group = self.random.randrange(4)
-        return replace(asked(request, group=group, left=left, cls=cls), mid_flow=self.random.random() < 0.1)
+        return replace(
+            request_arrived(request, group=group, remaining_ms=left, cls=cls),
+            mid_flow=self.random.random() < 0.1,
+        )
 
     def list_change(self) -> list[Event]:
         random, self.version = self.random, self.version + 1
