--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -25,7 +25,7 @@
     WatchState,
 )
 from tests.net.test_discovery import ListStory, chunk, listing
-from tests.support.gateway import SETTINGS, Gateway, listed
+from tests.support.gateway import SETTINGS, Gateway, list_update
 from tests.support.node_story import Peer
 
 TOLD = milliseconds(6000)
@@ -50,7 +50,7 @@
 def test_however_often_it_failed_a_list_is_asked_for_within_a_second(seed: int) -> None:
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=60000), seed=seed)
     for failed in range(30):
-        gateway.do(listed(kind=ListUpdateKind.FAILED))
+        gateway.do(list_update(kind=ListUpdateKind.FAILED))
         most = to_ms(MOST_WAIT if failed else FIRST_WAIT)
         assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(most)), failed
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -33,7 +33,7 @@
 from puffindeck.policy.context import DEFAULT_BOUND
 from puffindeck.policy.placement import MINIMUM_BOUND
 from puffindeck.policy.slow_start import FULL_LOAD_MULTIPLE
-from tests.support.gateway import SETTINGS, Gateway, entry, listed, request_arrived, sends
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived, sends
 
 
 def test_gateways_agree_on_homes_whatever_their_seed() -> None:
@@ -48,7 +48,7 @@
     homes = {key: before.ask(key, key=key) for key in range(100, 103)}
     after = Gateway(endpoints=0)
     lost = homes[100]
-    after.do(listed(*(entry(i) for i in range(1, 7) if i != lost)))
+    after.do(list_update(*(entry(i) for i in range(1, 7) if i != lost)))
     for key, home in homes.items():
         now = after.ask(key, key=key)
         assert now == home if home != lost else now != home
@@ -108,14 +108,14 @@
     gateway = Gateway()
     home = gateway.ask(1, key=42)
     assert home is not None
-    gateway.do(listed(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
+    gateway.do(list_update(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
     assert gateway.ask(2, key=42) not in (home, None)
 
 
 def test_a_stale_change_of_the_list_is_passed_over() -> None:
     gateway = Gateway()
-    gateway.do(listed(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
-    gateway.do(listed(entry(1), kind=ListUpdateKind.CHANGES, version=4))
+    gateway.do(list_update(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
+    gateway.do(list_update(entry(1), kind=ListUpdateKind.CHANGES, version=4))
     assert 1 not in gateway.balancer.ready
 
 
@@ -123,7 +123,7 @@
     gateway = Gateway(endpoints=0)
     assert gateway.ask(1) is None
     gateway.wait(500)
-    gateway.do(listed(entry(8)))
+    gateway.do(list_update(entry(8)))
     assert [s.endpoint for s in sends(gateway.wait(200))] == [8]
 
 
@@ -156,7 +156,7 @@
         gateway.connect(1, key=number)
     young = [entry(i, started=1000.0) for i in (1, 2, 3)]
     for gateway in gateways:
-        gateway.do(listed(*young, kind=ListUpdateKind.CHANGES, version=2))
+        gateway.do(list_update(*young, kind=ListUpdateKind.CHANGES, version=2))
     sent = 0
     for step in range(20):  # the first two seconds, in a storm of five returns a gateway
         for number, gateway in enumerate(gateways):
@@ -215,7 +215,7 @@
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=4000))
     assert sum(isinstance(a, WatchEndpoints) for a in gateway.actions) == 1
     for _ in range(8):
-        gateway.do(listed(kind=ListUpdateKind.FAILED))
+        gateway.do(list_update(kind=ListUpdateKind.FAILED))
         assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(4000))
     assert gateway.ask(1) is not None  # the list it had still serves
 
@@ -261,7 +261,7 @@
     assert home is not None
     gateway.end(1, Outcome.CONNECT_FAILED)
     assert gateway.ask(2, key=42) != home
-    gateway.do(listed(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
+    gateway.do(list_update(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     assert gateway.ask(3, key=42) == home
 
 
@@ -419,7 +419,7 @@
 
 def test_a_cold_server_is_let_in_slowly_even_in_a_storm() -> None:
     gateway = filled()
-    gateway.do(listed(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
+    gateway.do(list_update(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     for request in range(1000, 1100):
         gateway.ask(request, key=request)
         gateway.wait(10)
@@ -432,7 +432,7 @@
 
 def test_home_zone_first_where_crossing_costs_and_abroad_when_home_is_strained() -> None:
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), endpoints=0)
-    gateway.do(listed(*(entry(i, zone=i % 2) for i in range(1, 7))))
+    gateway.do(list_update(*(entry(i, zone=i % 2) for i in range(1, 7))))
     assert all(gateway.connect(r, key=r, load=1000.0) % 2 == 0 for r in range(1, 31))
     gateway.wait(2000)
     for endpoint in (2, 4, 6):
@@ -470,7 +470,7 @@
     gateway = Gateway()
     for round_ in range(200):
         endpoint = 100 + round_
-        gateway.do(listed(*(entry(i) for i in range(1, 6)), entry(endpoint), version=round_ + 2))
+        gateway.do(list_update(*(entry(i) for i in range(1, 6)), entry(endpoint), version=round_ + 2))
         for request in range(round_ * 20 + 1, round_ * 20 + 21):
             gateway.connect(request, group=request, key=request)
             gateway.end(request, Outcome.OK, final=True)
@@ -566,7 +566,7 @@
 def test_a_small_home_zone_is_not_filled_beyond_the_fleets_mean() -> None:
     """One server at home, four elsewhere: the other gateway's clients can't fill those four alone."""
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.01), endpoints=0)
-    gateway.do(listed(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
+    gateway.do(list_update(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
     for request in range(1, 61):
         gateway.connect(request, key=request)
     home = sum(endpoint == 1 for endpoint in gateway.at.values())
@@ -609,7 +609,7 @@
     gateway.begin(late)  # its attempt was under way
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) < len(standing)
-    gateway.do(listed(*(entry(i) for i in (1, 2, 3)), version=2))
+    gateway.do(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
     gateway.wait(1300)
     assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == standing | {late}
     assert out not in {gateway.ask(r, key=r) for r in range(100, 140)}
@@ -623,7 +623,7 @@
         gateway.wait(600)
         gateway.do(EndpointDetached(1))
         gateway.wait(2000)
-        gateway.do(listed(entry(1, started=told), entry(2), entry(3), version=2))
+        gateway.do(list_update(entry(1, started=told), entry(2), entry(3), version=2))
         gateway.do(EndpointAttached(1))
         endpoint = gateway.balancer.endpoints[1]
         assert endpoint.started_ms == (told or gateway.now)
--- a/tests/policy/test_endpoint_registry.py
+++ b/tests/policy/test_endpoint_registry.py
@@ -4,7 +4,7 @@
 
 from puffindeck.interface import EndpointStatus, ListUpdateKind
 from puffindeck.policy.endpoint_registry import EndpointRegistry
-from tests.support.gateway import Gateway, entry, listed
+from tests.support.gateway import Gateway, entry, list_update
 
 
 def registry(*numbers: int) -> EndpointRegistry:
@@ -42,6 +42,6 @@
 
 def test_changes_older_than_the_list_are_not_taken_up() -> None:
     gateway = Gateway(endpoints=3)
-    gateway.do(listed(entry(1), kind=ListUpdateKind.FULL, version=9))
-    gateway.do(listed(entry(2), kind=ListUpdateKind.CHANGES, version=8))
+    gateway.do(list_update(entry(1), kind=ListUpdateKind.FULL, version=9))
+    gateway.do(list_update(entry(2), kind=ListUpdateKind.CHANGES, version=8))
     assert list(gateway.balancer.ready) == [1]
--- a/tests/policy/test_many_gateways.py
+++ b/tests/policy/test_many_gateways.py
@@ -10,7 +10,7 @@
 
 from puffindeck.interface import LoadReported
 from puffindeck.policy.group_plan import PLAN_LIFETIME_MS, PLANNED_GROUPS
-from tests.support.gateway import SETTINGS, Gateway, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update
 
 ZONES = 4
 
@@ -20,7 +20,7 @@
     settings = replace(SETTINGS, gateways=gateways, cross_zone_cost=0.0067)
     made = [Gateway(replace(settings, zone=g % ZONES), endpoints=0, seed=g) for g in range(gateways)]
     for gateway in made:
-        gateway.do(listed(*(entry(s, zone=s % ZONES) for s in range(1, endpoints + 1))))
+        gateway.do(list_update(*(entry(s, zone=s % ZONES) for s in range(1, endpoints + 1))))
     return made
 
 
--- a/tests/policy/test_slow_start_of_all_gateways.py
+++ b/tests/policy/test_slow_start_of_all_gateways.py
@@ -24,7 +24,7 @@
     Send,
     Settings,
 )
-from tests.support.gateway import SETTINGS, Gateway, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update
 
 COLD = replace(
     SETTINGS,
@@ -82,7 +82,7 @@
             for gateway in self.fleet:
                 gateway.now = self.begun
         for gateway in self.fleet:
-            gateway.do(listed(*news, kind=ListUpdateKind.FULL, version=2))
+            gateway.do(list_update(*news, kind=ListUpdateKind.FULL, version=2))
         for n in () if gateways_too else lost:
             at, _ = self.where[n]
             self.fleet[at].end(n, Outcome.RESET, final=True)
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -34,7 +34,7 @@
     WatchEndpoints,
 )
 from puffindeck.routing import Condition, ConditionError, Pool, PoolRouter, Route, RouteTable, Routing, View
-from tests.support.gateway import SETTINGS, Gateway, RuleChecker, entry, listed, request_arrived, sends
+from tests.support.gateway import SETTINGS, Gateway, RuleChecker, entry, list_update, request_arrived, sends
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
 
@@ -147,7 +147,7 @@
 def test_backups_stay_idle_while_one_primary_is_fit() -> None:
     world = gateway(MAIN)
     world.do(
-        listed(
+        list_update(
             entry(1, EndpointStatus.GONE),
             entry(2, EndpointStatus.GONE),
             kind=ListUpdateKind.CHANGES,
@@ -162,11 +162,15 @@
     world = gateway(MAIN)
     assert {world.connect(r, key=r) for r in range(1, 60)} == {1, 2, 3}
     world.do(
-        listed(*(entry(i, EndpointStatus.GONE) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=2)
+        list_update(
+            *(entry(i, EndpointStatus.GONE) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=2
+        )
     )
     assert {world.connect(r, key=r) for r in range(100, 160)} == {4, 5}
     back = world.now
-    world.do(listed(*(entry(i, started=back) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=3))
+    world.do(
+        list_update(*(entry(i, started=back) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=3)
+    )
     parts = []
     for second in range(12):
         placed = Counter(
@@ -222,7 +226,7 @@
 
 def test_backups_in_order_stand_in_one_after_another() -> None:
     world = gateway(Pool("main", (names(1), names(2), names(3))), endpoints=3)
-    world.do(listed(entry(1, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
+    world.do(list_update(entry(1, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
     assert {world.connect(r, key=r) for r in range(1, 20)} == {2}
     world.do(EndpointDetached(2))
     assert {world.connect(r, key=r) for r in range(20, 40)} == {3}
@@ -251,7 +255,9 @@
 def test_with_nobody_left_in_any_tier_the_answer_comes_at_once() -> None:
     world = gateway(MAIN, endpoints=5)
     world.do(
-        listed(*(entry(i, EndpointStatus.GONE) for i in range(1, 6)), kind=ListUpdateKind.CHANGES, version=2)
+        list_update(
+            *(entry(i, EndpointStatus.GONE) for i in range(1, 6)), kind=ListUpdateKind.CHANGES, version=2
+        )
     )
     assert [type(a) for a in world.do(request_arrived(1)) if isinstance(a, Reject)] == [Reject]
 
@@ -259,16 +265,16 @@
 def test_before_the_first_list_a_request_waits_for_it() -> None:
     world = gateway(MAIN, endpoints=0)
     assert not [a for a in world.do(request_arrived(1)) if isinstance(a, (Reject, Fail, Send))]
-    world.do(listed(entry(1)))
+    world.do(list_update(entry(1)))
     assert sends(world.wait(500))
 
 
 def test_the_list_is_asked_for_once_whatever_the_number_of_pools() -> None:
     world = Gateway(RULES, 0, balancer=pooled(MAIN, Pool("more", (names(6),)), must_watch_endpoints=True))
-    world.do(listed(entry(1)))
+    world.do(list_update(entry(1)))
     assert [type(a) for a in world.actions].count(WatchEndpoints) == 1
     before = len(world.actions)
-    world.do(listed(kind=ListUpdateKind.FAILED))
+    world.do(list_update(kind=ListUpdateKind.FAILED))
     world.wait(2000)
     assert [type(a) for a in world.actions[before:]].count(WatchEndpoints) == 1
 
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -16,7 +16,7 @@
 from puffindeck.config.client_config import load_client_config
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
-from tests.support.gateway import SETTINGS, Gateway, entry, listed, request_arrived
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived
 from tests.support.rpc_world import Stub, World, client_config, decisions, key_metadata, wait_until
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
@@ -51,7 +51,7 @@
     assert one.at[1] == 4
     one.begin(1)
     one.do(
-        listed(
+        list_update(
             entry(1, EndpointStatus.GONE),
             entry(4, EndpointStatus.GONE),
             kind=ListUpdateKind.CHANGES,
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -69,7 +69,7 @@
     return EndpointEntry(endpoint, zone, 0, cell, state, 1.0, started)
 
 
-def listed(
+def list_update(
     *entries: EndpointEntry, kind: ListUpdateKind = ListUpdateKind.FULL, version: int = 1
 ) -> EndpointListUpdated:
     return EndpointListUpdated(kind, version, list(entries))
@@ -98,7 +98,7 @@
         self.at: dict[int, int] = {}  # request -> server of its last send
         self.tries: dict[int, int] = {}
         if endpoints:
-            self.do(listed(*(entry(i) for i in range(1, endpoints + 1))))
+            self.do(list_update(*(entry(i) for i in range(1, endpoints + 1))))
 
     def do(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
@@ -187,7 +187,7 @@
         self.version = 1
         for i in range(1, 6):
             self.endpoints[i] = entry(i, zone=i % 2, cell=i % 3)
-        self.deliver([listed(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
+        self.deliver([list_update(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
 
     def deliver(self, events: list[Event]) -> None:
         for action in self.balancer.handle(self.now, events):
@@ -377,7 +377,7 @@
             self.unready_since[endpoint] = self.now
         self.unready_since.setdefault(endpoint, self.now)
         self.endpoints[endpoint] = new
-        return [listed(new, kind=ListUpdateKind.CHANGES, version=self.version)]
+        return [list_update(new, kind=ListUpdateKind.CHANGES, version=self.version)]
 
     def check_deadlines(self) -> None:
         for request, record in self.records.items():
