--- a/packages/residency/tests/test_regional.py
+++ b/packages/residency/tests/test_regional.py
@@ -18,7 +18,7 @@
     settings = replace(SETTINGS, max_retry_after_ms=1500.0)
     balancer = RegionalBalancer(settings, 1, lambda zone: REGIONS.get(zone, ""))
     made: Any = Gateway(SETTINGS, endpoints=0, balancer=balancer)
-    made.do(list_update(*(entry(i, zone=(i - 1) // 3) for i in range(1, endpoints + 1))))
+    made.handle_events(list_update(*(entry(i, zone=(i - 1) // 3) for i in range(1, endpoints + 1))))
     return made
 
 
@@ -31,7 +31,7 @@
 def change_south(made: Any, status: EndpointStatus) -> None:
     """Deliver a second list update, in which all servers of the south have this status."""
     changed = [replace(entry(i, zone=1), state=status) for i in SOUTHERN_SERVERS]
-    made.do(list_update(*changed, kind=ListUpdateKind.CHANGES, version=2))
+    made.handle_events(list_update(*changed, kind=ListUpdateKind.CHANGES, version=2))
 
 
 def region(endpoint: int | None) -> str:
@@ -75,7 +75,7 @@
         assert region(ask(made, request, "south", "north")) == "north"
         made.begin(request)
     back = [replace(entry(i, zone=1), started_ms=made.now) for i in SOUTHERN_SERVERS]
-    made.do(list_update(*back, kind=ListUpdateKind.CHANGES, version=3))
+    made.handle_events(list_update(*back, kind=ListUpdateKind.CHANGES, version=3))
     found = []
     for request in range(200, 260):
         found.append(region(ask(made, request, "south", "north")))
@@ -98,9 +98,11 @@
 
 def test_a_server_of_no_known_zone_serves_no_ruled_service() -> None:
     made = gateway()
-    made.do(list_update(*(entry(i, zone=7) for i in SOUTHERN_SERVERS), kind=ListUpdateKind.CHANGES, version=2))
+    made.handle_events(
+        list_update(*(entry(i, zone=7) for i in SOUTHERN_SERVERS), kind=ListUpdateKind.CHANGES, version=2)
+    )
     assert ask(made, 100, "south") is None
-    made.do(list_update(entry(5, zone=1), kind=ListUpdateKind.CHANGES, version=3))
+    made.handle_events(list_update(entry(5, zone=1), kind=ListUpdateKind.CHANGES, version=3))
     assert ask(made, 101, "south") == 5
 
 
@@ -112,5 +114,7 @@
     assert made.balancer.connections_outside_regions() == []
     made.balancer.orders[103] = ("north",)
     assert made.balancer.connections_outside_regions() == [103]
-    made.do(list_update(entry(4, zone=7), entry(5, zone=7), entry(6, zone=7), kind=ListUpdateKind.CHANGES, version=2))
+    made.handle_events(
+        list_update(entry(4, zone=7), entry(5, zone=7), entry(6, zone=7), kind=ListUpdateKind.CHANGES, version=2)
+    )
     assert len(made.balancer.connections_outside_regions()) == 10  # their zone changed in the list
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -50,7 +50,7 @@
 def test_however_often_it_failed_a_list_is_asked_for_within_a_second(seed: int) -> None:
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=60000), seed=seed)
     for failed in range(30):
-        gateway.do(list_update(kind=ListUpdateKind.FAILED))
+        gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
         most = to_ms(MOST_WAIT if failed else FIRST_WAIT)
         assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(most)), failed
 
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -48,7 +48,7 @@
     homes = {key: before.ask(key, key=key) for key in range(100, 103)}
     after = Gateway(endpoints=0)
     lost = homes[100]
-    after.do(list_update(*(entry(i) for i in range(1, 7) if i != lost)))
+    after.handle_events(list_update(*(entry(i) for i in range(1, 7) if i != lost)))
     for key, home in homes.items():
         now = after.ask(key, key=key)
         assert now == home if home != lost else now != home
@@ -85,7 +85,7 @@
     gateway.end(1, outcome, final=True)
     gateway.ask(2, group=3)
     gateway.begin(2)
-    gateway.do(LoadReported(2, gateway.at[2], 900.0))
+    gateway.handle_events(LoadReported(2, gateway.at[2], 900.0))
     gateway.end(2, outcome, final=True)
     gateway.end(2, outcome, final=True)  # told twice: nothing more
     for endpoint in gateway.balancer.ready.values():
@@ -98,9 +98,9 @@
 
 def test_a_connection_open_at_the_start_counts_and_is_not_sent() -> None:
     gateway = Gateway()
-    assert not sends(gateway.do(ConnectionRestored(9, 3, 0, 0, 0.0, 0, 5)))
+    assert not sends(gateway.handle_events(ConnectionRestored(9, 3, 0, 0, 0.0, 0, 5)))
     assert gateway.balancer.endpoints[3].load > 0
-    gateway.do(AttemptEnded(9, Outcome.OK, 3, 0, True, 10.0))
+    gateway.handle_events(AttemptEnded(9, Outcome.OK, 3, 0, True, 10.0))
     assert gateway.balancer.endpoints[3].load == pytest.approx(0)
 
 
@@ -108,14 +108,16 @@
     gateway = Gateway()
     home = gateway.ask(1, key=42)
     assert home is not None
-    gateway.do(list_update(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
+    gateway.handle_events(
+        list_update(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2)
+    )
     assert gateway.ask(2, key=42) not in (home, None)
 
 
 def test_a_stale_change_of_the_list_is_passed_over() -> None:
     gateway = Gateway()
-    gateway.do(list_update(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
-    gateway.do(list_update(entry(1), kind=ListUpdateKind.CHANGES, version=4))
+    gateway.handle_events(list_update(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
+    gateway.handle_events(list_update(entry(1), kind=ListUpdateKind.CHANGES, version=4))
     assert 1 not in gateway.balancer.ready
 
 
@@ -123,7 +125,7 @@
     gateway = Gateway(endpoints=0)
     assert gateway.ask(1) is None
     gateway.wait(500)
-    gateway.do(list_update(entry(8)))
+    gateway.handle_events(list_update(entry(8)))
     assert [s.endpoint for s in sends(gateway.wait(200))] == [8]
 
 
@@ -142,7 +144,7 @@
         due, token = min(gateway.wakes)
         gateway.wakes.remove((due, token))
         gateway.now = max(gateway.now + 0.002, due - 0.0004)
-        gateway.do(TimerFired(token))
+        gateway.handle_events(TimerFired(token))
         if any(isinstance(a, (Reject, Fail)) for a in gateway.actions):
             break
     assert 2199 < gateway.now <= 2200 + SETTINGS.answer_slack_ms
@@ -156,7 +158,7 @@
         gateway.connect(1, key=number)
     young = [entry(i, started=1000.0) for i in (1, 2, 3)]
     for gateway in gateways:
-        gateway.do(list_update(*young, kind=ListUpdateKind.CHANGES, version=2))
+        gateway.handle_events(list_update(*young, kind=ListUpdateKind.CHANGES, version=2))
     sent = 0
     for step in range(20):  # the first two seconds, in a storm of five returns a gateway
         for number, gateway in enumerate(gateways):
@@ -215,7 +217,7 @@
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=4000))
     assert sum(isinstance(a, WatchEndpoints) for a in gateway.actions) == 1
     for _ in range(8):
-        gateway.do(list_update(kind=ListUpdateKind.FAILED))
+        gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
         assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(4000))
     assert gateway.ask(1) is not None  # the list it had still serves
 
@@ -227,7 +229,7 @@
         gateway.connect(request, key=request)
     home = gateway.at[1]
     held = len(gateway.balancer.endpoints[home].connections)
-    gateway.do(*(AttemptEnded(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
+    gateway.handle_events(*(AttemptEnded(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
     request = 100
     while gateway.balancer.endpoints[home].connect_failures < 2 and request < 1000:
         request += 1
@@ -236,7 +238,7 @@
             assert gateway.at[request] != home
             gateway.wait(1100)
         if gateway.tries[request] and gateway.balancer.requests.get(request):
-            gateway.do(
+            gateway.handle_events(
                 AttemptEnded(request, Outcome.OK, gateway.at[request], gateway.tries[request] - 1, True, 1)
             )
     gateway.wait(10000)
@@ -261,7 +263,9 @@
     assert home is not None
     gateway.end(1, Outcome.CONNECT_FAILED)
     assert gateway.ask(2, key=42) != home
-    gateway.do(list_update(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
+    gateway.handle_events(
+        list_update(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2)
+    )
     assert gateway.ask(3, key=42) == home
 
 
@@ -419,7 +423,7 @@
 
 def test_a_cold_server_is_let_in_slowly_even_in_a_storm() -> None:
     gateway = filled()
-    gateway.do(list_update(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
+    gateway.handle_events(list_update(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     for request in range(1000, 1100):
         gateway.ask(request, key=request)
         gateway.wait(10)
@@ -432,7 +436,7 @@
 
 def test_home_zone_first_where_crossing_costs_and_abroad_when_home_is_strained() -> None:
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), endpoints=0)
-    gateway.do(list_update(*(entry(i, zone=i % 2) for i in range(1, 7))))
+    gateway.handle_events(list_update(*(entry(i, zone=i % 2) for i in range(1, 7))))
     assert all(gateway.connect(r, key=r, load=1000.0) % 2 == 0 for r in range(1, 31))
     gateway.wait(2000)
     for endpoint in (2, 4, 6):
@@ -447,7 +451,7 @@
         gateway.connect(request, group=1, load=1000.0)  # while there is room nobody is turned away
     gateway.wait(2000)
     gateway.delay(1, 500)
-    gateway.do(request_arrived(50))
+    gateway.handle_events(request_arrived(50))
     assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.wait(300))
 
 
@@ -455,7 +459,7 @@
     gateway = Gateway()
     gateway.ask(1)
     gateway.end(1, Outcome.ERROR, final=True)
-    gateway.do(
+    gateway.handle_events(
         ClientDisconnected(1),
         TimerFired(0),
         AttemptEstablished(1, 2, 5.0, 0),
@@ -470,7 +474,9 @@
     gateway = Gateway()
     for round_ in range(200):
         endpoint = 100 + round_
-        gateway.do(list_update(*(entry(i) for i in range(1, 6)), entry(endpoint), version=round_ + 2))
+        gateway.handle_events(
+            list_update(*(entry(i) for i in range(1, 6)), entry(endpoint), version=round_ + 2)
+        )
         for request in range(round_ * 20 + 1, round_ * 20 + 21):
             gateway.connect(request, group=request, key=request)
             gateway.end(request, Outcome.OK, final=True)
@@ -535,7 +541,7 @@
         gateway.connect(request)
     endpoint = gateway.ask(50, key=7)
     assert endpoint is not None
-    gateway.do(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
+    gateway.handle_events(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
     assert not gateway.balancer.outliers.failing
     gateway.end(50, Outcome.TIMEOUT, took=300.0)
     assert len(gateway.balancer.outliers.failing) == 1
@@ -566,7 +572,7 @@
 def test_a_small_home_zone_is_not_filled_beyond_the_fleets_mean() -> None:
     """One server at home, four elsewhere: the other gateway's clients can't fill those four alone."""
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.01), endpoints=0)
-    gateway.do(list_update(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
+    gateway.handle_events(list_update(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
     for request in range(1, 61):
         gateway.connect(request, key=request)
     home = sum(endpoint == 1 for endpoint in gateway.at.values())
@@ -605,11 +611,11 @@
     standing = {r for r, endpoint in gateway.at.items() if endpoint == out}
     late = next(r for r in range(31, 99) if gateway.ask(r, key=r) == out)
     for _ in range(2):
-        gateway.do(EndpointDetached(out))
+        gateway.handle_events(EndpointDetached(out))
     gateway.begin(late)  # its attempt was under way
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) < len(standing)
-    gateway.do(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
+    gateway.handle_events(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
     gateway.wait(1300)
     assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == standing | {late}
     assert out not in {gateway.ask(r, key=r) for r in range(100, 140)}
@@ -621,10 +627,10 @@
         for request in range(1, 31):
             gateway.connect(request, key=request)
         gateway.wait(600)
-        gateway.do(EndpointDetached(1))
+        gateway.handle_events(EndpointDetached(1))
         gateway.wait(2000)
-        gateway.do(list_update(entry(1, started=told), entry(2), entry(3), version=2))
-        gateway.do(EndpointAttached(1))
+        gateway.handle_events(list_update(entry(1, started=told), entry(2), entry(3), version=2))
+        gateway.handle_events(EndpointAttached(1))
         endpoint = gateway.balancer.endpoints[1]
         assert endpoint.started_ms == (told or gateway.now)
         assert gateway.balancer.state.capacities.warmth(endpoint) < 0.5
@@ -642,7 +648,9 @@
     gateway = Gateway(endpoints=3)
     gateway.ask(1, key=1)
     strict = replace(SETTINGS.classes[0], name="strict", deadline_ms=200)
-    gateway.do(SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1)))
+    gateway.handle_events(
+        SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1))
+    )
     gateway.end(1, Outcome.CONNECT_FAILED)
     assert gateway.tries[1] == 2
     gateway.ask(2, key=2, cls=1)
@@ -656,7 +664,7 @@
     strained = before.at[1]
     before.delay(strained, 900)
     for endpoint, ceiling in before.balancer.load_limits().items():
-        after.do(LoadLimitRestored(endpoint, ceiling))
+        after.handle_events(LoadLimitRestored(endpoint, ceiling))
     for request in range(1, 31):
         after.ask(request, group=7)
     held = after.balancer.endpoints[strained]
--- a/tests/policy/test_endpoint_registry.py
+++ b/tests/policy/test_endpoint_registry.py
@@ -42,6 +42,6 @@
 
 def test_changes_older_than_the_list_are_not_taken_up() -> None:
     gateway = Gateway(endpoints=3)
-    gateway.do(list_update(entry(1), kind=ListUpdateKind.FULL, version=9))
-    gateway.do(list_update(entry(2), kind=ListUpdateKind.CHANGES, version=8))
+    gateway.handle_events(list_update(entry(1), kind=ListUpdateKind.FULL, version=9))
+    gateway.handle_events(list_update(entry(2), kind=ListUpdateKind.CHANGES, version=8))
     assert list(gateway.balancer.ready) == [1]
--- a/tests/policy/test_many_gateways.py
+++ b/tests/policy/test_many_gateways.py
@@ -20,7 +20,7 @@
     settings = replace(SETTINGS, gateways=gateways, cross_zone_cost=0.0067)
     made = [Gateway(replace(settings, zone=g % ZONES), endpoints=0, seed=g) for g in range(gateways)]
     for gateway in made:
-        gateway.do(list_update(*(entry(s, zone=s % ZONES) for s in range(1, endpoints + 1))))
+        gateway.handle_events(list_update(*(entry(s, zone=s % ZONES) for s in range(1, endpoints + 1))))
     return made
 
 
@@ -49,7 +49,7 @@
         zone = gateway.balancer.context.settings.zone
         for key in range(1, 6):
             endpoint = gateway.connect(key, key=key + 100 * zone)
-            gateway.do(LoadReported(key, endpoint, 1.0))
+            gateway.handle_events(LoadReported(key, endpoint, 1.0))
             assert endpoint % ZONES == zone
 
 
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -23,7 +23,7 @@
     for request in range(1, standing + 1):
         gateway.connect(request, key=request)
     gateway.wait(5000)
-    gateway.do(
+    gateway.handle_events(
         list_update(
             *(replace(entry(i), state=EndpointStatus.DRAINING) for i in range(1, 6)),
             kind=ListUpdateKind.CHANGES,
@@ -34,7 +34,7 @@
         gateway.end(request, Outcome.CANCELLED, final=True)
     gateway.wait(1000)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
-    gateway.do(list_update(*fresh, kind=ListUpdateKind.FULL, version=3))
+    gateway.handle_events(list_update(*fresh, kind=ListUpdateKind.FULL, version=3))
 
 
 def placed(gateway: Gateway, clients: int, rounds: int) -> int:
@@ -63,7 +63,7 @@
 def test_a_gateway_that_starts_while_all_are_cold_serves_those_that_wait() -> None:
     gateway = Gateway(COLD, endpoints=0)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
-    gateway.do(list_update(*fresh))
+    gateway.handle_events(list_update(*fresh))
     assert placed(gateway, 46, rounds=12) >= 30
 
 
@@ -73,9 +73,11 @@
     gateway = Gateway(replace(COLD, gateways=20, classes=(slow,)), endpoints=5)
     for request in range(1, 21):
         gateway.connect(request, key=request)
-    gateway.do(list_update(*(replace(entry(i), started_ms=gateway.now) for i in range(1, 6)), version=2))
+    gateway.handle_events(
+        list_update(*(replace(entry(i), started_ms=gateway.now) for i in range(1, 6)), version=2)
+    )
     for request in range(100, 140):
-        gateway.do(request_arrived(request, key=request, remaining_ms=60000))
+        gateway.handle_events(request_arrived(request, key=request, remaining_ms=60000))
     held = 60 / 5  # those that wait need a place too
     for second in range(10):
         warmth = (
--- a/tests/policy/test_slow_start_of_all_gateways.py
+++ b/tests/policy/test_slow_start_of_all_gateways.py
@@ -82,7 +82,7 @@
             for gateway in self.fleet:
                 gateway.now = self.begun
         for gateway in self.fleet:
-            gateway.do(list_update(*news, kind=ListUpdateKind.FULL, version=2))
+            gateway.handle_events(list_update(*news, kind=ListUpdateKind.FULL, version=2))
         for n in () if gateways_too else lost:
             at, _ = self.where[n]
             self.fleet[at].end(n, Outcome.RESET, final=True)
@@ -168,9 +168,9 @@
     for seed in (1, 2, 3, 4):
         crowd = Crowd(gateways, COLD, seed)
         for gateway in crowd.fleet:
-            gateway.do(EndpointDetached(1))
+            gateway.handle_events(EndpointDetached(1))
             gateway.wait(5000)
-            gateway.do(EndpointAttached(1))
+            gateway.handle_events(EndpointAttached(1))
         crowd.begun = crowd.fleet[0].now
         sent = crowd.play([], rate=4.0)
         assert held_to(crowd, sent, range(1, 2)) > 0
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -129,7 +129,9 @@
     seen: dict[str, set[int]] = {"127.0.0.1": set(), "10.0.0.1": set()}
     for request in range(1, 200):
         source = "127.0.0.1" if request % 2 else "10.0.0.1"
-        world.do(RequestArrived(request, 0, 0, request, 1200, 0.0, 0, connection_info=ConnectionInfo(source)))
+        world.handle_events(
+            RequestArrived(request, 0, 0, request, 1200, 0.0, 0, connection_info=ConnectionInfo(source))
+        )
         seen[source].add(world.at[request])
     assert seen["127.0.0.1"] == {1, 2}
     assert seen["10.0.0.1"] == {3, 4, 5}
@@ -138,7 +140,7 @@
 def test_a_request_without_a_pool_is_refused_at_once_with_a_time() -> None:
     world = gateway(MAIN, default="")
     world.balancer.routing = Routing(RouteTable((), ""), (MAIN,))
-    (refusal,) = world.do(request_arrived(1))
+    (refusal,) = world.handle_events(request_arrived(1))
     assert isinstance(refusal, Reject)
     assert 0 < refusal.retry_after_ms <= RULES.max_retry_after_ms
     assert not world.balancer.locations
@@ -146,7 +148,7 @@
 
 def test_backups_stay_idle_while_one_primary_is_fit() -> None:
     world = gateway(MAIN)
-    world.do(
+    world.handle_events(
         list_update(
             entry(1, EndpointStatus.GONE),
             entry(2, EndpointStatus.GONE),
@@ -161,14 +163,14 @@
     """Primaries that come back are cold: they get by lot what they are warm enough for, not all at once."""
     world = gateway(MAIN)
     assert {world.connect(r, key=r) for r in range(1, 60)} == {1, 2, 3}
-    world.do(
+    world.handle_events(
         list_update(
             *(entry(i, EndpointStatus.GONE) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=2
         )
     )
     assert {world.connect(r, key=r) for r in range(100, 160)} == {4, 5}
     back = world.now
-    world.do(
+    world.handle_events(
         list_update(*(entry(i, started=back) for i in (1, 2, 3)), kind=ListUpdateKind.CHANGES, version=3)
     )
     parts = []
@@ -207,7 +209,7 @@
     world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     world.ask(1, key=1)
     world.end(1, Outcome.CONNECT_FAILED)
-    (cancel,) = [a for a in world.do(ClientDisconnected(1)) if isinstance(a, Cancel)]
+    (cancel,) = [a for a in world.handle_events(ClientDisconnected(1)) if isinstance(a, Cancel)]
     assert cancel.attempt == 1
 
 
@@ -226,9 +228,11 @@
 
 def test_backups_in_order_stand_in_one_after_another() -> None:
     world = gateway(Pool("main", (names(1), names(2), names(3))), endpoints=3)
-    world.do(list_update(entry(1, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
+    world.handle_events(
+        list_update(entry(1, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2)
+    )
     assert {world.connect(r, key=r) for r in range(1, 20)} == {2}
-    world.do(EndpointDetached(2))
+    world.handle_events(EndpointDetached(2))
     assert {world.connect(r, key=r) for r in range(20, 40)} == {3}
 
 
@@ -237,44 +241,44 @@
     for request in range(1, 6):
         world.connect(request, key=request)
     assert Counter(world.at.values())[1] <= 2
-    assert [type(a) for a in world.do(request_arrived(6))] == [Reject]
+    assert [type(a) for a in world.handle_events(request_arrived(6))] == [Reject]
     world.end(1, Outcome.OK, final=True)
     assert world.connect(7) in (1, 2)
     small = gateway(Pool("main", (names(1, 2),), server_limits={"1": 1, "2": 1}), endpoints=2)
     assert {small.connect(1, key=1), small.connect(2, key=2)} == {1, 2}
-    assert [type(a) for a in small.do(request_arrived(3)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in small.handle_events(request_arrived(3)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_a_drained_server_takes_nothing_new_and_keeps_what_it_has() -> None:
     world = gateway(Pool("main", (names(1, 2),), drained=names(1)), endpoints=2)
-    world.do(ConnectionRestored(50, 1, 0, 0, 0.0, 0, 5))
+    world.handle_events(ConnectionRestored(50, 1, 0, 0, 0.0, 0, 5))
     assert {world.connect(r, key=r) for r in range(1, 30)} == {2}
     assert not [a for a in world.actions if isinstance(a, Migrate)]
 
 
 def test_with_nobody_left_in_any_tier_the_answer_comes_at_once() -> None:
     world = gateway(MAIN, endpoints=5)
-    world.do(
+    world.handle_events(
         list_update(
             *(entry(i, EndpointStatus.GONE) for i in range(1, 6)), kind=ListUpdateKind.CHANGES, version=2
         )
     )
-    assert [type(a) for a in world.do(request_arrived(1)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in world.handle_events(request_arrived(1)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_before_the_first_list_a_request_waits_for_it() -> None:
     world = gateway(MAIN, endpoints=0)
-    assert not [a for a in world.do(request_arrived(1)) if isinstance(a, (Reject, Fail, Send))]
-    world.do(list_update(entry(1)))
+    assert not [a for a in world.handle_events(request_arrived(1)) if isinstance(a, (Reject, Fail, Send))]
+    world.handle_events(list_update(entry(1)))
     assert sends(world.wait(500))
 
 
 def test_the_list_is_asked_for_once_whatever_the_number_of_pools() -> None:
     world = Gateway(RULES, 0, balancer=pooled(MAIN, Pool("more", (names(6),)), must_watch_endpoints=True))
-    world.do(list_update(entry(1)))
+    world.handle_events(list_update(entry(1)))
     assert [type(a) for a in world.actions].count(WatchEndpoints) == 1
     before = len(world.actions)
-    world.do(list_update(kind=ListUpdateKind.FAILED))
+    world.handle_events(list_update(kind=ListUpdateKind.FAILED))
     world.wait(2000)
     assert [type(a) for a in world.actions[before:]].count(WatchEndpoints) == 1
 
@@ -283,7 +287,7 @@
     world = gateway(Pool("main", (names(1, 2, 3),), attempts=1))
     world.ask(1, key=1)
     assert [type(a) for a in world.end(1, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
-    world.do(SettingsChanged(replace(RULES, max_attempts=2)))
+    world.handle_events(SettingsChanged(replace(RULES, max_attempts=2)))
     world.ask(2, key=2)
     assert [type(a) for a in world.end(2, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
 
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -50,7 +50,7 @@
     one.end(1, Outcome.CONNECT_FAILED)
     assert one.at[1] == 4
     one.begin(1)
-    one.do(
+    one.handle_events(
         list_update(
             entry(1, EndpointStatus.GONE),
             entry(4, EndpointStatus.GONE),
@@ -58,7 +58,7 @@
             version=2,
         )
     )
-    assert [type(a) for a in one.do(request_arrived(2)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in one.handle_events(request_arrived(2)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_what_a_client_knows_of_the_roster_is_known_over_all_pools() -> None:
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -98,9 +98,9 @@
         self.at: dict[int, int] = {}  # request -> server of its last send
         self.tries: dict[int, int] = {}
         if endpoints:
-            self.do(list_update(*(entry(i) for i in range(1, endpoints + 1))))
+            self.handle_events(list_update(*(entry(i) for i in range(1, endpoints + 1))))
 
-    def do(self, *events: Event) -> list[Action]:
+    def handle_events(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, ScheduleTimer):
@@ -118,17 +118,17 @@
             first = min(due)
             self.wakes.remove(first)
             self.now = max(self.now, first[0])
-            self.do(TimerFired(first[1]))
+            self.handle_events(TimerFired(first[1]))
         self.now = until
         return self.actions[done:]
 
     def ask(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
         """A new request; the server it was sent to."""
-        self.do(request_arrived(request, group=group, key=key, cls=cls))
+        self.handle_events(request_arrived(request, group=group, key=key, cls=cls))
         return self.at.get(request)
 
     def begin(self, request: int, took: float = 20.0) -> None:
-        self.do(AttemptEstablished(request, self.at[request], took, self.tries[request] - 1))
+        self.handle_events(AttemptEstablished(request, self.at[request], took, self.tries[request] - 1))
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
         """A connection that stands, with its load told."""
@@ -136,15 +136,17 @@
         assert endpoint is not None
         self.begin(request)
         if load:
-            self.do(LoadReported(request, endpoint, load))
+            self.handle_events(LoadReported(request, endpoint, load))
         return endpoint
 
     def end(self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0) -> list[Action]:
-        return self.do(AttemptEnded(request, outcome, self.at[request], self.tries[request] - 1, final, took))
+        return self.handle_events(
+            AttemptEnded(request, outcome, self.at[request], self.tries[request] - 1, final, took)
+        )
 
     def delay(self, endpoint: int, ms: float) -> list[Action]:
         held = next(iter(self.balancer.endpoints[endpoint].connections), 0)
-        return self.do(LatencyReported(held, endpoint, ms))
+        return self.handle_events(LatencyReported(held, endpoint, ms))
 
 
 @dataclass
