--- a/packages/residency/tests/test_regional.py
+++ b/packages/residency/tests/test_regional.py
@@ -24,7 +24,7 @@
 
 def ask(made: Any, request: int, *order: str, key: int = 0) -> int | None:
     made.balancer.orders[request] = order
-    endpoint: int | None = made.ask(request, key=key or request)
+    endpoint: int | None = made.submit(request, key=key or request)
     return endpoint
 
 
@@ -41,7 +41,7 @@
 def test_a_ruled_request_goes_to_the_first_allowed_region_and_others_anywhere() -> None:
     made = gateway()
     assert {region(ask(made, r, "south", "north")) for r in range(100, 160)} == {"south"}
-    assert {region(made.ask(r, key=r)) for r in range(200, 260)} == {"north", "south", "east"}
+    assert {region(made.submit(r, key=r)) for r in range(200, 260)} == {"north", "south", "east"}
 
 
 def test_load_in_a_region_is_bounded_among_its_own_servers() -> None:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -38,19 +38,19 @@
 
 def test_gateways_agree_on_homes_whatever_their_seed() -> None:
     one, two = Gateway(seed=1), Gateway(seed=2)
-    homes = [(one.ask(r, key=r * 7919), two.ask(r, key=r * 7919)) for r in range(1, 7)]
+    homes = [(one.submit(r, key=r * 7919), two.submit(r, key=r * 7919)) for r in range(1, 7)]
     assert all(a == b for a, b in homes)
     assert len({a for a, _ in homes}) > 2
 
 
 def test_a_server_that_goes_moves_only_its_own_keys() -> None:
     before = Gateway()
-    homes = {key: before.ask(key, key=key) for key in range(100, 103)}
+    homes = {key: before.submit(key, key=key) for key in range(100, 103)}
     after = Gateway(endpoints=0)
     lost = homes[100]
     after.handle_events(list_update(*(entry(i) for i in range(1, 7) if i != lost)))
     for key, home in homes.items():
-        now = after.ask(key, key=key)
+        now = after.submit(key, key=key)
         assert now == home if home != lost else now != home
 
 
@@ -69,7 +69,7 @@
     placed = Counter(gateway.connect(r, group=77) for r in range(1000, 1040))
     assert len(placed) < 6
     fresh = Gateway()
-    assert fresh.ask(1, group=77) in placed
+    assert fresh.submit(1, group=77) in placed
 
 
 def test_near_empty_counts_keep_keys_at_home() -> None:
@@ -81,9 +81,9 @@
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o != Outcome.OK])
 def test_the_ledger_is_even_after_every_way_an_attempt_can_end(outcome: Outcome) -> None:
     gateway = Gateway()
-    gateway.ask(1, group=3)
+    gateway.submit(1, group=3)
     gateway.end(1, outcome, final=True)
-    gateway.ask(2, group=3)
+    gateway.submit(2, group=3)
     gateway.begin(2)
     gateway.handle_events(LoadReported(2, gateway.at[2], 900.0))
     gateway.end(2, outcome, final=True)
@@ -106,12 +106,12 @@
 
 def test_a_draining_server_gets_nothing_new() -> None:
     gateway = Gateway()
-    home = gateway.ask(1, key=42)
+    home = gateway.submit(1, key=42)
     assert home is not None
     gateway.handle_events(
         list_update(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2)
     )
-    assert gateway.ask(2, key=42) not in (home, None)
+    assert gateway.submit(2, key=42) not in (home, None)
 
 
 def test_a_stale_change_of_the_list_is_passed_over() -> None:
@@ -123,7 +123,7 @@
 
 def test_with_no_server_a_request_waits_and_goes_to_the_first_that_appears() -> None:
     gateway = Gateway(endpoints=0)
-    assert gateway.ask(1) is None
+    assert gateway.submit(1) is None
     gateway.wait(500)
     gateway.handle_events(list_update(entry(8)))
     assert [s.endpoint for s in sends(gateway.wait(200))] == [8]
@@ -131,7 +131,7 @@
 
 def test_with_no_server_ever_it_is_answered_in_time() -> None:
     gateway = Gateway(endpoints=0)
-    gateway.ask(1)
+    gateway.submit(1)
     answers = [a for a in gateway.wait(1200) if isinstance(a, (Reject, Fail))]
     assert len(answers) == 1
 
@@ -139,7 +139,7 @@
 def test_a_wake_that_comes_a_hair_early_is_not_the_last() -> None:
     """Clocks round: a deadline slept through leaves a request without its answer."""
     gateway = Gateway(endpoints=0)
-    gateway.ask(1)
+    gateway.submit(1)
     for _ in range(100):
         due, token = min(gateway.wakes)
         gateway.wakes.remove((due, token))
@@ -164,7 +164,7 @@
         for number, gateway in enumerate(gateways):
             gateway.wait(100)
             if (number + step) % 4 == 0:
-                sent += gateway.ask(1000 + step, key=number * 31 + step) in (1, 2, 3)
+                sent += gateway.submit(1000 + step, key=number * 31 + step) in (1, 2, 3)
                 if 1000 + step in gateway.at:
                     gateway.end(1000 + step, Outcome.OK, final=True)
     held, s = 40.0, SETTINGS
@@ -204,7 +204,7 @@
     gateway.wait(2000)
     tried = set()
     for request in range(500, 560):
-        endpoint = gateway.ask(request, group=1)
+        endpoint = gateway.submit(request, group=1)
         if endpoint is not None:
             tried.add(endpoint)
             gateway.balancer.endpoints[endpoint].load_limit = 0.0
@@ -219,7 +219,7 @@
     for _ in range(8):
         gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
         assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(4000))
-    assert gateway.ask(1) is not None  # the list it had still serves
+    assert gateway.submit(1) is not None  # the list it had still serves
 
 
 def test_a_silent_server_is_skipped_and_its_connections_are_moved() -> None:
@@ -233,7 +233,7 @@
     request = 100
     while gateway.balancer.endpoints[home].connect_failures < 2 and request < 1000:
         request += 1
-        if gateway.ask(request, key=request) == home:
+        if gateway.submit(request, key=request) == home:
             gateway.end(request, Outcome.CONNECT_FAILED)
             assert gateway.at[request] != home
             gateway.wait(1100)
@@ -254,47 +254,47 @@
     home = gateway.at[1]
     for request in [r for r, s in gateway.at.items() if s == home]:
         gateway.end(request, Outcome.RESET, final=True)
-    assert all(gateway.ask(r, key=r) != home for r in range(100, 130))
+    assert all(gateway.submit(r, key=r) != home for r in range(100, 130))
 
 
 def test_a_restarted_server_is_trusted_again() -> None:
     gateway = Gateway(replace(SETTINGS, slow_start_ms=0.0))
-    home = gateway.ask(1, key=42)
+    home = gateway.submit(1, key=42)
     assert home is not None
     gateway.end(1, Outcome.CONNECT_FAILED)
-    assert gateway.ask(2, key=42) != home
+    assert gateway.submit(2, key=42) != home
     gateway.handle_events(
         list_update(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2)
     )
-    assert gateway.ask(3, key=42) == home
+    assert gateway.submit(3, key=42) == home
 
 
 def test_when_all_servers_fail_the_ring_still_serves() -> None:
     gateway = Gateway(endpoints=3)
     for request in range(1, 13):
-        gateway.ask(request, key=request)
+        gateway.submit(request, key=request)
         gateway.end(request, Outcome.CONNECT_FAILED, final=True)
-    assert gateway.ask(50, key=50) is not None
+    assert gateway.submit(50, key=50) is not None
 
 
 def test_set_ups_failing_everywhere_are_not_held_against_servers_and_do_not_storm() -> None:
     """A slow shared store: nobody is suspected for it, and fewer set-ups are let out at once."""
     gateway = Gateway()
     for request in range(1, 25):
-        gateway.ask(request, key=request * 31)
+        gateway.submit(request, key=request * 31)
     gateway.wait(300)
     for request in range(1, 25):
         gateway.end(request, Outcome.TIMEOUT, took=300.0)
     assert sum(s.is_avoided(gateway.now) for s in gateway.balancer.ready.values()) <= 3
     assert all(s.load_limit == float("inf") for s in gateway.balancer.ready.values())
     for request in range(100, 200):
-        gateway.ask(request, key=request)
+        gateway.submit(request, key=request)
     assert gateway.balancer.state.loads.pending_attempts < 50
 
 
 def test_tries_are_not_used_up_within_moments() -> None:
     gateway = Gateway()
-    gateway.ask(1)
+    gateway.submit(1)
     for _ in range(3):
         if gateway.balancer.requests[1].in_progress:
             gateway.end(1, Outcome.ERROR)
@@ -320,7 +320,7 @@
         moves += [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
     assert 0 < len(moves) < before
     assert {gateway.at[a.request] for a in moves} == {home}
-    assert all(gateway.ask(r, key=r) != home for r in range(500, 520))
+    assert all(gateway.submit(r, key=r) != home for r in range(500, 520))
 
 
 def test_a_server_that_drains_what_piled_up_is_not_cut_again() -> None:
@@ -347,7 +347,7 @@
         if gateway.balancer.requests.get(request) and gateway.balancer.requests[request].answered:
             gateway.end(request, Outcome.CANCELLED, final=True)
     for request in range(1000, 1200):
-        gateway.ask(request, key=request)
+        gateway.submit(request, key=request)
     refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]
     assert refused
 
@@ -362,7 +362,7 @@
             gateway.delay(endpoint, 500)
         gateway.wait(1000)
     for request in range(1000, 1020):
-        gateway.ask(request, key=request)
+        gateway.submit(request, key=request)
     refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]  # their time would be up at 1200
     assert len(refused) > 2
     assert all(min(longest, 500) <= a.retry_after_ms <= longest for a in refused)
@@ -381,14 +381,14 @@
     endpoint.load_limit = 0.25 * gateway.balancer.state.loads.mean_load
     entered = 0
     for request in range(500, 700):
-        if gateway.ask(request, key=request) == home:
+        if gateway.submit(request, key=request) == home:
             entered += 1
         if request in gateway.at:
             gateway.end(request, Outcome.OK, final=True)
     gateway.balancer.endpoints[home].load_limit = float("inf")
     open_to_all = 0
     for request in range(700, 900):
-        if gateway.ask(request, key=request - 200) == home:
+        if gateway.submit(request, key=request - 200) == home:
             open_to_all += 1
         if request in gateway.at:
             gateway.end(request, Outcome.OK, final=True)
@@ -415,7 +415,7 @@
     sent = 0
     for request in range(500, 560):
         gateway.wait(1000)
-        if gateway.ask(request, key=request) == home:
+        if gateway.submit(request, key=request) == home:
             sent += 1
             gateway.end(request, Outcome.FULL)
     assert sent < 30
@@ -425,11 +425,11 @@
     gateway = filled()
     gateway.handle_events(list_update(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     for request in range(1000, 1100):
-        gateway.ask(request, key=request)
+        gateway.submit(request, key=request)
         gateway.wait(10)
     assert sum(gateway.at.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL_LOAD_MULTIPLE
     for request in range(2000, 2400):
-        gateway.ask(request, key=request)
+        gateway.submit(request, key=request)
         gateway.wait(50)
     assert sum(gateway.at.get(r) == 9 for r in range(2000, 2400)) > 5
 
@@ -442,7 +442,7 @@
     for endpoint in (2, 4, 6):
         gateway.delay(endpoint, 500)
     gateway.wait(1000)
-    assert any((gateway.ask(r, key=r) or 0) % 2 for r in range(100, 140))
+    assert any((gateway.submit(r, key=r) or 0) % 2 for r in range(100, 140))
 
 
 def test_a_tenant_over_its_share_is_turned_away_first_when_servers_are_full() -> None:
@@ -457,7 +457,7 @@
 
 def test_events_of_what_is_unknown_or_over_change_nothing() -> None:
     gateway = Gateway()
-    gateway.ask(1)
+    gateway.submit(1)
     gateway.end(1, Outcome.ERROR, final=True)
     gateway.handle_events(
         ClientDisconnected(1),
@@ -516,7 +516,7 @@
     for outcome in (Outcome.ERROR, Outcome.RESET):
         for request in range(1, 9):
             number = request + 100 * outcome
-            gateway.ask(number, key=request)
+            gateway.submit(number, key=request)
             for _ in range(4):
                 gateway.end(number, outcome)
                 gateway.wait(200)
@@ -525,7 +525,7 @@
 
 def test_a_server_that_fails_what_others_serve_is_left_out() -> None:
     gateway = Gateway(endpoints=4)
-    first = gateway.ask(1, key=7)
+    first = gateway.submit(1, key=7)
     assert first is not None
     gateway.end(1, Outcome.RESET)
     assert not gateway.balancer.outliers.failing
@@ -539,7 +539,7 @@
     gateway = Gateway(endpoints=4)
     for request in range(1, 40):
         gateway.connect(request)
-    endpoint = gateway.ask(50, key=7)
+    endpoint = gateway.submit(50, key=7)
     assert endpoint is not None
     gateway.handle_events(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
     assert not gateway.balancer.outliers.failing
@@ -559,7 +559,7 @@
     for endpoint in strained:
         gateway.delay(endpoint, 400)
     asked_at, request = gateway.now, 100
-    while gateway.ask(request, group=9) in strained | {None} and gateway.now < asked_at + 5000:
+    while gateway.submit(request, group=9) in strained | {None} and gateway.now < asked_at + 5000:
         gateway.wait(250)
         for endpoint in strained:
             if gateway.balancer.endpoints[endpoint].connections:
@@ -609,7 +609,7 @@
         gateway.connect(request, key=request)
     out = gateway.at[1]
     standing = {r for r, endpoint in gateway.at.items() if endpoint == out}
-    late = next(r for r in range(31, 99) if gateway.ask(r, key=r) == out)
+    late = next(r for r in range(31, 99) if gateway.submit(r, key=r) == out)
     for _ in range(2):
         gateway.handle_events(EndpointDetached(out))
     gateway.begin(late)  # its attempt was under way
@@ -618,7 +618,7 @@
     gateway.handle_events(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
     gateway.wait(1300)
     assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == standing | {late}
-    assert out not in {gateway.ask(r, key=r) for r in range(100, 140)}
+    assert out not in {gateway.submit(r, key=r) for r in range(100, 140)}
 
 
 def test_a_server_put_back_is_cold_and_gets_the_next_connection_that_it_may() -> None:
@@ -634,26 +634,26 @@
         endpoint = gateway.balancer.endpoints[1]
         assert endpoint.started_ms == (told or gateway.now)
         assert gateway.balancer.state.capacities.warmth(endpoint) < 0.5
-        first = next(r for r in range(100, 130) if gateway.ask(r, key=r) == 1 or gateway.wait(100) is None)
+        first = next(r for r in range(100, 130) if gateway.submit(r, key=r) == 1 or gateway.wait(100) is None)
         gateway.begin(first)
         assert first < 120
         assert not gateway.balancer.state.slow_start.reattached_ms
         before = len(sends(gateway.actions))
         for request in range(200, 230):  # all at once: rule 4 holds for it as for any cold one
-            gateway.ask(request, key=request)
+            gateway.submit(request, key=request)
         assert sum(s.endpoint == 1 for s in sends(gateway.actions)[before:]) <= 2
 
 
 def test_retuning_leaves_open_requests_their_rules_and_attempts() -> None:
     gateway = Gateway(endpoints=3)
-    gateway.ask(1, key=1)
+    gateway.submit(1, key=1)
     strict = replace(SETTINGS.classes[0], name="strict", deadline_ms=200)
     gateway.handle_events(
         SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1))
     )
     gateway.end(1, Outcome.CONNECT_FAILED)
     assert gateway.tries[1] == 2
-    gateway.ask(2, key=2, cls=1)
+    gateway.submit(2, key=2, cls=1)
     assert [a for a in gateway.end(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
 
 
@@ -666,6 +666,6 @@
     for endpoint, ceiling in before.balancer.load_limits().items():
         after.handle_events(LoadLimitRestored(endpoint, ceiling))
     for request in range(1, 31):
-        after.ask(request, group=7)
+        after.submit(request, group=7)
     held = after.balancer.endpoints[strained]
     assert held.load <= held.load_limit == before.balancer.endpoints[strained].load_limit
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -43,7 +43,7 @@
     for begun in range(1000, 1000 * (rounds + 1), 1000):
         asking = range(begun, begun + clients - served)
         for request in asking:
-            gateway.ask(request, key=request)
+            gateway.submit(request, key=request)
         for _ in range(28):  # their deadline and a little
             gateway.wait(50)
             for request in asking:
--- a/tests/policy/test_slow_start_of_all_gateways.py
+++ b/tests/policy/test_slow_start_of_all_gateways.py
@@ -107,7 +107,7 @@
                 before = len(gateway.actions)
                 gateway.wait(now - gateway.now)
                 for n in asks.get(i, ()):
-                    gateway.ask(n, **self.who())
+                    gateway.submit(n, **self.who())
                 for action in gateway.actions[before:]:
                     if isinstance(action, Send):
                         sent.append((now, action.endpoint))
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -30,7 +30,7 @@
 
 def test_clients_agree_on_homes_within_the_tier_that_serves() -> None:
     homes = [
-        [member(seed, replace(POOL, server_limits={})).ask(1, key=key) for key in range(1, 60)]
+        [member(seed, replace(POOL, server_limits={})).submit(1, key=key) for key in range(1, 60)]
         for seed in (1, 2)
     ]
     assert homes[0] == homes[1]
@@ -46,7 +46,7 @@
 
 def test_the_backups_serve_a_client_whose_primaries_are_gone_and_the_attempts_count_on() -> None:
     one = member(1, Pool("main", (("1",), ("4",))))
-    assert one.ask(1, key=1) == 1
+    assert one.submit(1, key=1) == 1
     one.end(1, Outcome.CONNECT_FAILED)
     assert one.at[1] == 4
     one.begin(1)
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -122,7 +122,7 @@
         self.now = until
         return self.actions[done:]
 
-    def ask(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
+    def submit(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
         """A new request; the server it was sent to."""
         self.handle_events(request_arrived(request, group=group, key=key, cls=cls))
         return self.at.get(request)
@@ -132,7 +132,7 @@
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
         """A connection that stands, with its load told."""
-        endpoint = self.ask(request, group=group, key=key)
+        endpoint = self.submit(request, group=group, key=key)
         assert endpoint is not None
         self.begin(request)
         if load:
