--- a/packages/residency/tests/test_regional.py
+++ b/packages/residency/tests/test_regional.py
@@ -49,7 +49,7 @@
     for request in range(100, 190):
         endpoint = ask(made, request, "south")
         assert endpoint is not None
-        made.begin(request)
+        made.establish(request)
     counts = [len(made.balancer.endpoints[i].connections) for i in SOUTHERN_SERVERS]
     assert sum(counts) == 90
     assert max(counts) <= 1.5 * 30
@@ -59,11 +59,11 @@
     made = gateway()
     for request in range(100, 130):
         if region(ask(made, request, "south", "east")) == "south":
-            made.end(request, Outcome.CONNECT_FAILED)
+            made.end_attempt(request, Outcome.CONNECT_FAILED)
             made.wait(200)
         assert region(made.at[request]) in ("south", "east")
         if region(made.at[request]) == "east":
-            made.begin(request)
+            made.establish(request)
     assert {region(made.at[r]) for r in range(120, 130)} == {"east"}  # all of the south fail by now
     assert not {region(s) for r, s in made.at.items()} & {"north"}
 
@@ -73,13 +73,13 @@
     change_south(made, EndpointStatus.DRAINING)
     for request in range(100, 140):
         assert region(ask(made, request, "south", "north")) == "north"
-        made.begin(request)
+        made.establish(request)
     back = [replace(entry(i, zone=1), started_ms=made.now) for i in SOUTHERN_SERVERS]
     made.handle_events(list_update(*back, kind=ListUpdateKind.CHANGES, version=3))
     found = []
     for request in range(200, 260):
         found.append(region(ask(made, request, "south", "north")))
-        made.begin(request)
+        made.establish(request)
         made.wait(20)
     assert set(found) == {"south", "north"}
     made.wait(SETTINGS.slow_start_ms + 2000)
@@ -110,7 +110,7 @@
     made = gateway()
     for request in range(100, 110):
         ask(made, request, "south")
-        made.begin(request)
+        made.establish(request)
     assert made.balancer.connections_outside_regions() == []
     made.balancer.orders[103] = ("north",)
     assert made.balancer.connections_outside_regions() == [103]
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -82,12 +82,12 @@
 def test_the_ledger_is_even_after_every_way_an_attempt_can_end(outcome: Outcome) -> None:
     gateway = Gateway()
     gateway.submit(1, group=3)
-    gateway.end(1, outcome, final=True)
+    gateway.end_attempt(1, outcome, final=True)
     gateway.submit(2, group=3)
-    gateway.begin(2)
+    gateway.establish(2)
     gateway.handle_events(LoadReported(2, gateway.at[2], 900.0))
-    gateway.end(2, outcome, final=True)
-    gateway.end(2, outcome, final=True)  # told twice: nothing more
+    gateway.end_attempt(2, outcome, final=True)
+    gateway.end_attempt(2, outcome, final=True)  # told twice: nothing more
     for endpoint in gateway.balancer.ready.values():
         assert endpoint.load == pytest.approx(0)
         assert not endpoint.connections
@@ -166,7 +166,7 @@
             if (number + step) % 4 == 0:
                 sent += gateway.submit(1000 + step, key=number * 31 + step) in (1, 2, 3)
                 if 1000 + step in gateway.at:
-                    gateway.end(1000 + step, Outcome.OK, final=True)
+                    gateway.end_attempt(1000 + step, Outcome.OK, final=True)
     held, s = 40.0, SETTINGS
     warmth = s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) * 2000 / s.slow_start_ms
     held_alike = (
@@ -208,7 +208,7 @@
         if endpoint is not None:
             tried.add(endpoint)
             gateway.balancer.endpoints[endpoint].load_limit = 0.0
-            gateway.end(request, Outcome.FULL, final=True)
+            gateway.end_attempt(request, Outcome.FULL, final=True)
     assert len(tried) <= 6
     assert any(isinstance(a, Reject) for a in gateway.wait(1300))
 
@@ -234,7 +234,7 @@
     while gateway.balancer.endpoints[home].connect_failures < 2 and request < 1000:
         request += 1
         if gateway.submit(request, key=request) == home:
-            gateway.end(request, Outcome.CONNECT_FAILED)
+            gateway.end_attempt(request, Outcome.CONNECT_FAILED)
             assert gateway.at[request] != home
             gateway.wait(1100)
         if gateway.tries[request] and gateway.balancer.requests.get(request):
@@ -253,7 +253,7 @@
         gateway.connect(request, key=request)
     home = gateway.at[1]
     for request in [r for r, s in gateway.at.items() if s == home]:
-        gateway.end(request, Outcome.RESET, final=True)
+        gateway.end_attempt(request, Outcome.RESET, final=True)
     assert all(gateway.submit(r, key=r) != home for r in range(100, 130))
 
 
@@ -261,7 +261,7 @@
     gateway = Gateway(replace(SETTINGS, slow_start_ms=0.0))
     home = gateway.submit(1, key=42)
     assert home is not None
-    gateway.end(1, Outcome.CONNECT_FAILED)
+    gateway.end_attempt(1, Outcome.CONNECT_FAILED)
     assert gateway.submit(2, key=42) != home
     gateway.handle_events(
         list_update(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2)
@@ -273,7 +273,7 @@
     gateway = Gateway(endpoints=3)
     for request in range(1, 13):
         gateway.submit(request, key=request)
-        gateway.end(request, Outcome.CONNECT_FAILED, final=True)
+        gateway.end_attempt(request, Outcome.CONNECT_FAILED, final=True)
     assert gateway.submit(50, key=50) is not None
 
 
@@ -284,7 +284,7 @@
         gateway.submit(request, key=request * 31)
     gateway.wait(300)
     for request in range(1, 25):
-        gateway.end(request, Outcome.TIMEOUT, took=300.0)
+        gateway.end_attempt(request, Outcome.TIMEOUT, took=300.0)
     assert sum(s.is_avoided(gateway.now) for s in gateway.balancer.ready.values()) <= 3
     assert all(s.load_limit == float("inf") for s in gateway.balancer.ready.values())
     for request in range(100, 200):
@@ -297,7 +297,7 @@
     gateway.submit(1)
     for _ in range(3):
         if gateway.balancer.requests[1].in_progress:
-            gateway.end(1, Outcome.ERROR)
+            gateway.end_attempt(1, Outcome.ERROR)
     assert gateway.tries[1] < 4
     assert gateway.balancer.requests[1].attempts < 4
 
@@ -345,7 +345,7 @@
         gateway.wait(1000)
     for request in range(1, 121):  # the moved ones leave
         if gateway.balancer.requests.get(request) and gateway.balancer.requests[request].answered:
-            gateway.end(request, Outcome.CANCELLED, final=True)
+            gateway.end_attempt(request, Outcome.CANCELLED, final=True)
     for request in range(1000, 1200):
         gateway.submit(request, key=request)
     refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]
@@ -376,7 +376,7 @@
     gateway = filled()
     home = gateway.at[1]
     for request in [r for r, s in gateway.at.items() if s == home]:
-        gateway.end(request, Outcome.OK, final=True)
+        gateway.end_attempt(request, Outcome.OK, final=True)
     endpoint = gateway.balancer.endpoints[home]
     endpoint.load_limit = 0.25 * gateway.balancer.state.loads.mean_load
     entered = 0
@@ -384,14 +384,14 @@
         if gateway.submit(request, key=request) == home:
             entered += 1
         if request in gateway.at:
-            gateway.end(request, Outcome.OK, final=True)
+            gateway.end_attempt(request, Outcome.OK, final=True)
     gateway.balancer.endpoints[home].load_limit = float("inf")
     open_to_all = 0
     for request in range(700, 900):
         if gateway.submit(request, key=request - 200) == home:
             open_to_all += 1
         if request in gateway.at:
-            gateway.end(request, Outcome.OK, final=True)
+            gateway.end_attempt(request, Outcome.OK, final=True)
     assert 0 < entered < 0.6 * open_to_all
 
 
@@ -411,13 +411,13 @@
     gateway = filled()
     home = gateway.at[1]
     for request in [r for r, s in gateway.at.items() if s == home]:
-        gateway.end(request, Outcome.OK, final=True)
+        gateway.end_attempt(request, Outcome.OK, final=True)
     sent = 0
     for request in range(500, 560):
         gateway.wait(1000)
         if gateway.submit(request, key=request) == home:
             sent += 1
-            gateway.end(request, Outcome.FULL)
+            gateway.end_attempt(request, Outcome.FULL)
     assert sent < 30
 
 
@@ -458,7 +458,7 @@
 def test_events_of_what_is_unknown_or_over_change_nothing() -> None:
     gateway = Gateway()
     gateway.submit(1)
-    gateway.end(1, Outcome.ERROR, final=True)
+    gateway.end_attempt(1, Outcome.ERROR, final=True)
     gateway.handle_events(
         ClientDisconnected(1),
         TimerFired(0),
@@ -479,7 +479,7 @@
         )
         for request in range(round_ * 20 + 1, round_ * 20 + 21):
             gateway.connect(request, group=request, key=request)
-            gateway.end(request, Outcome.OK, final=True)
+            gateway.end_attempt(request, Outcome.OK, final=True)
         gateway.wait(1500)
     balancer = gateway.balancer
     assert len(balancer.endpoints) <= 7
@@ -518,7 +518,7 @@
             number = request + 100 * outcome
             gateway.submit(number, key=request)
             for _ in range(4):
-                gateway.end(number, outcome)
+                gateway.end_attempt(number, outcome)
                 gateway.wait(200)
     assert not gateway.balancer.outliers.failing
 
@@ -527,10 +527,10 @@
     gateway = Gateway(endpoints=4)
     first = gateway.submit(1, key=7)
     assert first is not None
-    gateway.end(1, Outcome.RESET)
+    gateway.end_attempt(1, Outcome.RESET)
     assert not gateway.balancer.outliers.failing
     assert gateway.at[1] != first
-    gateway.begin(1)
+    gateway.establish(1)
     assert list(gateway.balancer.outliers.failing) == [first]
 
 
@@ -543,7 +543,7 @@
     assert endpoint is not None
     gateway.handle_events(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
     assert not gateway.balancer.outliers.failing
-    gateway.end(50, Outcome.TIMEOUT, took=300.0)
+    gateway.end_attempt(50, Outcome.TIMEOUT, took=300.0)
     assert len(gateway.balancer.outliers.failing) == 1
 
 
@@ -612,7 +612,7 @@
     late = next(r for r in range(31, 99) if gateway.submit(r, key=r) == out)
     for _ in range(2):
         gateway.handle_events(EndpointDetached(out))
-    gateway.begin(late)  # its attempt was under way
+    gateway.establish(late)  # its attempt was under way
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) < len(standing)
     gateway.handle_events(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
@@ -635,7 +635,7 @@
         assert endpoint.started_ms == (told or gateway.now)
         assert gateway.balancer.state.capacities.warmth(endpoint) < 0.5
         first = next(r for r in range(100, 130) if gateway.submit(r, key=r) == 1 or gateway.wait(100) is None)
-        gateway.begin(first)
+        gateway.establish(first)
         assert first < 120
         assert not gateway.balancer.state.slow_start.reattached_ms
         before = len(sends(gateway.actions))
@@ -651,10 +651,10 @@
     gateway.handle_events(
         SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1))
     )
-    gateway.end(1, Outcome.CONNECT_FAILED)
+    gateway.end_attempt(1, Outcome.CONNECT_FAILED)
     assert gateway.tries[1] == 2
     gateway.submit(2, key=2, cls=1)
-    assert [a for a in gateway.end(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
+    assert [a for a in gateway.end_attempt(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
 
 
 def test_what_the_process_before_saw_of_a_server_holds() -> None:
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -31,7 +31,7 @@
         )
     )
     for request in range(1, standing + 1):
-        gateway.end(request, Outcome.CANCELLED, final=True)
+        gateway.end_attempt(request, Outcome.CANCELLED, final=True)
     gateway.wait(1000)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
     gateway.handle_events(list_update(*fresh, kind=ListUpdateKind.FULL, version=3))
@@ -48,7 +48,7 @@
             gateway.wait(50)
             for request in asking:
                 if request in gateway.at and not gateway.balancer.requests[request].established:
-                    gateway.begin(request)
+                    gateway.establish(request)
                     served += 1
     return served
 
--- a/tests/policy/test_slow_start_of_all_gateways.py
+++ b/tests/policy/test_slow_start_of_all_gateways.py
@@ -85,7 +85,7 @@
             gateway.handle_events(list_update(*news, kind=ListUpdateKind.FULL, version=2))
         for n in () if gateways_too else lost:
             at, _ = self.where[n]
-            self.fleet[at].end(n, Outcome.RESET, final=True)
+            self.fleet[at].end_attempt(n, Outcome.RESET, final=True)
         return [self.begun + 1000 * self.random.random() for _ in lost]
 
     def play(self, coming: list[float], rate: float) -> list[tuple[float, int]]:
@@ -111,7 +111,7 @@
                 for action in gateway.actions[before:]:
                     if isinstance(action, Send):
                         sent.append((now, action.endpoint))
-                        gateway.begin(action.request)
+                        gateway.establish(action.request)
                     elif isinstance(action, Reject | Fail):
                         heappush(coming, now + 100 + 900 * self.random.random())
         return sent
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -193,13 +193,13 @@
     """The attempts count on, and a request that has used them up is answered."""
     world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     assert world.submit(1, key=1) == 1
-    world.end(1, Outcome.CONNECT_FAILED)
+    world.end_attempt(1, Outcome.CONNECT_FAILED)
     assert world.at[1] == 2
     assert world.tries[1] == 2
-    world.end(1, Outcome.CONNECT_FAILED)
+    world.end_attempt(1, Outcome.CONNECT_FAILED)
     world.wait(200)
     assert world.tries[1] == 3
-    final = world.end(1, Outcome.CONNECT_FAILED)
+    final = world.end_attempt(1, Outcome.CONNECT_FAILED)
     final += world.wait(500)
     assert [type(a) for a in final if isinstance(a, (Reject, Fail))] == [Reject]
     assert not world.balancer.locations
@@ -208,7 +208,7 @@
 def test_a_cancel_after_a_change_of_tier_names_the_engines_own_attempt() -> None:
     world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     world.submit(1, key=1)
-    world.end(1, Outcome.CONNECT_FAILED)
+    world.end_attempt(1, Outcome.CONNECT_FAILED)
     (cancel,) = [a for a in world.handle_events(ClientDisconnected(1)) if isinstance(a, Cancel)]
     assert cancel.attempt == 1
 
@@ -216,13 +216,13 @@
 def test_a_primary_that_failed_is_tried_by_one_request_at_a_time() -> None:
     world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     world.submit(1, key=1)
-    world.end(1, Outcome.CONNECT_FAILED)
-    world.begin(1)
+    world.end_attempt(1, Outcome.CONNECT_FAILED)
+    world.establish(1)
     assert world.connect(2, key=2) == 2, "suspect still"
     world.wait(1200)
     assert world.submit(3, key=3) == 1, "one tries it"
     assert world.connect(4, key=4) == 2, "the others do not wait for that"
-    world.begin(3)
+    world.establish(3)
     assert world.connect(5, key=5) == 1
 
 
@@ -242,7 +242,7 @@
         world.connect(request, key=request)
     assert Counter(world.at.values())[1] <= 2
     assert [type(a) for a in world.handle_events(request_arrived(6))] == [Reject]
-    world.end(1, Outcome.OK, final=True)
+    world.end_attempt(1, Outcome.OK, final=True)
     assert world.connect(7) in (1, 2)
     small = gateway(Pool("main", (names(1, 2),), server_limits={"1": 1, "2": 1}), endpoints=2)
     assert {small.connect(1, key=1), small.connect(2, key=2)} == {1, 2}
@@ -286,17 +286,17 @@
 def test_a_pools_own_attempts_and_what_a_retune_leaves_of_them() -> None:
     world = gateway(Pool("main", (names(1, 2, 3),), attempts=1))
     world.submit(1, key=1)
-    assert [type(a) for a in world.end(1, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
+    assert [type(a) for a in world.end_attempt(1, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
     world.handle_events(SettingsChanged(replace(RULES, max_attempts=2)))
     world.submit(2, key=2)
-    assert [type(a) for a in world.end(2, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
+    assert [type(a) for a in world.end_attempt(2, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [Reject]
 
 
 def test_an_unsafe_request_that_may_have_run_is_not_tried_in_another_tier() -> None:
     unsafe = (ClassSettings(300, 1200, effect=Effect.NOT_IDEMPOTENT),)
     world = Gateway(RULES, 2, balancer=pooled(Pool("main", (names(1), names(2))), classes=unsafe))
     world.submit(1, key=1)
-    end = world.end(1, Outcome.RESET)
+    end = world.end_attempt(1, Outcome.RESET)
     assert [type(a) for a in end + world.wait(1300) if isinstance(a, (Send, Reject, Fail))] == [Fail]
 
 
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -47,9 +47,9 @@
 def test_the_backups_serve_a_client_whose_primaries_are_gone_and_the_attempts_count_on() -> None:
     one = member(1, Pool("main", (("1",), ("4",))))
     assert one.submit(1, key=1) == 1
-    one.end(1, Outcome.CONNECT_FAILED)
+    one.end_attempt(1, Outcome.CONNECT_FAILED)
     assert one.at[1] == 4
-    one.begin(1)
+    one.establish(1)
     one.handle_events(
         list_update(
             entry(1, EndpointStatus.GONE),
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -127,19 +127,21 @@
         self.handle_events(request_arrived(request, group=group, key=key, cls=cls))
         return self.at.get(request)
 
-    def begin(self, request: int, took: float = 20.0) -> None:
+    def establish(self, request: int, took: float = 20.0) -> None:
         self.handle_events(AttemptEstablished(request, self.at[request], took, self.tries[request] - 1))
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
         """A connection that stands, with its load told."""
         endpoint = self.submit(request, group=group, key=key)
         assert endpoint is not None
-        self.begin(request)
+        self.establish(request)
         if load:
             self.handle_events(LoadReported(request, endpoint, load))
         return endpoint
 
-    def end(self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0) -> list[Action]:
+    def end_attempt(
+        self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0
+    ) -> list[Action]:
         return self.handle_events(
             AttemptEnded(request, outcome, self.at[request], self.tries[request] - 1, final, took)
         )
