--- a/packages/residency/tests/test_regional.py
+++ b/packages/residency/tests/test_regional.py
@@ -61,11 +61,11 @@
         if region(ask(made, request, "south", "east")) == "south":
             made.end_attempt(request, Outcome.CONNECT_FAILED)
             made.wait(200)
-        assert region(made.at[request]) in ("south", "east")
-        if region(made.at[request]) == "east":
+        assert region(made.endpoint_of[request]) in ("south", "east")
+        if region(made.endpoint_of[request]) == "east":
             made.establish(request)
-    assert {region(made.at[r]) for r in range(120, 130)} == {"east"}  # all of the south fail by now
-    assert not {region(s) for r, s in made.at.items()} & {"north"}
+    assert {region(made.endpoint_of[r]) for r in range(120, 130)} == {"east"}  # all of the south fail by now
+    assert not {region(s) for r, s in made.endpoint_of.items()} & {"north"}
 
 
 def test_a_region_that_returns_cold_takes_what_its_budget_lets_it_and_the_next_one_the_rest() -> None:
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -85,7 +85,7 @@
     gateway.end_attempt(1, outcome, final=True)
     gateway.submit(2, group=3)
     gateway.establish(2)
-    gateway.handle_events(LoadReported(2, gateway.at[2], 900.0))
+    gateway.handle_events(LoadReported(2, gateway.endpoint_of[2], 900.0))
     gateway.end_attempt(2, outcome, final=True)
     gateway.end_attempt(2, outcome, final=True)  # told twice: nothing more
     for endpoint in gateway.balancer.ready.values():
@@ -141,8 +141,8 @@
     gateway = Gateway(endpoints=0)
     gateway.submit(1)
     for _ in range(100):
-        due, token = min(gateway.wakes)
-        gateway.wakes.remove((due, token))
+        due, token = min(gateway.pending_timers)
+        gateway.pending_timers.remove((due, token))
         gateway.now = max(gateway.now + 0.002, due - 0.0004)
         gateway.handle_events(TimerFired(token))
         if any(isinstance(a, (Reject, Fail)) for a in gateway.actions):
@@ -165,7 +165,7 @@
             gateway.wait(100)
             if (number + step) % 4 == 0:
                 sent += gateway.submit(1000 + step, key=number * 31 + step) in (1, 2, 3)
-                if 1000 + step in gateway.at:
+                if 1000 + step in gateway.endpoint_of:
                     gateway.end_attempt(1000 + step, Outcome.OK, final=True)
     held, s = 40.0, SETTINGS
     warmth = s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) * 2000 / s.slow_start_ms
@@ -227,32 +227,41 @@
     gateway = Gateway()
     for request in range(1, 61):
         gateway.connect(request, key=request)
-    home = gateway.at[1]
+    home = gateway.endpoint_of[1]
     held = len(gateway.balancer.endpoints[home].connections)
-    gateway.handle_events(*(AttemptEnded(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
+    gateway.handle_events(
+        *(AttemptEnded(r, Outcome.OK, gateway.endpoint_of[r], 0, True, 1) for r in range(41, 61))
+    )
     request = 100
     while gateway.balancer.endpoints[home].connect_failures < 2 and request < 1000:
         request += 1
         if gateway.submit(request, key=request) == home:
             gateway.end_attempt(request, Outcome.CONNECT_FAILED)
-            assert gateway.at[request] != home
+            assert gateway.endpoint_of[request] != home
             gateway.wait(1100)
-        if gateway.tries[request] and gateway.balancer.requests.get(request):
+        if gateway.attempt_counts[request] and gateway.balancer.requests.get(request):
             gateway.handle_events(
-                AttemptEnded(request, Outcome.OK, gateway.at[request], gateway.tries[request] - 1, True, 1)
+                AttemptEnded(
+                    request,
+                    Outcome.OK,
+                    gateway.endpoint_of[request],
+                    gateway.attempt_counts[request] - 1,
+                    True,
+                    1,
+                )
             )
     gateway.wait(10000)
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) >= held // 2
-    assert {gateway.at[a.request] for a in moved} == {home}
+    assert {gateway.endpoint_of[a.request] for a in moved} == {home}
 
 
 def test_a_burst_of_resets_means_the_server_is_gone() -> None:
     gateway = Gateway()
     for request in range(1, 61):
         gateway.connect(request, key=request)
-    home = gateway.at[1]
-    for request in [r for r, s in gateway.at.items() if s == home]:
+    home = gateway.endpoint_of[1]
+    for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
         gateway.end_attempt(request, Outcome.RESET, final=True)
     assert all(gateway.submit(r, key=r) != home for r in range(100, 130))
 
@@ -298,7 +307,7 @@
     for _ in range(3):
         if gateway.balancer.requests[1].in_progress:
             gateway.end_attempt(1, Outcome.ERROR)
-    assert gateway.tries[1] < 4
+    assert gateway.attempt_counts[1] < 4
     assert gateway.balancer.requests[1].attempts < 4
 
 
@@ -312,20 +321,20 @@
 
 def test_a_slow_server_is_relieved_step_by_step_and_gets_less() -> None:
     gateway = filled()
-    home = gateway.at[1]
+    home = gateway.endpoint_of[1]
     before = len(gateway.balancer.endpoints[home].connections)
     moves = []
     for _ in range(3):
         gateway.delay(home, 200)
         moves += [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
     assert 0 < len(moves) < before
-    assert {gateway.at[a.request] for a in moves} == {home}
+    assert {gateway.endpoint_of[a.request] for a in moves} == {home}
     assert all(gateway.submit(r, key=r) != home for r in range(500, 520))
 
 
 def test_a_server_that_drains_what_piled_up_is_not_cut_again() -> None:
     gateway = filled()
-    home = gateway.at[1]
+    home = gateway.endpoint_of[1]
     gateway.delay(home, 400)
     ceiling = gateway.balancer.endpoints[home].load_limit
     gateway.wait(1000)
@@ -374,8 +383,8 @@
 def test_gateways_do_not_all_fill_an_empty_server_under_its_ceiling() -> None:
     """Nine gateways that each round up to a whole connection would push a strained server over again."""
     gateway = filled()
-    home = gateway.at[1]
-    for request in [r for r, s in gateway.at.items() if s == home]:
+    home = gateway.endpoint_of[1]
+    for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
         gateway.end_attempt(request, Outcome.OK, final=True)
     endpoint = gateway.balancer.endpoints[home]
     endpoint.load_limit = 0.25 * gateway.balancer.state.loads.mean_load
@@ -383,14 +392,14 @@
     for request in range(500, 700):
         if gateway.submit(request, key=request) == home:
             entered += 1
-        if request in gateway.at:
+        if request in gateway.endpoint_of:
             gateway.end_attempt(request, Outcome.OK, final=True)
     gateway.balancer.endpoints[home].load_limit = float("inf")
     open_to_all = 0
     for request in range(700, 900):
         if gateway.submit(request, key=request - 200) == home:
             open_to_all += 1
-        if request in gateway.at:
+        if request in gateway.endpoint_of:
             gateway.end_attempt(request, Outcome.OK, final=True)
     assert 0 < entered < 0.6 * open_to_all
 
@@ -409,8 +418,8 @@
 
 def test_a_server_that_turns_all_away_at_once_does_not_look_idle() -> None:
     gateway = filled()
-    home = gateway.at[1]
-    for request in [r for r, s in gateway.at.items() if s == home]:
+    home = gateway.endpoint_of[1]
+    for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
         gateway.end_attempt(request, Outcome.OK, final=True)
     sent = 0
     for request in range(500, 560):
@@ -427,11 +436,11 @@
     for request in range(1000, 1100):
         gateway.submit(request, key=request)
         gateway.wait(10)
-    assert sum(gateway.at.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL_LOAD_MULTIPLE
+    assert sum(gateway.endpoint_of.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL_LOAD_MULTIPLE
     for request in range(2000, 2400):
         gateway.submit(request, key=request)
         gateway.wait(50)
-    assert sum(gateway.at.get(r) == 9 for r in range(2000, 2400)) > 5
+    assert sum(gateway.endpoint_of.get(r) == 9 for r in range(2000, 2400)) > 5
 
 
 def test_home_zone_first_where_crossing_costs_and_abroad_when_home_is_strained() -> None:
@@ -529,7 +538,7 @@
     assert first is not None
     gateway.end_attempt(1, Outcome.RESET)
     assert not gateway.balancer.outliers.failing
-    assert gateway.at[1] != first
+    assert gateway.endpoint_of[1] != first
     gateway.establish(1)
     assert list(gateway.balancer.outliers.failing) == [first]
 
@@ -552,10 +561,10 @@
     gateway = Gateway(endpoints=6)
     for request in range(200, 280):
         gateway.connect(request, key=request)
-    gateway.at.clear()
+    gateway.endpoint_of.clear()
     for request in range(1, 13):
         gateway.connect(request, group=9)
-    strained = set(gateway.at.values())
+    strained = set(gateway.endpoint_of.values())
     for endpoint in strained:
         gateway.delay(endpoint, 400)
     asked_at, request = gateway.now, 100
@@ -565,7 +574,7 @@
             if gateway.balancer.endpoints[endpoint].connections:
                 gateway.delay(endpoint, 400)
         request += 1
-    assert gateway.at.get(request) not in strained | {None}
+    assert gateway.endpoint_of.get(request) not in strained | {None}
     assert gateway.now - asked_at <= 500
 
 
@@ -575,7 +584,7 @@
     gateway.handle_events(list_update(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
     for request in range(1, 61):
         gateway.connect(request, key=request)
-    home = sum(endpoint == 1 for endpoint in gateway.at.values())
+    home = sum(endpoint == 1 for endpoint in gateway.endpoint_of.values())
     assert 15 <= home <= 40  # 60 of 120 on one of five would be two and a half times the mean
 
 
@@ -586,7 +595,7 @@
         for request in range(1, 31):
             gateway.connect(request, key=request)
         gateway.wait(5000)
-        gateway.delay(gateway.at[1], 400)
+        gateway.delay(gateway.endpoint_of[1], 400)
         assert [a for a in gateway.wait(250) if isinstance(a, Migrate)]
 
 
@@ -595,7 +604,7 @@
     gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
-    endpoint = gateway.balancer.endpoints[gateway.at[1]]
+    endpoint = gateway.balancer.endpoints[gateway.endpoint_of[1]]
     gateway.delay(endpoint.id, 0.4 * gateway.balancer.context.message_latency_objective_ms)
     assert endpoint.load_limit < endpoint.load
     other = gateway.balancer.endpoints[next(s for s in (1, 2, 3) if s != endpoint.id)]
@@ -607,8 +616,8 @@
     gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
-    out = gateway.at[1]
-    standing = {r for r, endpoint in gateway.at.items() if endpoint == out}
+    out = gateway.endpoint_of[1]
+    standing = {r for r, endpoint in gateway.endpoint_of.items() if endpoint == out}
     late = next(r for r in range(31, 99) if gateway.submit(r, key=r) == out)
     for _ in range(2):
         gateway.handle_events(EndpointDetached(out))
@@ -652,7 +661,7 @@
         SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1))
     )
     gateway.end_attempt(1, Outcome.CONNECT_FAILED)
-    assert gateway.tries[1] == 2
+    assert gateway.attempt_counts[1] == 2
     gateway.submit(2, key=2, cls=1)
     assert [a for a in gateway.end_attempt(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
 
@@ -661,7 +670,7 @@
     before, after = Gateway(endpoints=3), Gateway(endpoints=3)
     for request in range(1, 31):
         before.connect(request, group=7)
-    strained = before.at[1]
+    strained = before.endpoint_of[1]
     before.delay(strained, 900)
     for endpoint, ceiling in before.balancer.load_limits().items():
         after.handle_events(LoadLimitRestored(endpoint, ceiling))
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -47,7 +47,7 @@
         for _ in range(28):  # their deadline and a little
             gateway.wait(50)
             for request in asking:
-                if request in gateway.at and not gateway.balancer.requests[request].established:
+                if request in gateway.endpoint_of and not gateway.balancer.requests[request].established:
                     gateway.establish(request)
                     served += 1
     return served
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -132,7 +132,7 @@
         world.handle_events(
             RequestArrived(request, 0, 0, request, 1200, 0.0, 0, connection_info=ConnectionInfo(source))
         )
-        seen[source].add(world.at[request])
+        seen[source].add(world.endpoint_of[request])
     assert seen["127.0.0.1"] == {1, 2}
     assert seen["10.0.0.1"] == {3, 4, 5}
 
@@ -194,11 +194,11 @@
     world = gateway(Pool("main", (names(1), names(2))), endpoints=2)
     assert world.submit(1, key=1) == 1
     world.end_attempt(1, Outcome.CONNECT_FAILED)
-    assert world.at[1] == 2
-    assert world.tries[1] == 2
+    assert world.endpoint_of[1] == 2
+    assert world.attempt_counts[1] == 2
     world.end_attempt(1, Outcome.CONNECT_FAILED)
     world.wait(200)
-    assert world.tries[1] == 3
+    assert world.attempt_counts[1] == 3
     final = world.end_attempt(1, Outcome.CONNECT_FAILED)
     final += world.wait(500)
     assert [type(a) for a in final if isinstance(a, (Reject, Fail))] == [Reject]
@@ -240,7 +240,7 @@
     world = gateway(Pool("main", (names(1, 2),), limit=5, server_limits={"1": 2}), endpoints=2)
     for request in range(1, 6):
         world.connect(request, key=request)
-    assert Counter(world.at.values())[1] <= 2
+    assert Counter(world.endpoint_of.values())[1] <= 2
     assert [type(a) for a in world.handle_events(request_arrived(6))] == [Reject]
     world.end_attempt(1, Outcome.OK, final=True)
     assert world.connect(7) in (1, 2)
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -48,7 +48,7 @@
     one = member(1, Pool("main", (("1",), ("4",))))
     assert one.submit(1, key=1) == 1
     one.end_attempt(1, Outcome.CONNECT_FAILED)
-    assert one.at[1] == 4
+    assert one.endpoint_of[1] == 4
     one.establish(1)
     one.handle_events(
         list_update(
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -93,10 +93,10 @@
     ) -> None:
         self.balancer = balancer or Balancer(settings, seed)
         self.now = 1000.0
-        self.wakes: list[tuple[float, int]] = []
+        self.pending_timers: list[tuple[float, int]] = []
         self.actions: list[Action] = []
-        self.at: dict[int, int] = {}  # request -> server of its last send
-        self.tries: dict[int, int] = {}
+        self.endpoint_of: dict[int, int] = {}  # request -> server of its last send
+        self.attempt_counts: dict[int, int] = {}
         if endpoints:
             self.handle_events(list_update(*(entry(i) for i in range(1, endpoints + 1))))
 
@@ -104,19 +104,19 @@
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, ScheduleTimer):
-                self.wakes.append((self.now + action.delay_ms, action.token))
+                self.pending_timers.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, Send):
-                self.at[action.request] = action.endpoint
-                self.tries[action.request] = self.tries.get(action.request, 0) + 1
+                self.endpoint_of[action.request] = action.endpoint
+                self.attempt_counts[action.request] = self.attempt_counts.get(action.request, 0) + 1
         self.actions += actions
         return actions
 
     def wait(self, ms: float) -> list[Action]:
         """Let time pass; what was done meanwhile."""
         until, done = self.now + ms, len(self.actions)
-        while due := [w for w in self.wakes if w[0] <= until]:
+        while due := [w for w in self.pending_timers if w[0] <= until]:
             first = min(due)
-            self.wakes.remove(first)
+            self.pending_timers.remove(first)
             self.now = max(self.now, first[0])
             self.handle_events(TimerFired(first[1]))
         self.now = until
@@ -125,10 +125,12 @@
     def submit(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
         """A new request; the server it was sent to."""
         self.handle_events(request_arrived(request, group=group, key=key, cls=cls))
-        return self.at.get(request)
+        return self.endpoint_of.get(request)
 
     def establish(self, request: int, took: float = 20.0) -> None:
-        self.handle_events(AttemptEstablished(request, self.at[request], took, self.tries[request] - 1))
+        self.handle_events(
+            AttemptEstablished(request, self.endpoint_of[request], took, self.attempt_counts[request] - 1)
+        )
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
         """A connection that stands, with its load told."""
@@ -143,7 +145,9 @@
         self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0
     ) -> list[Action]:
         return self.handle_events(
-            AttemptEnded(request, outcome, self.at[request], self.tries[request] - 1, final, took)
+            AttemptEnded(
+                request, outcome, self.endpoint_of[request], self.attempt_counts[request] - 1, final, took
+            )
         )
 
     def delay(self, endpoint: int, ms: float) -> list[Action]:
