--- a/packages/residency/tests/test_regional.py
+++ b/packages/residency/tests/test_regional.py
@@ -60,7 +60,7 @@
     for request in range(100, 130):
         if region(ask(made, request, "south", "east")) == "south":
             made.end_attempt(request, Outcome.CONNECT_FAILED)
-            made.wait(200)
+            made.advance(200)
         assert region(made.endpoint_of[request]) in ("south", "east")
         if region(made.endpoint_of[request]) == "east":
             made.establish(request)
@@ -80,9 +80,9 @@
     for request in range(200, 260):
         found.append(region(ask(made, request, "south", "north")))
         made.establish(request)
-        made.wait(20)
+        made.advance(20)
     assert set(found) == {"south", "north"}
-    made.wait(SETTINGS.slow_start_ms + 2000)
+    made.advance(SETTINGS.slow_start_ms + 2000)
     assert {region(ask(made, r, "south", "north")) for r in range(300, 330)} == {"south"}
 
 
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -52,7 +52,7 @@
     for failed in range(30):
         gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
         most = to_ms(MOST_WAIT if failed else FIRST_WAIT)
-        assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(most)), failed
+        assert any(isinstance(a, WatchEndpoints) for a in gateway.advance(most)), failed
 
 
 class AskedStories(ListStory):
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -124,15 +124,15 @@
 def test_with_no_server_a_request_waits_and_goes_to_the_first_that_appears() -> None:
     gateway = Gateway(endpoints=0)
     assert gateway.submit(1) is None
-    gateway.wait(500)
+    gateway.advance(500)
     gateway.handle_events(list_update(entry(8)))
-    assert [s.endpoint for s in sends(gateway.wait(200))] == [8]
+    assert [s.endpoint for s in sends(gateway.advance(200))] == [8]
 
 
 def test_with_no_server_ever_it_is_answered_in_time() -> None:
     gateway = Gateway(endpoints=0)
     gateway.submit(1)
-    answers = [a for a in gateway.wait(1200) if isinstance(a, (Reject, Fail))]
+    answers = [a for a in gateway.advance(1200) if isinstance(a, (Reject, Fail))]
     assert len(answers) == 1
 
 
@@ -162,7 +162,7 @@
     sent = 0
     for step in range(20):  # the first two seconds, in a storm of five returns a gateway
         for number, gateway in enumerate(gateways):
-            gateway.wait(100)
+            gateway.advance(100)
             if (number + step) % 4 == 0:
                 sent += gateway.submit(1000 + step, key=number * 31 + step) in (1, 2, 3)
                 if 1000 + step in gateway.endpoint_of:
@@ -201,7 +201,7 @@
     gateway = Gateway(endpoints=20)
     for request in range(1, 201):
         gateway.connect(request, group=1 + request % 10, load=1000.0)
-    gateway.wait(2000)
+    gateway.advance(2000)
     tried = set()
     for request in range(500, 560):
         endpoint = gateway.submit(request, group=1)
@@ -210,7 +210,7 @@
             gateway.balancer.endpoints[endpoint].load_limit = 0.0
             gateway.end_attempt(request, Outcome.FULL, final=True)
     assert len(tried) <= 6
-    assert any(isinstance(a, Reject) for a in gateway.wait(1300))
+    assert any(isinstance(a, Reject) for a in gateway.advance(1300))
 
 
 def test_a_list_that_fails_is_asked_for_again_within_the_limit() -> None:
@@ -218,7 +218,7 @@
     assert sum(isinstance(a, WatchEndpoints) for a in gateway.actions) == 1
     for _ in range(8):
         gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
-        assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(4000))
+        assert any(isinstance(a, WatchEndpoints) for a in gateway.advance(4000))
     assert gateway.submit(1) is not None  # the list it had still serves
 
 
@@ -238,7 +238,7 @@
         if gateway.submit(request, key=request) == home:
             gateway.end_attempt(request, Outcome.CONNECT_FAILED)
             assert gateway.endpoint_of[request] != home
-            gateway.wait(1100)
+            gateway.advance(1100)
         if gateway.attempt_counts[request] and gateway.balancer.requests.get(request):
             gateway.handle_events(
                 AttemptEnded(
@@ -250,7 +250,7 @@
                     1,
                 )
             )
-    gateway.wait(10000)
+    gateway.advance(10000)
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) >= held // 2
     assert {gateway.endpoint_of[a.request] for a in moved} == {home}
@@ -291,7 +291,7 @@
     gateway = Gateway()
     for request in range(1, 25):
         gateway.submit(request, key=request * 31)
-    gateway.wait(300)
+    gateway.advance(300)
     for request in range(1, 25):
         gateway.end_attempt(request, Outcome.TIMEOUT, took=300.0)
     assert sum(s.is_avoided(gateway.now) for s in gateway.balancer.ready.values()) <= 3
@@ -315,7 +315,7 @@
     gateway = Gateway()
     for request in range(1, 121):
         gateway.connect(request, key=request, load=load)
-    gateway.wait(2000)
+    gateway.advance(2000)
     return gateway
 
 
@@ -325,8 +325,8 @@
     before = len(gateway.balancer.endpoints[home].connections)
     moves = []
     for _ in range(3):
-        gateway.delay(home, 200)
-        moves += [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
+        gateway.report_latency(home, 200)
+        moves += [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
     assert 0 < len(moves) < before
     assert {gateway.endpoint_of[a.request] for a in moves} == {home}
     assert all(gateway.submit(r, key=r) != home for r in range(500, 520))
@@ -335,10 +335,10 @@
 def test_a_server_that_drains_what_piled_up_is_not_cut_again() -> None:
     gateway = filled()
     home = gateway.endpoint_of[1]
-    gateway.delay(home, 400)
+    gateway.report_latency(home, 400)
     ceiling = gateway.balancer.endpoints[home].load_limit
-    gateway.wait(1000)
-    gateway.delay(home, 200)
+    gateway.advance(1000)
+    gateway.report_latency(home, 200)
     assert gateway.balancer.endpoints[home].load_limit == ceiling
 
 
@@ -346,18 +346,18 @@
     """All servers drowning serve nobody: some must be turned away so that the rest are served."""
     gateway = filled()
     for endpoint in range(1, 7):
-        gateway.delay(endpoint, 500)
-    assert any(isinstance(a, Migrate) for a in gateway.wait(1000))
+        gateway.report_latency(endpoint, 500)
+    assert any(isinstance(a, Migrate) for a in gateway.advance(1000))
     for _ in range(4):
         for endpoint in range(1, 7):
-            gateway.delay(endpoint, 500)
-        gateway.wait(1000)
+            gateway.report_latency(endpoint, 500)
+        gateway.advance(1000)
     for request in range(1, 121):  # the moved ones leave
         if gateway.balancer.requests.get(request) and gateway.balancer.requests[request].answered:
             gateway.end_attempt(request, Outcome.CANCELLED, final=True)
     for request in range(1000, 1200):
         gateway.submit(request, key=request)
-    refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]
+    refused = [a for a in gateway.advance(300) if isinstance(a, Reject)]
     assert refused
 
 
@@ -368,11 +368,11 @@
         gateway.connect(request, key=request, load=1.0)
     for _ in range(8):
         for endpoint in (1, 2):
-            gateway.delay(endpoint, 500)
-        gateway.wait(1000)
+            gateway.report_latency(endpoint, 500)
+        gateway.advance(1000)
     for request in range(1000, 1020):
         gateway.submit(request, key=request)
-    refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]  # their time would be up at 1200
+    refused = [a for a in gateway.advance(300) if isinstance(a, Reject)]  # their time would be up at 1200
     assert len(refused) > 2
     assert all(min(longest, 500) <= a.retry_after_ms <= longest for a in refused)
     assert longest != 1500 or len({a.retry_after_ms for a in refused}) == len(
@@ -409,9 +409,9 @@
     for request in range(1, 21):
         gateway.connect(request, group=1, load=1000.0)
     gateway.connect(21, group=2, load=1000.0)
-    gateway.wait(2000)
-    gateway.delay(1, 300)
-    moves = [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
+    gateway.advance(2000)
+    gateway.report_latency(1, 300)
+    moves = [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
     assert moves
     assert moves[0].request == 21
 
@@ -423,7 +423,7 @@
         gateway.end_attempt(request, Outcome.OK, final=True)
     sent = 0
     for request in range(500, 560):
-        gateway.wait(1000)
+        gateway.advance(1000)
         if gateway.submit(request, key=request) == home:
             sent += 1
             gateway.end_attempt(request, Outcome.FULL)
@@ -435,11 +435,11 @@
     gateway.handle_events(list_update(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     for request in range(1000, 1100):
         gateway.submit(request, key=request)
-        gateway.wait(10)
+        gateway.advance(10)
     assert sum(gateway.endpoint_of.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL_LOAD_MULTIPLE
     for request in range(2000, 2400):
         gateway.submit(request, key=request)
-        gateway.wait(50)
+        gateway.advance(50)
     assert sum(gateway.endpoint_of.get(r) == 9 for r in range(2000, 2400)) > 5
 
 
@@ -447,10 +447,10 @@
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), endpoints=0)
     gateway.handle_events(list_update(*(entry(i, zone=i % 2) for i in range(1, 7))))
     assert all(gateway.connect(r, key=r, load=1000.0) % 2 == 0 for r in range(1, 31))
-    gateway.wait(2000)
+    gateway.advance(2000)
     for endpoint in (2, 4, 6):
-        gateway.delay(endpoint, 500)
-    gateway.wait(1000)
+        gateway.report_latency(endpoint, 500)
+    gateway.advance(1000)
     assert any((gateway.submit(r, key=r) or 0) % 2 for r in range(100, 140))
 
 
@@ -458,10 +458,10 @@
     gateway = Gateway(replace(SETTINGS, tenant_connection_quotas=(2.0,)), endpoints=1)
     for request in range(1, 10):
         gateway.connect(request, group=1, load=1000.0)  # while there is room nobody is turned away
-    gateway.wait(2000)
-    gateway.delay(1, 500)
+    gateway.advance(2000)
+    gateway.report_latency(1, 500)
     gateway.handle_events(request_arrived(50))
-    assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.wait(300))
+    assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.advance(300))
 
 
 def test_events_of_what_is_unknown_or_over_change_nothing() -> None:
@@ -489,7 +489,7 @@
         for request in range(round_ * 20 + 1, round_ * 20 + 21):
             gateway.connect(request, group=request, key=request)
             gateway.end_attempt(request, Outcome.OK, final=True)
-        gateway.wait(1500)
+        gateway.advance(1500)
     balancer = gateway.balancer
     assert len(balancer.endpoints) <= 7
     assert len(balancer.state.timers) < 60
@@ -528,7 +528,7 @@
             gateway.submit(number, key=request)
             for _ in range(4):
                 gateway.end_attempt(number, outcome)
-                gateway.wait(200)
+                gateway.advance(200)
     assert not gateway.balancer.outliers.failing
 
 
@@ -566,13 +566,13 @@
         gateway.connect(request, group=9)
     strained = set(gateway.endpoint_of.values())
     for endpoint in strained:
-        gateway.delay(endpoint, 400)
+        gateway.report_latency(endpoint, 400)
     asked_at, request = gateway.now, 100
     while gateway.submit(request, group=9) in strained | {None} and gateway.now < asked_at + 5000:
-        gateway.wait(250)
+        gateway.advance(250)
         for endpoint in strained:
             if gateway.balancer.endpoints[endpoint].connections:
-                gateway.delay(endpoint, 400)
+                gateway.report_latency(endpoint, 400)
         request += 1
     assert gateway.endpoint_of.get(request) not in strained | {None}
     assert gateway.now - asked_at <= 500
@@ -594,9 +594,9 @@
         gateway = Gateway(endpoints=3, seed=seed)
         for request in range(1, 31):
             gateway.connect(request, key=request)
-        gateway.wait(5000)
-        gateway.delay(gateway.endpoint_of[1], 400)
-        assert [a for a in gateway.wait(250) if isinstance(a, Migrate)]
+        gateway.advance(5000)
+        gateway.report_latency(gateway.endpoint_of[1], 400)
+        assert [a for a in gateway.advance(250) if isinstance(a, Migrate)]
 
 
 def test_a_server_is_held_back_before_its_messages_are_late() -> None:
@@ -605,10 +605,10 @@
     for request in range(1, 31):
         gateway.connect(request, key=request)
     endpoint = gateway.balancer.endpoints[gateway.endpoint_of[1]]
-    gateway.delay(endpoint.id, 0.4 * gateway.balancer.context.message_latency_objective_ms)
+    gateway.report_latency(endpoint.id, 0.4 * gateway.balancer.context.message_latency_objective_ms)
     assert endpoint.load_limit < endpoint.load
     other = gateway.balancer.endpoints[next(s for s in (1, 2, 3) if s != endpoint.id)]
-    gateway.delay(other.id, 0.3 * gateway.balancer.context.message_latency_objective_ms)
+    gateway.report_latency(other.id, 0.3 * gateway.balancer.context.message_latency_objective_ms)
     assert other.load_limit == float("inf")
 
 
@@ -625,7 +625,7 @@
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) < len(standing)
     gateway.handle_events(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
-    gateway.wait(1300)
+    gateway.advance(1300)
     assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == standing | {late}
     assert out not in {gateway.submit(r, key=r) for r in range(100, 140)}
 
@@ -635,15 +635,17 @@
         gateway = Gateway(endpoints=3)
         for request in range(1, 31):
             gateway.connect(request, key=request)
-        gateway.wait(600)
+        gateway.advance(600)
         gateway.handle_events(EndpointDetached(1))
-        gateway.wait(2000)
+        gateway.advance(2000)
         gateway.handle_events(list_update(entry(1, started=told), entry(2), entry(3), version=2))
         gateway.handle_events(EndpointAttached(1))
         endpoint = gateway.balancer.endpoints[1]
         assert endpoint.started_ms == (told or gateway.now)
         assert gateway.balancer.state.capacities.warmth(endpoint) < 0.5
-        first = next(r for r in range(100, 130) if gateway.submit(r, key=r) == 1 or gateway.wait(100) is None)
+        first = next(
+            r for r in range(100, 130) if gateway.submit(r, key=r) == 1 or gateway.advance(100) is None
+        )
         gateway.establish(first)
         assert first < 120
         assert not gateway.balancer.state.slow_start.reattached_ms
@@ -671,7 +673,7 @@
     for request in range(1, 31):
         before.connect(request, group=7)
     strained = before.endpoint_of[1]
-    before.delay(strained, 900)
+    before.report_latency(strained, 900)
     for endpoint, ceiling in before.balancer.load_limits().items():
         after.handle_events(LoadLimitRestored(endpoint, ceiling))
     for request in range(1, 31):
--- a/tests/policy/test_many_gateways.py
+++ b/tests/policy/test_many_gateways.py
@@ -79,9 +79,9 @@
         gateway.connect(number, group=number % PLANNED_GROUPS + 1, key=number)
     gateway.connect(1000, group=5000)
     made = gateway.balancer.plan.made_ms
-    gateway.wait(PLAN_LIFETIME_MS / 2)
+    gateway.advance(PLAN_LIFETIME_MS / 2)
     gateway.connect(1001, group=5000)
     assert gateway.balancer.plan.made_ms == made
-    gateway.wait(PLAN_LIFETIME_MS)
+    gateway.advance(PLAN_LIFETIME_MS)
     gateway.connect(1002, group=5000)
     assert gateway.balancer.plan.made_ms > made
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -22,7 +22,7 @@
     """Every server is replaced: its connections end, and it comes back cold."""
     for request in range(1, standing + 1):
         gateway.connect(request, key=request)
-    gateway.wait(5000)
+    gateway.advance(5000)
     gateway.handle_events(
         list_update(
             *(replace(entry(i), state=EndpointStatus.DRAINING) for i in range(1, 6)),
@@ -32,7 +32,7 @@
     )
     for request in range(1, standing + 1):
         gateway.end_attempt(request, Outcome.CANCELLED, final=True)
-    gateway.wait(1000)
+    gateway.advance(1000)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
     gateway.handle_events(list_update(*fresh, kind=ListUpdateKind.FULL, version=3))
 
@@ -45,7 +45,7 @@
         for request in asking:
             gateway.submit(request, key=request)
         for _ in range(28):  # their deadline and a little
-            gateway.wait(50)
+            gateway.advance(50)
             for request in asking:
                 if request in gateway.endpoint_of and not gateway.balancer.requests[request].established:
                     gateway.establish(request)
@@ -87,12 +87,12 @@
         part = (
             5 * FULL_LOAD_MULTIPLE * held * COLD.slow_start_load_multiple * warmth * 1000 / COLD.slow_start_ms
         )
-        assert sum(isinstance(action, Send) for action in gateway.wait(1000)) <= part + 2, second
+        assert sum(isinstance(action, Send) for action in gateway.advance(1000)) <= part + 2, second
 
 
 def test_what_stood_long_ago_counts_for_little() -> None:
     gateway = Gateway(COLD, endpoints=5)
     released(gateway, 46)
     before = gateway.balancer.state.capacities.mean_connections
-    gateway.wait(3 * COLD.slow_start_ms)
+    gateway.advance(3 * COLD.slow_start_ms)
     assert gateway.balancer.state.capacities.mean_connections < 0.06 * before
--- a/tests/policy/test_slow_start_of_all_gateways.py
+++ b/tests/policy/test_slow_start_of_all_gateways.py
@@ -64,7 +64,7 @@
             at = self.random.randrange(self.gateways)
             self.where[self.came] = at, self.fleet[at].connect(self.came, **self.who())
         for gateway in self.fleet:
-            gateway.wait(20000)  # long enough to save up whatever may be saved
+            gateway.advance(20000)  # long enough to save up whatever may be saved
         self.begun = self.fleet[0].now
 
     def who(self) -> dict[str, int]:
@@ -105,7 +105,7 @@
                 asks.setdefault(self.random.randrange(self.gateways), []).append(self.came)
             for i, gateway in enumerate(self.fleet):
                 before = len(gateway.actions)
-                gateway.wait(now - gateway.now)
+                gateway.advance(now - gateway.now)
                 for n in asks.get(i, ()):
                     gateway.submit(n, **self.who())
                 for action in gateway.actions[before:]:
@@ -169,7 +169,7 @@
         crowd = Crowd(gateways, COLD, seed)
         for gateway in crowd.fleet:
             gateway.handle_events(EndpointDetached(1))
-            gateway.wait(5000)
+            gateway.advance(5000)
             gateway.handle_events(EndpointAttached(1))
         crowd.begun = crowd.fleet[0].now
         sent = crowd.play([], rate=4.0)
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -179,7 +179,7 @@
             world.connect(1000 * (second + 1) + r, key=7919 * r + second) <= 3 for r in range(60)
         )
         parts.append(placed[True] / 60)
-        world.wait(1000)
+        world.advance(1000)
     assert parts[0] < 0.5, "not all at once"
     assert parts[-1] == 1.0, "once warm, backups are idle again"
     assert all(later >= sooner - 0.25 for sooner, later in pairwise(parts))
@@ -197,10 +197,10 @@
     assert world.endpoint_of[1] == 2
     assert world.attempt_counts[1] == 2
     world.end_attempt(1, Outcome.CONNECT_FAILED)
-    world.wait(200)
+    world.advance(200)
     assert world.attempt_counts[1] == 3
     final = world.end_attempt(1, Outcome.CONNECT_FAILED)
-    final += world.wait(500)
+    final += world.advance(500)
     assert [type(a) for a in final if isinstance(a, (Reject, Fail))] == [Reject]
     assert not world.balancer.locations
 
@@ -219,7 +219,7 @@
     world.end_attempt(1, Outcome.CONNECT_FAILED)
     world.establish(1)
     assert world.connect(2, key=2) == 2, "suspect still"
-    world.wait(1200)
+    world.advance(1200)
     assert world.submit(3, key=3) == 1, "one tries it"
     assert world.connect(4, key=4) == 2, "the others do not wait for that"
     world.establish(3)
@@ -270,7 +270,7 @@
     world = gateway(MAIN, endpoints=0)
     assert not [a for a in world.handle_events(request_arrived(1)) if isinstance(a, (Reject, Fail, Send))]
     world.handle_events(list_update(entry(1)))
-    assert sends(world.wait(500))
+    assert sends(world.advance(500))
 
 
 def test_the_list_is_asked_for_once_whatever_the_number_of_pools() -> None:
@@ -279,7 +279,7 @@
     assert [type(a) for a in world.actions].count(WatchEndpoints) == 1
     before = len(world.actions)
     world.handle_events(list_update(kind=ListUpdateKind.FAILED))
-    world.wait(2000)
+    world.advance(2000)
     assert [type(a) for a in world.actions[before:]].count(WatchEndpoints) == 1
 
 
@@ -297,7 +297,7 @@
     world = Gateway(RULES, 2, balancer=pooled(Pool("main", (names(1), names(2))), classes=unsafe))
     world.submit(1, key=1)
     end = world.end_attempt(1, Outcome.RESET)
-    assert [type(a) for a in end + world.wait(1300) if isinstance(a, (Send, Reject, Fail))] == [Fail]
+    assert [type(a) for a in end + world.advance(1300) if isinstance(a, (Send, Reject, Fail))] == [Fail]
 
 
 CLASSES = (
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -111,7 +111,7 @@
         self.actions += actions
         return actions
 
-    def wait(self, ms: float) -> list[Action]:
+    def advance(self, ms: float) -> list[Action]:
         """Let time pass; what was done meanwhile."""
         until, done = self.now + ms, len(self.actions)
         while due := [w for w in self.pending_timers if w[0] <= until]:
@@ -150,7 +150,7 @@
             )
         )
 
-    def delay(self, endpoint: int, ms: float) -> list[Action]:
+    def report_latency(self, endpoint: int, ms: float) -> list[Action]:
         held = next(iter(self.balancer.endpoints[endpoint].connections), 0)
         return self.handle_events(LatencyReported(held, endpoint, ms))
 
