--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -127,7 +127,7 @@
 
         `kept`: numbers of classes that a front still uses.
         """
-        used = {*kept, *(state.cls for state in self.requests)}
+        used = {*kept, *(state.class_number for state in self.requests)}
         classes = renumber_classes(self.settings.classes, new.classes, used)
         self.settings = replace(new, classes=classes)
         self.reachability.apply_settings(new)
@@ -137,35 +137,39 @@
 
     def request(self, client: Client, asked: Request) -> int:
         """Take a request; returns its number. The client is answered once, before its time is up."""
-        deadline = self.clock.now() + asked.left
-        state = RequestState(client, asked.cls, deadline, self.settings.max_attempts, asked.id)
+        deadline = self.clock.now() + asked.time_left
+        state = RequestState(client, asked.class_number, deadline, self.settings.max_attempts, asked.id)
         number = self.requests.take(state)
         state.deadline_guard = self.deadlines.at(deadline + DEADLINE_GRACE, self._fail_overdue, number)
         self.dispatch(
             RequestArrived(
                 number,
-                asked.cls,
+                asked.class_number,
                 0,
                 asked.key,
-                to_ms(asked.left),
-                asked.hint,
+                to_ms(asked.time_left),
+                asked.load_hint,
                 asked.group,
                 returning=asked.returning,
-                connection_info=asked.facts,
+                connection_info=asked.connection_info,
             )
         )
         return number
 
     def restore_connection(self, client: Client, asked: Request, endpoint: int) -> AttemptId:
         """Take a connection that was open before the start. Its link is the front's to set up."""
-        state = RequestState(client, asked.cls, self.clock.now(), 1, asked.id)
+        state = RequestState(client, asked.class_number, self.clock.now(), 1, asked.id)
         number = self.requests.take(state)
         state.attempts = 1
         state.attempt_active = True
         state.established = True
         state.answered = True
         state.endpoint = endpoint
-        self.dispatch(ConnectionRestored(number, endpoint, asked.cls, 0, asked.hint, asked.group, asked.key))
+        self.dispatch(
+            ConnectionRestored(
+                number, endpoint, asked.class_number, 0, asked.load_hint, asked.group, asked.key
+            )
+        )
         return AttemptId(number, 0)
 
     def set_restored_link(self, attempt_id: AttemptId, link: UpstreamLink) -> None:
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -55,16 +55,16 @@
 
 
 class Request(NamedTuple):
-    """What a client asks for. `left`: the time until its deadline."""
+    """A client's request, as a front hands it to the engine."""
 
-    cls: int
-    key: int
-    left: timedelta
-    hint: float = 0.0
-    group: int = 0
-    returning: bool = False
-    facts: ConnectionInfo | None = None  # for the conditions of routes and tenants
-    id: str = ""  # the client's own, where its wire has one; the log names the request by it
+    class_number: int  # the index of the request class in the settings
+    key: int  # the number of the key by which the endpoint is chosen
+    time_left: timedelta  # until the request's deadline
+    load_hint: float = 0.0  # the expected load, in work per second; 0: unknown
+    group: int = 0  # requests of one group prefer the same endpoints; 0: none
+    returning: bool = False  # whether the client says that it has sent the request before
+    connection_info: ConnectionInfo | None = None  # for the conditions of routes and tenants
+    id: str = ""  # the client's own id where the protocol has one; the log names the request by it
 
 
 class RequestState:
@@ -76,8 +76,8 @@
         "attempt_expiry",
         "attempt_started",
         "attempts",
+        "class_number",
         "client",
-        "cls",
         "deadline",
         "deadline_guard",
         "endpoint",
@@ -88,9 +88,11 @@
         "number",
     )
 
-    def __init__(self, client: Client, cls: int, deadline: timedelta, max_attempts: int, id: str) -> None:
+    def __init__(
+        self, client: Client, class_number: int, deadline: timedelta, max_attempts: int, id: str
+    ) -> None:
         self.client = client
-        self.cls = cls
+        self.class_number = class_number
         self.deadline = deadline
         self.max_attempts = max_attempts
         self.id = id
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -163,7 +163,7 @@
         """The key is the client's host: it comes back to the endpoint that may know it."""
         facts = ConnectionInfo(address[0], address[1], self._config.listen[1], "quic")
         key = number(address[0].encode())
-        return Request(self._config.cls, key, time_to_answer, facts=facts)
+        return Request(self._config.cls, key, time_to_answer, connection_info=facts)
 
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
         """A connection set up at another address or through another node; its id names its endpoint.
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -72,7 +72,7 @@
             self.finish(TOO_MANY_CALLS)
         else:
             key, group = self._routing_keys
-            request = Request(self.method.cls, key, remaining, group=group, facts=CONNECTION_INFO)
+            request = Request(self.method.cls, key, remaining, group=group, connection_info=CONNECTION_INFO)
             number = engine.request(self, request)
             if self.completion.status is None:
                 self._number = number
