--- a/puffindeck/net/request_line.py
+++ b/puffindeck/net/request_line.py
@@ -6,7 +6,7 @@
 from datetime import timedelta
 
 from puffindeck.core.clock import milliseconds, to_ms
-from puffindeck.service_discovery.keys import number
+from puffindeck.service_discovery.keys import key_number
 
 CRLF = b"\r\n"
 MAX_LINE = 4096 - len(CRLF)
@@ -32,7 +32,7 @@
         self._line = line
         self._time: tuple[int, int] | None = None  # where the digits of `d` begin and end in the line
         self.id = words[1]
-        self.key = number(words[2])
+        self.key = key_number(words[2])
         self.cls = ""
         self.at = ""  # the host of a connection from before the run
         self.group = 0
@@ -61,7 +61,7 @@
         elif name == b"c":
             self.cls = value.decode()
         elif name == b"g":
-            self.group = number(value) if value else 0
+            self.group = key_number(value) if value else 0
         elif name == b"h":
             self.hint = self._figure(name, value)
         elif name == b"again":
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -30,7 +30,7 @@
 from puffindeck.quic.flow_table import Address, FlowTable
 from puffindeck.quic.packets import Packet, PacketKind
 from puffindeck.service_discovery.directory import Directory
-from puffindeck.service_discovery.keys import number
+from puffindeck.service_discovery.keys import key_number
 
 SWEEP_INTERVAL = milliseconds(500)  # how often flows are checked for time-outs
 REPORT_INTERVAL = milliseconds(10000)  # how often dropped datagrams are logged
@@ -162,7 +162,7 @@
     def _request(self, address: Address, time_to_answer: timedelta) -> Request:
         """The key is the client's host: it comes back to the endpoint that may know it."""
         facts = ConnectionInfo(address[0], address[1], self._config.listen[1], "quic")
-        key = number(address[0].encode())
+        key = key_number(address[0].encode())
         return Request(self._config.cls, key, time_to_answer, connection_info=facts)
 
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -24,7 +24,7 @@
 from puffindeck.rpc.endpoint_connection import BalancedConnect
 from puffindeck.rpc.endpoint_errors import Failed, Refused
 from puffindeck.service_discovery.directory import Directory
-from puffindeck.service_discovery.keys import number
+from puffindeck.service_discovery.keys import key_number
 
 __all__ = ["BalancedEndpoint", "Balancing", "Failed", "Refused"]
 
@@ -105,7 +105,7 @@
     def connect(self, protocolFactory: IProtocolFactory) -> Deferred[Any]:
         """A Deferred of the protocol, connected; or a Failure with Refused or Failed."""
         connect = BalancedConnect(self._balancing, protocolFactory)
-        key = number(self._key.encode()) if self._key else 0
+        key = key_number(self._key.encode()) if self._key else 0
         request = Request(self._cls, key, self._deadline)
         connect.request = self._balancing.engine.request(connect, request)
         return connect.result
--- a/puffindeck/rpc/routing_keys.py
+++ b/puffindeck/rpc/routing_keys.py
@@ -6,7 +6,7 @@
 from typing import Any, NamedTuple
 
 from puffindeck.config.client_config import RpcConfig
-from puffindeck.service_discovery.keys import number
+from puffindeck.service_discovery.keys import key_number
 
 RANDOM_KEY_BITS = 63
 
@@ -33,4 +33,4 @@
 
 
 def _key_number(value: str | bytes) -> int:
-    return number(value if isinstance(value, bytes) else str(value).encode())
+    return key_number(value if isinstance(value, bytes) else str(value).encode())
--- a/puffindeck/service_discovery/keys.py
+++ b/puffindeck/service_discovery/keys.py
@@ -1,5 +1,5 @@
-"""Clients' keys as the decision module's numbers, the same at each node and in each client."""
+"""Numbers of clients' keys for the decision module, the same in each node and in each client."""
 
-from puffindeck.hashes import key_number as number
+from puffindeck.hashes import key_number
 
-__all__ = ["number"]
+__all__ = ["key_number"]
--- a/tests/service_discovery/test_asyncio_watch.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -223,7 +223,7 @@
 
 def _request(key: str) -> Request:
     from puffindeck.interface import RequestArrived
-    from puffindeck.service_discovery.keys import number
+    from puffindeck.service_discovery.keys import key_number
     from tests.support.rpc_world import SETTINGS
 
-    return Request(RequestArrived(1, 0, 0, number(key.encode()), 1200, 0.0, 0), SETTINGS, 1.0, 0.0)
+    return Request(RequestArrived(1, 0, 0, key_number(key.encode()), 1200, 0.0, 0), SETTINGS, 1.0, 0.0)
--- a/tests/support/rpc_world.py
+++ b/tests/support/rpc_world.py
@@ -20,7 +20,7 @@
 from puffindeck.hashes import mix64
 from puffindeck.interface import ClassSettings, Effect
 from puffindeck.rpc.grpc import BalancedChannel
-from puffindeck.service_discovery.keys import number
+from puffindeck.service_discovery.keys import key_number
 from tests.support import client_settings
 
 SERVICE = "exchange.Feed"
@@ -289,5 +289,5 @@
         return next(
             key
             for key in (f"desk {i}" for i in range(10000))
-            if owner(ring, mix64(number(key.encode())) >> 34) == wanted
+            if owner(ring, mix64(key_number(key.encode())) >> 34) == wanted
         )
