--- a/puffindeck/cli/commands.py
+++ b/puffindeck/cli/commands.py
@@ -65,7 +65,8 @@
     host, port = node.listen
     class_names = ", ".join(request_class.name for request_class in node.settings.classes)
     click.echo(
-        f"{file}: node {node.name} on {host}:{port}, {len(node.known.targets)} servers, classes {class_names}"
+        f"{file}: node {node.name} on {host}:{port}, {len(node.file_endpoints.targets)} servers, "
+        f"classes {class_names}"
     )
     if node.routing is not None:
         _describe_routing(file, node, node.routing)
@@ -85,7 +86,7 @@
 
 def _check_servers_are_known(file: Path, node: config.NodeConfig, pool: Pool) -> None:
     """Check a pool of a file without discovery. Raises CommandError for a server that is not in `known`."""
-    known = {target.uid for target in node.known.targets}
+    known = {target.uid for target in node.file_endpoints.targets}
     for server in (server for tier in pool.tiers for server in tier):
         is_pattern = "*" in server or "?" in server
         if not is_pattern and server not in known:
--- a/puffindeck/config/client_config.py
+++ b/puffindeck/config/client_config.py
@@ -12,7 +12,7 @@
 from puffindeck.config.checks import check_at_least, check_seconds, parse_address, parse_seed
 from puffindeck.config.endpoint_list import EndpointList
 from puffindeck.config.errors import ConfigError, InvalidValueError
-from puffindeck.config.policy_settings import check_class_names, class_index, parse_settings
+from puffindeck.config.policy_settings import check_class_names, find_class_number, parse_settings
 from puffindeck.config.routing import RoutingTable, parse_routing
 from puffindeck.interface import Settings
 
@@ -66,13 +66,15 @@
 class RpcConfig(msgspec.Struct, frozen=True):
     """How calls become requests, checked."""
 
-    cls: int  # the class of a call whose method is not named
-    methods: dict[str, int]  # classes by "/package.Service/Method", or by "/package.Service/" for all of its
+    class_number: int  # the class of calls whose method is not in `methods`
+    methods: dict[
+        str, int
+    ]  # class numbers by "/package.Service/Method", or "/package.Service/" for all methods
     key_metadata: str
     group_metadata: str
-    subchannels: int  # endpoints at most that a channel has a connection to
-    idle: timedelta  # how long a connection without a call stays open
-    replay: int  # messages of a request stream that are buffered for another attempt
+    max_subchannels: int  # endpoints that a channel is connected to at the same time
+    idle_timeout: timedelta  # a connection without calls is closed after it
+    max_replayed_messages: int  # messages of a request stream that are buffered for another attempt
     tls: TlsConfig | None
 
 
@@ -82,7 +84,7 @@
     name: str
     discovery: tuple[str, int] | None  # None: the file's list is the only one
     seed: int
-    known: EndpointList
+    file_endpoints: EndpointList
     settings: Settings
     rpc: RpcConfig
     routing: Routing | None = None  # its package is not loaded by a client without routing
@@ -116,7 +118,8 @@
 
 def _parse_methods(methods: dict[str, str], settings: Settings) -> dict[str, int]:
     classes = {
-        method: class_index(settings, name, f"rpc.methods.{method!r}") for method, name in methods.items()
+        method: find_class_number(settings, name, f"rpc.methods.{method!r}")
+        for method, name in methods.items()
     }
     for method in methods:
         if not method.startswith("/") or method.count("/") != 2:
@@ -131,19 +134,19 @@
 
     Raises ConfigError, which names the key at fault.
     """
-    cls = class_index(settings, table.class_, "rpc.class") if table.class_ else 0
+    class_number = find_class_number(settings, table.class_, "rpc.class") if table.class_ else 0
     methods = _parse_methods(table.methods, settings)
     check_at_least(table.subchannels, 1, "rpc.subchannels")
     check_at_least(table.replay, 0, "rpc.replay")
     check_seconds(table.idle_s, "rpc.idle_s")
     return RpcConfig(
-        cls=cls,
+        class_number=class_number,
         methods=methods,
         key_metadata=_parse_metadata_name(table.key_metadata, "rpc.key_metadata"),
         group_metadata=_parse_metadata_name(table.group_metadata, "rpc.group_metadata"),
-        subchannels=table.subchannels,
-        idle=timedelta(seconds=table.idle_s),
-        replay=table.replay,
+        max_subchannels=table.subchannels,
+        idle_timeout=timedelta(seconds=table.idle_s),
+        max_replayed_messages=table.replay,
         tls=_parse_tls(table.tls, folder) if table.tls else None,
     )
 
@@ -161,7 +164,7 @@
         name=file.name,
         discovery=parse_address(file.discovery, "discovery") if file.discovery else None,
         seed=seed,
-        known=file.known or EndpointList(0, True, []),
+        file_endpoints=file.known or EndpointList(0, True, []),
         settings=settings,
         rpc=parse_rpc(file.rpc, settings, folder),
     )
--- a/puffindeck/config/node_config.py
+++ b/puffindeck/config/node_config.py
@@ -58,16 +58,16 @@
     listen: tuple[str, int]
     discovery: tuple[str, int] | None  # None: the file's list is the only one
     seed: int
-    sockets: int  # descriptors that the node may have open
-    known: EndpointList
+    max_descriptors: int  # file descriptors that the node may have open
+    file_endpoints: EndpointList
     settings: Settings
     quic: QuicConfig | None = None
     routing: Routing | None = None  # its package is not loaded by a node without routing
     fleet_member: FleetMemberConfig | None = None  # None: a node that is no member of a fleet
     operator: tuple[str, int] | None = None  # None: no second address
     json_logs: bool = False  # log lines as JSON
-    inherited: int | None = None  # the descriptor of a clients' socket that other processes share
-    folder: Path = Path(gettempdir())  # where records are stored that outlive the process
+    inherited_descriptor: int | None = None  # a listening socket for clients that other processes share
+    state_folder: Path = Path(gettempdir())  # for state that outlives the process
     file: NodeFile | None = None  # the file as it was read, for a reload to compare with
     file_keys: dict[str, Any] = msgspec.field(default_factory=dict)  # the keys that the file has
 
@@ -168,16 +168,16 @@
         listen=parse_address(environment.get("EDGE_LISTEN") or file.listen, "EDGE_LISTEN"),
         discovery=parse_address(discovery, "EDGE_DISCOVERY") if discovery else None,
         seed=seed,
-        sockets=file.limits.sockets,
-        known=file.known or EndpointList(0, True, []),
+        max_descriptors=file.limits.sockets,
+        file_endpoints=file.known or EndpointList(0, True, []),
         settings=settings,
         quic=parse_quic(file.quic, settings) if file.quic else None,
         routing=parse_routing(file.routing) if file.routing else None,
         fleet_member=fleet_member,
         json_logs=file.log == "json",
         operator=parse_address(operator, "EDGE_OPERATOR") if operator else None,
-        inherited=parse_inherited_descriptor(environment.get("EDGE_INHERITED_FD", "")),
-        folder=temporary_folder / f"puffindeck-{name.encode().hex()}",
+        inherited_descriptor=parse_inherited_descriptor(environment.get("EDGE_INHERITED_FD", "")),
+        state_folder=temporary_folder / f"puffindeck-{name.encode().hex()}",
         file=file,
         file_keys=keys,
     )
--- a/puffindeck/config/policy_settings.py
+++ b/puffindeck/config/policy_settings.py
@@ -122,7 +122,7 @@
         raise ConfigError("settings: classes must have different names")
 
 
-def class_index(settings: Settings, name: str, key: str) -> int:
+def find_class_number(settings: Settings, name: str, key: str) -> int:
     """The number of the class of that name. Raises InvalidValueError, which names `key`, if there is none."""
     names = [request_class.name for request_class in settings.classes]
     if name not in names:
--- a/puffindeck/config/quic.py
+++ b/puffindeck/config/quic.py
@@ -9,7 +9,7 @@
 
 from puffindeck.config.checks import check_at_least, check_seconds, parse_address, parse_hexadecimal
 from puffindeck.config.errors import ConfigError, InvalidValueError
-from puffindeck.config.policy_settings import class_index
+from puffindeck.config.policy_settings import find_class_number
 from puffindeck.interface import Settings
 
 MAX_CONFIG_ID = 6  # QUIC-LB keeps 7 for ids that carry no server id
@@ -39,16 +39,16 @@
     """The QUIC front's configuration, checked."""
 
     listen: tuple[str, int]
-    cls: int  # the number of the class that connections belong to
+    class_number: int  # the index in the settings of the request class of all connections
     deadline: timedelta  # from a client's first Initial to the answer
-    idle: timedelta  # how long a flow without datagrams lasts
-    silent: timedelta  # how long a flow without an answer of its endpoint lasts
+    idle_timeout: timedelta  # a flow without datagrams is removed after it
+    silence_timeout: timedelta  # a flow whose endpoint sends nothing is removed after it
     config_id: int
     server_id_length: int  # octets
     nonce_length: int  # octets
     key: bytes
-    connections: int  # flows at once
-    boxes: dict[bytes, str]  # an endpoint's uid by the server id in its connection ids
+    max_connections: int  # flows open at the same time
+    uid_by_server_id: dict[bytes, str]  # uids of endpoints by the server id in their connection ids
 
 
 def _check_connection_id_layout(table: QuicTable) -> None:
@@ -91,7 +91,7 @@
         raise ConfigError(
             "quic: the front wants what requirements-operator.txt names, aioquic, which is not installed"
         )
-    cls = class_index(settings, table.class_, "quic.class") if table.class_ else 0
+    class_number = find_class_number(settings, table.class_, "quic.class") if table.class_ else 0
     _check_connection_id_layout(table)
     key = _parse_key(table.key)
     check_at_least(table.connections, 1, "quic.connections")
@@ -100,14 +100,14 @@
     uids = _parse_server_ids(table)
     return QuicConfig(
         listen=parse_address(table.listen, "quic.listen"),
-        cls=cls,
-        deadline=timedelta(milliseconds=table.deadline_ms or settings.classes[cls].deadline_ms),
-        idle=timedelta(seconds=table.idle_s),
-        silent=timedelta(seconds=table.silent_s),
+        class_number=class_number,
+        deadline=timedelta(milliseconds=table.deadline_ms or settings.classes[class_number].deadline_ms),
+        idle_timeout=timedelta(seconds=table.idle_s),
+        silence_timeout=timedelta(seconds=table.silent_s),
         config_id=table.config_id,
         server_id_length=table.server_id_length,
         nonce_length=table.nonce_length,
         key=key,
-        connections=table.connections,
-        boxes=uids,
+        max_connections=table.connections,
+        uid_by_server_id=uids,
     )
--- a/puffindeck/config/reload.py
+++ b/puffindeck/config/reload.py
@@ -80,7 +80,7 @@
 
 
 def _reloaded_endpoints(running: NodeConfig, new: NodeConfig) -> EndpointList:
-    return running.known if running.discovery else new.known
+    return running.file_endpoints if running.discovery else new.file_endpoints
 
 
 def reload_node_config(
@@ -104,8 +104,8 @@
     config = msgspec.structs.replace(
         running,
         discovery=discovery,
-        sockets=new.sockets,
-        known=_reloaded_endpoints(running, new),
+        max_descriptors=new.max_descriptors,
+        file_endpoints=_reloaded_endpoints(running, new),
         file=file,
         settings=new.settings,
         file_keys=new.file_keys,
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -62,7 +62,7 @@
         self._build_engine()
         self._build_client_side()
         self._build_operations()
-        self.watch = self._build_watch(config.known.rev) if config.discovery else None
+        self.watch = self._build_watch(config.file_endpoints.rev) if config.discovery else None
 
     def _build_engine(self) -> None:
         self.fleet_member = FleetMember(
@@ -78,11 +78,11 @@
     def _build_client_side(self) -> None:
         config = self.config
         reserved = MAX_CALLERS if config.operator else 0
-        self.admission = AdmissionControl(config.sockets, reserved, self._descriptors_in_use)
+        self.admission = AdmissionControl(config.max_descriptors, reserved, self._descriptors_in_use)
         self.listeners = ClientListeners(
             self.reactor,
             self.admission,
-            config.inherited,
+            config.inherited_descriptor,
             lambda listener: ClientFactory(self.client_services, listener),
         )
         self.lifecycle = Lifecycle(config.name, self.engine, self.deadlines, self.connections, self.listeners)
@@ -105,7 +105,7 @@
         )
 
     def _build_operations(self) -> None:
-        folder = self.config.folder
+        folder = self.config.state_folder
         errors = RateLimitedLog(log, self.deadlines, "staff: records can't be read")
         self.detachment = Detachment(
             DetachmentStore(folder / "detached"), self.engine, self.directory, self.deadlines, errors
@@ -152,13 +152,13 @@
         Raises CannotListenError, or an error of the fleet.
         """
         config = self.config
-        if config.inherited is None:
+        if config.inherited_descriptor is None:
             self.listeners.open_main(config.listen)
         else:
             self.hot_restart.join()
         self._open_named_listeners()
-        entries = self.directory.entries(config.known, self.deadlines.clock.now())
-        self.engine.update_endpoints(ListUpdateKind.CACHED, config.known.rev, entries)
+        entries = self.directory.entries(config.file_endpoints, self.deadlines.clock.now())
+        self.engine.update_endpoints(ListUpdateKind.CACHED, config.file_endpoints.rev, entries)
         if config.quic is not None:
             self.start_quic(config.quic)
         if config.operator is not None:
@@ -245,7 +245,7 @@
             log.warn("reload: settings.evenness is taken up or given up at a restart only")
         if config.settings != previous.settings:
             self._apply_settings(config.settings)
-        self.admission.set_descriptor_limit(config.sockets)
+        self.admission.set_descriptor_limit(config.max_descriptors)
         self.fleet_member.reload()
         if config.discovery != previous.discovery:
             # another service: its list is asked for whole, as its versions may say nothing of the old one's
@@ -253,15 +253,15 @@
                 self.watch.stop()
             self.watch = self._build_watch(None)
             self.watch.poll()
-        elif config.discovery is None and config.known != previous.known:
-            entries = self.directory.entries(config.known, self.deadlines.clock.now())
-            self.engine.update_endpoints(ListUpdateKind.FULL, config.known.rev, entries)
+        elif config.discovery is None and config.file_endpoints != previous.file_endpoints:
+            entries = self.directory.entries(config.file_endpoints, self.deadlines.clock.now())
+            self.engine.update_endpoints(ListUpdateKind.FULL, config.file_endpoints.rev, entries)
 
     def _apply_settings(self, new: Settings) -> None:
         """Other classes and rules for what comes from now on."""
         if new.zone < len(new.zones):  # the directory's numbers stay, in whatever order zones are named now
             new = replace(new, zone=self.directory.zone(new.zones[new.zone]))
-        quic = [self.config.quic.cls] if self.config.quic is not None else []
+        quic = [self.config.quic.class_number] if self.config.quic is not None else []
         self.engine.apply_settings(new, [*self.classes.numbers.values(), *quic])
         self.client_services.connect_timeout = milliseconds(new.connect_timeout_ms)
         dropped = self.classes.apply(new.classes, self.engine.settings.classes)
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -59,8 +59,8 @@
         self._directory = directory
         self._stopping = stopping
         self._ids = ConnectionIds(config.config_id, config.server_id_length, config.nonce_length, config.key)
-        self._host_by_server_id = dict(config.boxes)
-        self.flows: FlowTable[Flow] = FlowTable(config.connections)
+        self._host_by_server_id = dict(config.uid_by_server_id)
+        self.flows: FlowTable[Flow] = FlowTable(config.max_connections)
         self.dropped = DroppedDatagrams()
         self._context = FlowContext(
             reactor=reactor,
@@ -70,8 +70,8 @@
             table=self.flows,
             dropped=self.dropped,
             write=self._write,
-            idle_timeout=config.idle,
-            silent_timeout=config.silent,
+            idle_timeout=config.idle_timeout,
+            silent_timeout=config.silence_timeout,
             short_id_octets=self._ids.length,
         )
         deadlines.after(SWEEP_INTERVAL, self._sweep)
@@ -163,7 +163,7 @@
         """The key is the client's host: it comes back to the endpoint that may know it."""
         facts = ConnectionInfo(address[0], address[1], self._config.listen[1], "quic")
         key = key_number(address[0].encode())
-        return Request(self._config.cls, key, time_to_answer, connection_info=facts)
+        return Request(self._config.class_number, key, time_to_answer, connection_info=facts)
 
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
         """A connection set up at another address or through another node; its id names its endpoint.
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -57,7 +57,9 @@
         self._deadline = CallDeadline(shared.clock, options.timeout)
         self._routing_keys = read_routing_keys(options.metadata, shared.config.rpc, shared.balancer.random)
         if method.request_stream:
-            self.request_stream = RequestStream(self, shared.loop, shared.config.rpc.replay, request)
+            self.request_stream = RequestStream(
+                self, shared.loop, shared.config.rpc.max_replayed_messages, request
+            )
         self._place()
 
     # Placing
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -117,7 +117,7 @@
             rpc = self._config.rpc
             security = self._security()
             shared = SharedState.acquire(self._config, self._alone)
-            pool = SubchannelPool(shared.deadlines, rpc.subchannels, rpc.idle, security)
+            pool = SubchannelPool(shared.deadlines, rpc.max_subchannels, rpc.idle_timeout, security)
             self._parts = ChannelParts(shared, pool)
         elif self._parts.shared.loop is not loop:
             raise RuntimeError("this channel belongs to another event loop: make one in this loop")
@@ -194,7 +194,7 @@
     def _class_of(self, path: str) -> int:
         rpc = self._config.rpc
         service = path[: path.rfind("/") + 1]
-        return rpc.methods.get(path, rpc.methods.get(service, rpc.cls))
+        return rpc.methods.get(path, rpc.methods.get(service, rpc.class_number))
 
     def _multicallable(self, path: str, kind: CallKind, serializer: Any, deserializer: Any) -> Any:
         method = Method(path, *kind, serializer, deserializer, self._class_of(path))
--- a/puffindeck/rpc/shared_state.py
+++ b/puffindeck/rpc/shared_state.py
@@ -100,7 +100,7 @@
 
     def _load_known_endpoints(self) -> None:
         """Begin with the list of the configuration, or have the decision module request one."""
-        known = self.config.known
+        known = self.config.file_endpoints
         if known.targets:
             kind = ListUpdateKind.CACHED if self.endpoint_watch else ListUpdateKind.FULL
             self.engine.update_endpoints(kind, known.rev, self.directory.entries(known, self.clock.now()))
@@ -113,7 +113,7 @@
         if not globalLogPublisher._observers.count(_OBSERVER):
             globalLogPublisher.addObserver(_OBSERVER)
         text = msgspec.json.encode(
-            [config.discovery, config.known, repr(config.settings), repr(config.routing)]
+            [config.discovery, config.file_endpoints, repr(config.settings), repr(config.routing)]
         )
         key = _InstanceKey(id(asyncio.get_running_loop()), text)
         shared = None if alone else cls._instances.get(key)
--- a/tests/importer/test_haproxy.py
+++ b/tests/importer/test_haproxy.py
@@ -74,12 +74,12 @@
     assert "h.cfg:20: refused, traffic is affected: server b" in done.stderr
     told = config.load_node_config({}, str(tmp_path / "o.toml"))
     assert told.listen == ("127.0.0.1", 7000)
-    assert told.sockets == 4064
+    assert told.max_descriptors == 4064
     assert told.settings.max_attempts == 3
     assert told.settings.connect_timeout_ms == 300
     assert told.settings.classes[0].deadline_ms == 3000
     assert told.settings.bound == 1.5
-    assert [(t.uid, t.endpoint, t.capacity_hint, t.state) for t in told.known.targets] == [
+    assert [(t.uid, t.endpoint, t.capacity_hint, t.state) for t in told.file_endpoints.targets] == [
         ("a", "127.0.0.1:6001", 50, "SERVING"),
         ("b", "127.0.0.1:6002", 100, "SERVING"),
         ("c", "127.0.0.1:6003", 1, "DRAINING"),
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -28,7 +28,7 @@
         super().build(hosts, **settings)
 
     def changed(self, told: NodeConfig) -> NodeConfig:
-        return msgspec.structs.replace(told, operator=("127.0.0.1", 0), folder=self.folder)
+        return msgspec.structs.replace(told, operator=("127.0.0.1", 0), state_folder=self.folder)
 
     async def close(self) -> None:
         for caller in list(self.node.admin_api.callers):
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -80,7 +80,7 @@
         self.assertIs(self.node.watch, before)
 
         self.reread(self.configured(discovery=other.address, limits={"sockets": 300}, seed="5"))
-        self.assertEqual(self.node.config.sockets, 300)
+        self.assertEqual(self.node.config.max_descriptors, 300)
         await old.ended()
         self.discovery, gone = other, self.discovery
         listing = await other.next()
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -155,7 +155,9 @@
 
     def changed(self, told: NodeConfig) -> NodeConfig:
         if hasattr(self, "held"):
-            return msgspec.structs.replace(told, inherited=self.held.fileno(), folder=self.folder)
+            return msgspec.structs.replace(
+                told, inherited_descriptor=self.held.fileno(), state_folder=self.folder
+            )
         return told
 
 
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -39,7 +39,9 @@
         self.second.start()
 
     def changed(self, told: NodeConfig) -> NodeConfig:
-        return msgspec.structs.replace(told, inherited=self.socket.fileno(), folder=self.folder)
+        return msgspec.structs.replace(
+            told, inherited_descriptor=self.socket.fileno(), state_folder=self.folder
+        )
 
     async def made_ready(self, started: Node) -> None:
         watch = await self.watched()
--- a/tests/rpc/test_client_config.py
+++ b/tests/rpc/test_client_config.py
@@ -46,7 +46,7 @@
     assert config.discovery == ("127.0.0.1", 8500)
     assert config.seed == 42
     assert config.rpc.methods == {"/exchange.Feed/Watch": 1}
-    assert config.rpc.idle == timedelta(seconds=60)
+    assert config.rpc.idle_timeout == timedelta(seconds=60)
 
 
 def test_clients_without_a_seed_draw_their_own(tmp_path: Path) -> None:
