--- a/packages/fleet/src/puffindeck_fleet/request_filter.py
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -41,11 +41,11 @@
 
 
 class RequestFilter:
-    """The decision module behind quotas and rules of residency.
+    """Wraps the decision module `inner` and applies quotas and residency rules to its requests.
 
-    `view` gives what a front knows of a request, and `tenant` the tenant by that. With `ruleset_store` the decision
-    module has to be a `puffindeck_residency.RegionalBalancer`. `moved_within_ms`: milliseconds within which connections
-    migrate that are in a region that is no longer allowed.
+    `view` returns the attributes of a request that conditions are evaluated on, and `tenant` returns the tenant for
+    those attributes. If `ruleset_store` is given, `inner` must be a `puffindeck_residency.RegionalBalancer`.
+    Connections in a region that is no longer allowed migrate within `migrate_within_ms` milliseconds.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         view: Callable[[RequestArrived], Any] = lambda event: event,
         ruleset_store: RulesetStore | None = None,
         region: str = "",
-        moved_within_ms: float = 30000.0,
+        migrate_within_ms: float = 30000.0,
     ) -> None:
         self.quota = quota
         self.ruleset_store = ruleset_store
@@ -69,7 +69,7 @@
         self._regions: RegionEnforcement | None = None
         if ruleset_store is not None:
             module = cast(RegionalDecisions, inner)
-            self._regions = RegionEnforcement(module, ruleset_store, region, moved_within_ms)
+            self._regions = RegionEnforcement(module, ruleset_store, region, migrate_within_ms)
         self._requests: dict[int, FilteredRequest] = {}
         self._released: list[int] = []  # requests that migrate with the next actions
 
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -102,7 +102,7 @@
             view=self._view,
             ruleset_store=ruleset_store,
             region=installed.fleet.region,
-            moved_within_ms=rules.moved_within_ms if rules is not None else 0.0,
+            migrate_within_ms=rules.moved_within_ms if rules is not None else 0.0,
         )
 
     def _build_quota(self, process_incarnation: int) -> Any:
