--- a/tests/core/test_generational_arena.py
+++ b/tests/core/test_generational_arena.py
@@ -19,5 +19,5 @@
         self.assertNotEqual(first, second)
         self.assertIsNone(slots.get(first))
         self.node.engine.attempt_ended(AttemptId(first, 0), Outcome.OK)
-        self.assertEqual(self.ends(AttemptEnded), [])
+        self.assertEqual(self.events_of(AttemptEnded), [])
         slots.drop(second)
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -73,7 +73,7 @@
             *self.node.listeners.named,
         ):
             await maybeDeferred(port.stopListening)
-        await self.until(
+        await self.wait_until(
             lambda: not self.node.connections.clients and all(p.end for p in peers), "all to close"
         )
         self.node.deadlines.clear()
@@ -111,7 +111,7 @@
                     taken.append((box, accepted.pending.pop(0)))
             return bool(taken) or client.end is not None or bool(client._lines.pending)
 
-        await self.until(look, "a server to be reached")
+        await self.wait_until(look, "a server to be reached")
         if not taken:
             return (await client.line()).decode(), where, client
         box, host = taken[0]
@@ -217,7 +217,9 @@
             self.assertEqual(counts[port], int(options["maxconn"]), "full, and no more")
         self.assertEqual([one[0].split()[0] for one in seen[5:]], ["BUSY", "BUSY"])
         seen[0][2].transport.loseConnection()
-        await self.until(lambda: len(self.node.engine.established_requests()) == 4, "the room that it leaves")
+        await self.wait_until(
+            lambda: len(self.node.engine.established_requests()) == 4, "the room that it leaves"
+        )
         self.assertEqual((await self.served_by())[0], seen[0][0])
 
     async def test_defaults_overridden(self) -> None:
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -52,7 +52,7 @@
     async def serving(self) -> Peer:
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
-        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
         return watch
 
     async def test_ready_is_no_while_starting_and_draining_and_odd_calls_get_a_no(self) -> None:
@@ -73,7 +73,7 @@
             ("PUT /_hosts/attach?member=h7", 404),
         ):
             self.assertEqual(await self.call(odd), status, odd)
-        self.assertEqual(self.ends(EndpointDetached), [])
+        self.assertEqual(self.events_of(EndpointDetached), [])
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         self.assertEqual(await self.call("GET /_ready"), 503)
         self.assertEqual(await self.call("PUT /_lameduck/off", "Content-Length: 2\r\n\r\nhi"), 200)
@@ -85,7 +85,7 @@
         stalled = [await self.caller() for _ in range(2 * admin_api.MAX_CALLERS)]
         stalled[-1].write(b"GET /_ready HT")
         self.assertEqual(await self.call("GET /_ready"), 200)
-        await self.until(
+        await self.wait_until(
             lambda: sum(p.end is not None for p in stalled) >= admin_api.MAX_CALLERS, "their end"
         )
         self.assertLessEqual(len(self.node.admin_api.callers), admin_api.MAX_CALLERS)
@@ -105,8 +105,10 @@
             _, reached, _ = await self.establish(ASK)
             self.assertNotEqual(reached, uid)
         self.assertEqual(await self.call(f"PUT /_hosts/attach?member={uid}"), 200)
-        self.assertEqual((len(self.ends(EndpointDetached)), len(self.ends(EndpointAttached))), (1, 1))
-        await self.until(lambda: self.back_in_use(uid), "its use")
+        self.assertEqual(
+            (len(self.events_of(EndpointDetached)), len(self.events_of(EndpointAttached))), (1, 1)
+        )
+        await self.wait_until(lambda: self.back_in_use(uid), "its use")
 
     def back_in_use(self, uid: str) -> bool:
         endpoint = self.node.engine.balancer.endpoints[self.node.directory.number(uid)]
@@ -119,7 +121,7 @@
         self.build(hosts=1, drain_grace_ms=0)
         number = self.node.directory.number("h0")
         client = await self.client(ASK)
-        await self.until(lambda: self.node.connections.upstreams, "the attempt")
+        await self.wait_until(lambda: self.node.connections.upstreams, "the attempt")
         self.node.detachment.detach("h0")
         _, host = await self.accept_attempt()
         await host.ended()
@@ -133,19 +135,21 @@
         marker = self.folder / "detached" / b"h0".hex()
         marker.touch()
         (self.folder / "detached" / "not ours").touch()
-        await self.until(lambda: self.ends(EndpointDetached), "the other's word")
+        await self.wait_until(lambda: self.events_of(EndpointDetached), "the other's word")
         marker.unlink()
-        await self.until(lambda: self.ends(EndpointAttached), "the other's word")
+        await self.wait_until(lambda: self.events_of(EndpointAttached), "the other's word")
         number = self.node.directory.number("h0")
         records = self.folder / "detached"
         records.rename(self.folder / "away")
         records.touch()  # no folder: nothing can be recorded
         self.assertEqual(await self.call("PUT /_hosts/detach?member=h0"), 507)
         # it counts 1 s after the call whatever was answered, so it holds here
-        self.assertEqual(len(self.ends(EndpointDetached)), 2)
+        self.assertEqual(len(self.events_of(EndpointDetached)), 2)
         self.assertIn(number, self.node.engine.reachability.detached_since)
         records.unlink()
-        await self.until(lambda: records.is_dir() and marker.exists(), "its record, once there is a folder")
+        await self.wait_until(
+            lambda: records.is_dir() and marker.exists(), "its record, once there is a folder"
+        )
         self.assertEqual(await self.call("PUT /_hosts/attach?member=h0"), 200)
         self.assertFalse(marker.exists())
 
@@ -165,8 +169,8 @@
         marker = records / b"h0".hex()
         marker.unlink()
         records.rmdir()
-        await self.until(marker.exists, "its record")
-        self.assertFalse(self.ends(EndpointAttached))
+        await self.wait_until(marker.exists, "its record")
+        self.assertFalse(self.events_of(EndpointAttached))
 
     async def test_a_lame_duck_says_no_serves_a_little_moves_all_and_takes_clients_again(self) -> None:
         self.build()
@@ -189,7 +193,7 @@
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         self.assertIs(self.node.lifecycle.shutdown, leaving)  # the clock goes on
         self.assertEqual(await first.line(), b"MOVE")
-        await self.until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
+        await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
         refused = await self.client(ASK)
         self.assertRegex(await refused.line(), rb"^BUSY \d+$")
         self.assertEqual([await late.ended(), await half.ended()], ["ConnectionDone", "ConnectionDone"])
@@ -214,9 +218,9 @@
             DrainSchedule(milliseconds(50), milliseconds(150), milliseconds(100), milliseconds(300)),
         ):
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
-        await self.until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
+        await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
         self.assertEqual(await self.call("PUT /_lameduck/off"), 200)
         with self.assertRaises(AssertionError):
-            await self.until(lambda: client.end, "no end")
+            await self.wait_until(lambda: client.end, "no end")
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -25,7 +25,7 @@
         usual = await self.client()  # its line takes its time
         room = 256 - admission.RESERVED_FOR_NODE - admission.RESERVED_FOR_REQUESTS
         rude = [await self.client() for _ in range(room - 1)]
-        await self.until(lambda: all(front.end for front in told), "who was told PONG to go first")
+        await self.wait_until(lambda: all(front.end for front in told), "who was told PONG to go first")
         self.assertEqual(sum(peer.end is not None for peer in (usual, *rude)), 0)
         usual.write(ASK.encode() + b"\r\n")
         _, host = await self.accept_attempt()
@@ -33,13 +33,15 @@
         host.write(b"UP r1\r\n")
         self.assertEqual(await usual.line(), b"UP r1")
         more = [await self.client() for _ in range(40)]
-        await self.until(lambda: sum(peer.end is not None for peer in rude) >= 40, "the first ones to go")
+        await self.wait_until(
+            lambda: sum(peer.end is not None for peer in rude) >= 40, "the first ones to go"
+        )
         self.assertEqual(len(self.node.admission.waiting), room - 2)  # a served one's two are taken off
         self.assertIsNone(more[-1].end)  # who came last may yet ask
         with patch.object(self.node.admission, "_descriptors_in_use", lambda: 300):
             await self.client()
             control = self.node.admission
-            await self.until(lambda: len(control.waiting) == control.min_waiting, "its giving way")
+            await self.wait_until(lambda: len(control.waiting) == control.min_waiting, "its giving way")
 
     async def test_descriptors_running_out_is_no_crash(self) -> None:
         self.build()
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -16,17 +16,17 @@
         self.build()
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
-        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
         for line, answer in ((b"PING\r\n", b"PONG"), (b"OPEN 1 2 c=none,d=5\r\n", b"ERR")):
             for cut in range(1, len(line)):
                 client = await self.client()
                 client.write(line[:cut])
                 (stranger,) = self.node.admission.waiting
-                await self.until(partial(self.held, stranger, line[:cut]), "its first piece")
+                await self.wait_until(partial(self.held, stranger, line[:cut]), "its first piece")
                 client.write(line[cut:])
                 self.assertEqual(await client.line(), answer)
                 client.transport.abortConnection()
-                await self.until(lambda: not self.node.connections.clients, "its end")
+                await self.wait_until(lambda: not self.node.connections.clients, "its end")
 
     @staticmethod
     def held(stranger: Any, piece: bytes) -> bool:
@@ -72,7 +72,7 @@
         client.write(ASK.encode() + b"\r\n")
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(len(self.node.engine.requests), 0)
 
     async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
@@ -83,4 +83,4 @@
         first.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         first.transport.abortConnection()
-        await self.until(lambda: not self.node.connections.open_ids, "its end")
+        await self.wait_until(lambda: not self.node.connections.open_ids, "its end")
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -26,7 +26,7 @@
         _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r\r\n")
-        await self.until(lambda: line.state is ConnectionState.RELAYING, "UP")
+        await self.wait_until(lambda: line.state is ConnectionState.RELAYING, "UP")
 
     async def test_a_request_that_comes_after_the_end_has_an_answer_and_is_not_sent_on(self) -> None:
         self.build()
@@ -36,7 +36,7 @@
         text = await self.reads(plain)
         self.assertRegex(text, rb"^PONG\r\nBUSY \d+\r\n$")
         plain.close()
-        await self.until(lambda: line.state is ConnectionState.GONE, "the end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "the end")
         self.assertFalse(self.reached())
 
     async def test_who_is_put_out_for_room_and_has_asked_is_served_and_else_told_busy(self) -> None:
@@ -62,7 +62,7 @@
         self.build()
         plain, line = await self.met()
         plain.sendall(b"OPEN 9b1f03aa")
-        await self.until(lambda: line._buffer, "the half")
+        await self.wait_until(lambda: line._buffer, "the half")
         self.node.lifecycle.is_accepting = False
         line.answer_before_stop(True)
         plain.sendall(b"5c7e2d41 7f3a c=chat,d=1100\r\n")
@@ -84,7 +84,7 @@
     async def asking(self) -> tuple[socket.socket, ClientProtocol]:
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: line.state is ConnectionState.ASKING_READINESS, "the question")
+        await self.wait_until(lambda: line.state is ConnectionState.ASKING_READINESS, "the question")
         return plain, line
 
     async def test_each_question_before_readiness_has_its_answer(self) -> None:
@@ -92,9 +92,9 @@
         watch = await self.accept_watch()
         plain, line = await self.asking()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: line._unanswered_pings == 2, "the second question")
+        await self.wait_until(lambda: line._unanswered_pings == 2, "the second question")
         self.send_update(watch, 2, False)
-        await self.until(lambda: line.state is ConnectionState.IDLE, "readiness")
+        await self.wait_until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.exactly(plain, 12), b"PONG\r\nPONG\r\n")
 
     async def test_who_waits_for_readiness_stands_at_the_door_and_may_have_to_go(self) -> None:
@@ -104,14 +104,14 @@
         self.assertIn(line, self.node.admission.waiting)
         line.evict()
         self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_who_has_gone_before_readiness_is_forgotten(self) -> None:
         self.build()
         plain, line = await self.asking()
         plain.close()
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_a_request_before_readiness_takes_the_questions_place(self) -> None:
@@ -122,9 +122,9 @@
         _, host = await self.accept_attempt()
         await host.line()
         self.send_update(watch, 2, False)
-        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
         host.write(b"UP r\r\n")
-        await self.until(lambda: line.state is ConnectionState.RELAYING, "UP")
+        await self.wait_until(lambda: line.state is ConnectionState.RELAYING, "UP")
         self.assertEqual(await self.exactly(plain, 6), b"UP r\r\n")
 
     async def test_an_idle_moment_in_which_the_question_comes_ends_nothing(self) -> None:
@@ -144,7 +144,7 @@
         assert patience.act is not None
         self.assertLessEqual(patience.when, self.node.deadlines.clock.now() + ANSWER_TIMEOUT)
         patience.act(*patience.args)
-        await self.until(lambda: line.state is ConnectionState.IDLE, "readiness")
+        await self.wait_until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.exactly(plain, 6), b"PONG\r\n")
 
 
@@ -175,4 +175,4 @@
             client.write(start + b"y" * 3_000_000)
             self.assertEqual(await client.line(), b"ERR")
             await client.ended()
-        await self.until(lambda: not self.node.connections.clients, "all to go")
+        await self.wait_until(lambda: not self.node.connections.clients, "all to go")
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -51,7 +51,7 @@
         for peer in listener.peers:
             peer.transport.abortConnection()
         await maybeDeferred(listener.port.stopListening)
-        await self.until(lambda: all(peer.end for peer in listener.peers), "its connections to close")
+        await self.wait_until(lambda: all(peer.end for peer in listener.peers), "its connections to close")
 
     @staticmethod
     def logged(log: Path, after: int) -> bool:
@@ -91,7 +91,8 @@
         watch = await other.next()
         self.assertIn(b"watch=1&after=1 ", await watch.line())
         self.assertEqual(
-            [(e.kind, len(e.entries)) for e in self.ends(EndpointListUpdated)][-1], (ListUpdateKind.FULL, 2)
+            [(e.kind, len(e.entries)) for e in self.events_of(EndpointListUpdated)][-1],
+            (ListUpdateKind.FULL, 2),
         )
         self.assertEqual(len(gone.peers), 1)  # the old one is not asked again
         client.write(b"still here\r\n")
@@ -128,14 +129,14 @@
         limits = table["limits"] | {"maxAttempts": 1}
         with patch.object(served_classes, "DROP_DELAY", milliseconds(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
-        self.assertEqual([e.settings.max_attempts for e in self.ends(SettingsChanged)][-1], 1)
+        self.assertEqual([e.settings.max_attempts for e in self.events_of(SettingsChanged)][-1], 1)
         self.assertEqual((old.max_attempts, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
         now = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
         self.assertEqual(tuple(now[self.node.classes.numbers[name]].name for name in served), served)
         self.assertEqual(len(set(self.node.classes.numbers.values())), len(self.node.classes.numbers))
         self.assertEqual(now[self.node.classes.numbers["new"]].effect, Effect.NOT_IDEMPOTENT)
-        await self.until(lambda: "chat" not in self.node.classes.numbers, "the end of the dropped class")
+        await self.wait_until(lambda: "chat" not in self.node.classes.numbers, "the end of the dropped class")
         late = await self.client(ASK)
         self.assertEqual(await late.line(), b"ERR")
         third = {**one, "name": "third"}
@@ -146,7 +147,7 @@
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         client.transport.abortConnection()
-        await self.until(lambda: not len(self.node.engine.requests), "its end")
+        await self.wait_until(lambda: not len(self.node.engine.requests), "its end")
 
     def test_a_file_with_a_hole_or_a_figure_of_no_use_changes_nothing(self) -> None:
         self.discovery = Listener()
@@ -194,7 +195,7 @@
         for _ in range(2):
             before = len(log.read_text())
             program.send_signal(signal.SIGHUP)
-            await self.until(partial(self.logged, log, before), "the reload")
+            await self.wait_until(partial(self.logged, log, before), "the reload")
         program.send_signal(signal.SIGTERM)
-        await self.until(lambda: program.poll() is not None, "its end")
+        await self.wait_until(lambda: program.poll() is not None, "its end")
         self.assertEqual(program.returncode, 0)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -54,12 +54,12 @@
         return watch
 
     def lists(self) -> list[tuple[ListUpdateKind, int]]:
-        return [(e.kind, e.version) for e in self.ends(EndpointListUpdated)]
+        return [(e.kind, e.version) for e in self.events_of(EndpointListUpdated)]
 
     async def pause(self, seconds: float) -> None:
         waiting: list[int] = []
         reactor.callLater(seconds, waiting.append, 1)
-        await self.until(lambda: waiting, "a turn")
+        await self.wait_until(lambda: waiting, "a turn")
 
 
 class AgentStories(ListStory):
@@ -77,14 +77,16 @@
             await self.whole(44, self.target("h1"))  # to the call beside it
             await mute.ended()
             await self.followed(44)
-            await self.until(lambda: self.lists()[-1] == (ListUpdateKind.FULL, 44), "what changed meanwhile")
+            await self.wait_until(
+                lambda: self.lists()[-1] == (ListUpdateKind.FULL, 44), "what changed meanwhile"
+            )
         self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_an_agent_with_nothing_new_makes_the_node_ready_all_the_same(self) -> None:
         self.build(must_watch_endpoints=True)  # watched from `known` on: no list has to come
         watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
-        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
         self.assertEqual([kind for kind, _ in self.lists()], [ListUpdateKind.CACHED])  # no break
 
     async def test_silence_counts_from_the_last_octet(self) -> None:
@@ -97,7 +99,7 @@
             for at in range(0, len(line), 24):
                 watch.write(chunk(line[at : at + 24]))
                 await self.pause(0.05)
-            await self.until(lambda: (ListUpdateKind.CHANGES, 43) in self.lists(), "the list in pieces")
+            await self.wait_until(lambda: (ListUpdateKind.CHANGES, 43) in self.lists(), "the list in pieces")
             self.assertGreater(self.node.deadlines.clock.now() - begun, milliseconds(200))
             self.assertNotIn(ListUpdateKind.FAILED, [kind for kind, _ in self.lists()])
 
@@ -107,7 +109,7 @@
         watch = await self.followed(41)
         text = listing(43, False, self.target("h0", "DRAINING"), self.target("h1"), indent=2)
         watch.write(chunk(text[:60]) + chunk(text[60:] + b"\n") + chunk(b"\n"))
-        await self.until(lambda: self.lists()[-1] == (ListUpdateKind.CHANGES, 43), "the indented list")
+        await self.wait_until(lambda: self.lists()[-1] == (ListUpdateKind.CHANGES, 43), "the indented list")
 
     async def test_a_list_that_does_not_end_breaks_the_watch_though_it_is_alive(self) -> None:
         with patch.object(discovery, "LIST_TIMEOUT", milliseconds(150)):
@@ -131,7 +133,7 @@
             self.build(must_watch_endpoints=False)
             await self.whole(41, *self.all())
             await self.followed(41)
-            await self.until(lambda: self.node.listeners.main, "the first to be ready")
+            await self.wait_until(lambda: self.node.listeners.main, "the first to be ready")
             await (await self.discovery.next()).ended()  # the agent has gone silent
             second = Node(reactor, self.node.config, Clock())
             self.addCleanup(self.close_second, second)
@@ -206,7 +208,7 @@
         watch = await self.accept_watch()
         client, uid, host = await self.establish(ASK)
         self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
-        await self.until(lambda: self.ends(EndpointListUpdated)[-1].version == 2, "the news")
+        await self.wait_until(lambda: self.events_of(EndpointListUpdated)[-1].version == 2, "the news")
         for _ in range(4):
             other = await self.client(ASK)
             reached, peer = await self.accept_attempt()
@@ -227,7 +229,7 @@
                 await host.ended()
                 self.assertEqual(host.buffer, b"")
             self.assertTrue(asked.called)
-        self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
+        self.assertEqual(self.events_of(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_watch_that_breaks_or_falls_silent_or_talks_nonsense_is_asked_for_again(self) -> None:
         with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
@@ -235,23 +237,24 @@
             self.node.engine.balancer.random.seed(1)
             watch = await self.discovery.next()
             watch.write(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
-            await self.until(
-                lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+            await self.wait_until(
+                lambda: self.events_of(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
             )
             await watch.ended()
             self.assertEqual(
-                [e.kind for e in self.ends(EndpointListUpdated)],
+                [e.kind for e in self.events_of(EndpointListUpdated)],
                 [ListUpdateKind.CACHED, ListUpdateKind.FAILED],
             )
             for ill in (b"", b"3\r\n{]\n\r\n"):
                 watch = await self.accept_watch()
                 self.send_update(watch, 5, True, *(self.target(uid) for uid in self.hosts))
-                await self.until(
-                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
+                await self.wait_until(
+                    lambda: self.events_of(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
                 )
                 watch.write(ill)
-                await self.until(
-                    lambda: self.ends(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+                await self.wait_until(
+                    lambda: self.events_of(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED,
+                    "its failure",
                 )
             again = await self.discovery.next()
             self.assertIn(b"after=5", await again.line())
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -77,7 +77,7 @@
             + b"Transfer-Encoding: chunked\r\n\r\n"
             + chunk(listing(60, False, self.target("h0", "DRAINING")) + b"\n")
         )
-        await self.until(lambda: (ListUpdateKind.CHANGES, 60) in self.lists(), "the drain")
+        await self.wait_until(lambda: (ListUpdateKind.CHANGES, 60) in self.lists(), "the drain")
         self.assertLess(self.node.deadlines.clock.now() - since, TOLD / 10)
 
     async def test_a_call_lost_in_the_return_of_discovery_after_many_failures(self) -> None:
@@ -100,7 +100,7 @@
         self.quick()
         watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
-        await self.until(lambda: self.node.lifecycle.is_ready, "the empty line")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "the empty line")
         await self.drained(self.node.deadlines.clock.now())
 
     async def test_a_list_that_trickles_in_is_one_that_does_not_come(self) -> None:
@@ -126,7 +126,7 @@
             await self.pause(0.01)
         self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(1000))
         await self.whole(70, self.target("h1"))
-        await self.until(lambda: (ListUpdateKind.FULL, 70) in self.lists(), "the whole list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 70) in self.lists(), "the whole list")
 
     def reload_to_whole(self) -> None:
         """As a new configuration does where discovery has another address."""
@@ -140,21 +140,21 @@
         self.quick()
         watch = await self.accept_watch()
         self.send_update(watch, 40, True, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         self.send_update(watch, 3, False, self.target("h0", "DRAINING"))
         await self.whole(4, self.target("h1"))
-        await self.until(lambda: (ListUpdateKind.FULL, 4) in self.lists(), "the list of the new count")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 4) in self.lists(), "the list of the new count")
         self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_what_the_older_discovery_says_after_a_reload_is_not_heard(self) -> None:
         self.quick()
         watch = await self.accept_watch()
         self.send_update(watch, 40, True, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.write(chunk(listing(41, False, self.target("h0", "DRAINING")) + b"\n"))  # on its way
         self.reload_to_whole()
         await self.whole(7, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 7) in self.lists(), "the new list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 7) in self.lists(), "the new list")
         await watch.ended()
         self.assertNotIn((ListUpdateKind.CHANGES, 41), self.lists())
 
@@ -162,7 +162,7 @@
         self.quick()
         watch = await self.accept_watch()
         self.send_update(watch, 40, True, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.transport.abortConnection()
         self.reload_to_whole()
         await self.whole(7, *self.all())
@@ -188,7 +188,7 @@
         self.assertEqual(await ping.line(), b"PONG")  # an agent that is silent keeps nobody from being ready
         body = listing(50, True, self.target("h1"))
         back.write(OK + b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
-        await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
         await lost.ended()  # one list is enough
         await self.followed(50)
 
@@ -198,7 +198,7 @@
         await self.silent()
         body = listing(50, True, *self.all())
         slow.write(OK + b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
-        await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
 
     async def test_a_silent_agent_is_asked_by_a_few_calls_at_once(self) -> None:
         with patch.object(discovery, "AGENT_ANSWER_TIMEOUT", milliseconds(20)):
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -39,7 +39,7 @@
         client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         host.write(b"half of a li")
-        await self.until(lambda: client.left(b"half of a li"), "the half")
+        await self.wait_until(lambda: client.left(b"half of a li"), "the half")
         self.node.engine.migrate_before_stop(line.request)
         return client, line, host
 
@@ -53,7 +53,7 @@
         for plain in waiting:
             self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
             plain.close()
-        await self.until(lambda: not self.node.connections.clients, "their ends")
+        await self.wait_until(lambda: not self.node.connections.clients, "their ends")
         self.assertTrue(self.node.listeners.close_when_empty(False))
         self.assertFalse(self.main_port.connected)
 
@@ -103,7 +103,7 @@
         self.build()
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: self.node.lifecycle._waiting, "the question")
+        await self.wait_until(lambda: self.node.lifecycle._waiting, "the question")
         with patch.object(
             node_module,
             "RESTART",
@@ -135,10 +135,10 @@
         client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
-        await self.until(lambda: line.relay._line_open, "the half")
+        await self.wait_until(lambda: line.relay._line_open, "the half")
         line.relay.hold_lines()
         host.write(b"f\r\nnext")
-        await self.until(lambda: line.relay._held_start == b"next", "the next")
+        await self.wait_until(lambda: line.relay._held_start == b"next", "the next")
         self.node.engine.migrate_before_stop(line.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
         self.assertTrue(client.left(b""))
@@ -152,9 +152,9 @@
         )
         line.relay.hold_lines()
         host.write(b"half")
-        await self.until(lambda: line.relay._held_start, "the half")
+        await self.wait_until(lambda: line.relay._held_start, "the half")
         leaving.cancel()
-        await self.until(lambda: client.left(b"half"), "the half at the client")
+        await self.wait_until(lambda: client.left(b"half"), "the half at the client")
         host.write(b" a line\r\n")
         self.assertEqual(await client.line(), b"half a line")
 
@@ -166,7 +166,7 @@
             DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
         )
         leaving._plan_moves()
-        await self.until(lambda: line.state is ConnectionState.HOLDING_LINE, "the hold")
+        await self.wait_until(lambda: line.state is ConnectionState.HOLDING_LINE, "the hold")
         leaving.cancel()
         self.assertIs(line.state, ConnectionState.RELAYING)
 
@@ -199,7 +199,7 @@
             self.assertFalse(self.node.lifecycle.undrain())  # there is no way back
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
         self.assertTrue(all(deadline.act is None for deadline in lame._pending))
 
     async def test_a_reload_while_it_ends_moves_discovery(self) -> None:
@@ -250,7 +250,7 @@
             call = await other.next()
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
         await call.ended()  # nothing is asked any more
 
     async def test_a_stop_before_the_start_ends_it(self) -> None:
@@ -266,7 +266,7 @@
             ),
         ):
             fresh.stop()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
         self.assertIsNone(fresh.listeners.main)
 
 
@@ -277,7 +277,7 @@
         self.build()
         client, _, host = await self.establish(ROUTED_ASK)
         host.write(b"half a ")
-        await self.until(lambda: client.buffer, "the half line")
+        await self.wait_until(lambda: client.buffer, "the half line")
         slow = await self.client()
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
@@ -294,7 +294,7 @@
             )  # other nodes may be stopping too, or not be back yet
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
-            await self.until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
+            await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
             slow.write(ROUTED_ASK.encode() + b"\r\n")
             self.assertRegex(await slow.line(), rb"^BUSY \d+$")
             self.assertEqual(client.end, None)
@@ -302,7 +302,7 @@
             host.write(b"line\r\nand more\r\n")
             self.assertEqual([await client.line(), await client.line()], [b"half a line", b"MOVE"])
             self.assertEqual(await host.ended(), "ConnectionDone")
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
 
 
 def test_all_is_moved_before_the_kill_whatever_the_longest_deadline() -> None:
@@ -332,5 +332,5 @@
             self.assertEqual(await client.line(), b"MOVE")
             self.assertEqual(await host.ended(), "ConnectionDone")
             client.transport.loseConnection()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
             self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(500 + 700))
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -45,7 +45,7 @@
         watch = await self.accept_watch()
         self.assertIsNone(started.listeners.main)  # it accepts nobody before it is ready
         self.send_update(watch, 2, False)
-        await self.until(lambda: started.listeners.main, "readiness")
+        await self.wait_until(lambda: started.listeners.main, "readiness")
 
     async def close_second(self) -> None:
         """Before the first, whose hosts and discovery it uses."""
@@ -53,7 +53,7 @@
         self.second.watch.stop()
         for client in list(self.second.connections.clients):
             client.transport.abortConnection()
-        await self.until(lambda: not self.second.connections.clients, "its clients to go")
+        await self.wait_until(lambda: not self.second.connections.clients, "its clients to go")
         if self.second.listeners.main is not None:
             await maybeDeferred(self.second.listeners.main.stopListening)
         self.second.hot_restart.registry.unregister()
@@ -70,7 +70,7 @@
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
         accepted = await self.dial("")
-        await self.until(lambda: len(self.node.connections.clients) == 2, "both at the older one")
+        await self.wait_until(lambda: len(self.node.connections.clients) == 2, "both at the older one")
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(
@@ -84,13 +84,15 @@
             strained.load_limit = 4.5
             self.node.engine.balancer.state.loads.in_use[strained.id] = strained
             left = self.folder / "processes" / "word"
-            await self.until(lambda: left.exists() and b":4." in left.read_bytes(), "its word to the next")
+            await self.wait_until(
+                lambda: left.exists() and b":4." in left.read_bytes(), "its word to the next"
+            )
             await self.made_ready(self.second)
             self.assertLess(self.second.engine.balancer.endpoints[strained.id].load_limit, 5)  # it regains
-            await self.until(lambda: self.node.lifecycle.shutdown, "the older to leave")
+            await self.wait_until(lambda: self.node.lifecycle.shutdown, "the older to leave")
             self.node.stop()  # SIGTERM does not begin it anew
             self.assertEqual(self.node.lifecycle.reason_not_ready(), "stopping")
-            await self.until(lambda: not self.main_port.connected, "the older to shut its port")
+            await self.wait_until(lambda: not self.main_port.connected, "the older to shut its port")
             accepted.write(ASK.replace("9b1f03aa5c7e2d41", "aa").encode() + b"\r\n")  # still owed an answer
             _, host = await self.accept_attempt()
             await host.line()
@@ -100,7 +102,7 @@
             new = await self.dial("PING")
             self.assertEqual(await new.line(), b"PONG")
             self.assertEqual(len(self.second.connections.clients), 1)
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
         self.assertEqual(
             {path.name for path in (self.folder / "processes").iterdir()},
             {self.second.hot_restart.registry.name, "word"},
@@ -111,11 +113,11 @@
     async def test_both_together_have_the_descriptors_of_one(self) -> None:
         await self.build_both()
         both = self.node.admission, self.second.admission
-        await self.until(lambda: all(one.sibling_descriptors for one in both), "each to know the other")
+        await self.wait_until(lambda: all(one.sibling_descriptors for one in both), "each to know the other")
         self.assertEqual(self.node.admission.descriptors, 1024 - self.node.admission.sibling_descriptors)
         self.assertLess(abs(self.second.admission.sibling_descriptors - count_open_descriptors()), 8)
         self.second.hot_restart.registry.unregister()
-        await self.until(lambda: self.node.admission.descriptors == 1024, "its share to come back")
+        await self.wait_until(lambda: self.node.admission.descriptors == 1024, "its share to come back")
 
     def test_files_of_the_dead_and_of_others_harm_nobody(self) -> None:
         with tempfile.TemporaryDirectory() as name:
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -22,5 +22,5 @@
         ):
             for _ in range(logs.MAX_LINES + 5):
                 await (await self.client("HI")).line()
-            await self.until(lambda: written.warn.call_count > logs.MAX_LINES, "the count of the rest")
+            await self.wait_until(lambda: written.warn.call_count > logs.MAX_LINES, "the count of the rest")
         self.assertEqual(written.warn.call_args.kwargs["more"], 5)
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -45,7 +45,7 @@
         await client.line()
         host.transport.loseConnection()
         await client.ended()
-        await self.until(lambda: len(seen) == 5, f"five lines: {seen}")
+        await self.wait_until(lambda: len(seen) == 5, f"five lines: {seen}")
         seen[1] = seen[1].rpartition(" after")[0]
         name = f"{1:016x}"
         self.assertEqual(
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -37,10 +37,10 @@
         plain, line = await self.met()
         plain.sendall(ASK.encode() + b"\r\n")
         plain.close()
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.connections.upstreams)
         self.assertFalse(self.reached())
-        self.assertEqual(len(self.ends(ClientDisconnected)), 1)
+        self.assertEqual(len(self.events_of(ClientDisconnected)), 1)
 
     async def test_no_byte_goes_out_where_the_client_left_while_the_connect_took_its_time(self) -> None:
         self.build()
@@ -49,9 +49,9 @@
             plain.sendall(ASK.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_a_connection_that_comes_up_when_its_request_was_given_up_is_ended_unused(self) -> None:
@@ -66,7 +66,7 @@
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.CANCELLED])
 
     async def test_no_further_attempt_for_a_client_that_left_when_the_first_one_failed(self) -> None:
         self.build()
@@ -77,7 +77,7 @@
         (link,) = self.node.connections.upstreams
         plain.close()
         link.finish(Outcome.ERROR)  # the host's word, in the turn in which the client's end has come
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_an_attempt_whose_time_is_over_when_its_connection_comes_up_is_not_begun(self) -> None:
@@ -93,7 +93,7 @@
             _, host = await self.accept_attempt()
             await host.ended()
             self.assertEqual(host.received, b"")
-            self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
+            self.assertEqual(self.events_of(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
@@ -158,13 +158,13 @@
         host.write(b"UP r")
         host.transport.loseConnection()
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.RESET])
 
     async def test_an_answer_that_never_ends_is_a_failed_attempt(self) -> None:
         client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP " + b"r" * 5000)
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.ERROR])
         await host.ended()
 
     async def test_an_answer_behind_the_end_of_an_attempt_is_not_heard(self) -> None:
@@ -175,7 +175,7 @@
         await client.ended()
         self.assertTrue(client.left(b""))
         self.assertTrue(link.done)
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.ERROR])
 
 
 class RestoreStories(NodeTestCase):
@@ -193,8 +193,8 @@
         host.write(b"UP r\r\n")
         self.assertEqual(await client.line(), b"UP r")
         self.assertEqual(
-            [e.endpoint for e in self.ends(ConnectionRestored)], [self.node.directory.number("h1")]
+            [e.endpoint for e in self.events_of(ConnectionRestored)], [self.node.directory.number("h1")]
         )
         host.transport.abortConnection()
         self.assertEqual(await client.ended(), "ConnectionLost")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.RESET])
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -75,14 +75,14 @@
     async def connect_and_talk(self) -> tuple[QuicClient, str]:
         """A client with an open stream, and its server."""
         client = self.connect()
-        await self.until(lambda: client.events_of(events.HandshakeCompleted), "a handshake")
+        await self.wait_until(lambda: client.events_of(events.HandshakeCompleted), "a handshake")
         word = b"one" if len(self.clients) == 1 else b"client %d" % len(self.clients)
         await self.speak(client, word)
         return client, next(uid for uid, server in self.servers.items() if word in self.received_data(server))
 
     async def speak(self, client: QuicClient, data: bytes) -> None:
         client.say(data)
-        await self.until(lambda: b"echo " + data in client.said(), f"an answer to {data!r}")
+        await self.wait_until(lambda: b"echo " + data in client.said(), f"an answer to {data!r}")
 
     @staticmethod
     def received_data(server: QuicServer) -> bytes:
@@ -104,9 +104,9 @@
         client, uid = await self.connect_and_talk()
         self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         endpoint = self.node.directory.number(uid)
-        await self.until(lambda: endpoint in self.node.engine.reachability.unavailable_since, "the news")
+        await self.wait_until(lambda: endpoint in self.node.engine.reachability.unavailable_since, "the news")
         notified_at = self.node.deadlines.clock.now()
-        await self.until(
+        await self.wait_until(
             lambda: to_ms(self.node.deadlines.clock.now() - notified_at) > 500, "the grace to pass"
         )
         server, before = self.servers[uid], len(self.servers[uid].connections)
@@ -115,7 +115,7 @@
             self.assertNotEqual(elsewhere, uid)
         # an Initial whose id names the draining server is new work all the same
         other = self.connect(IDS.issue(server.server_id))
-        await self.until(lambda: other.events_of(events.HandshakeCompleted), "its handshake elsewhere")
+        await self.wait_until(lambda: other.events_of(events.HandshakeCompleted), "its handshake elsewhere")
         self.assertEqual(len(server.connections), before)
         for new_id, said in ((True, b"two"), (False, b"three")):
             await client.new_address(new_id)
@@ -130,7 +130,7 @@
         for _ in range(3):
             self.assertNotEqual((await self.connect_and_talk())[1], uid)
         other = self.connect(IDS.issue(server.server_id))
-        await self.until(lambda: other.events_of(events.HandshakeCompleted), "its handshake elsewhere")
+        await self.wait_until(lambda: other.events_of(events.HandshakeCompleted), "its handshake elsewhere")
         self.assertEqual(len(server.connections), 1)
         await client.new_address(True)
         await self.speak(client, b"two")
@@ -154,11 +154,11 @@
             self.assertEqual(uid, "h1")
         self.servers["h1"].silent = True
         client = self.connect()
-        await self.until(lambda: client.events_of(events.ConnectionTerminated), "its refusal")
+        await self.wait_until(lambda: client.events_of(events.ConnectionTerminated), "its refusal")
         (end,) = client.events_of(events.ConnectionTerminated)
         self.assertEqual(end.error_code, packets.CONNECTION_REFUSED)
         self.assertRegex(end.reason_phrase, "^busy")
-        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.ends(AttemptEnded)])
+        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.events_of(AttemptEnded)])
 
     async def test_a_box_that_dies_later_ends_its_flow(self) -> None:
         self.build_quic(servers=1)
@@ -169,16 +169,16 @@
 
         def ended() -> list[Any]:
             client.say(b".")
-            return self.ends(AttemptEnded)
+            return self.events_of(AttemptEnded)
 
-        await self.until(ended, "the flow's end")
-        self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.RESET)
+        await self.wait_until(ended, "the flow's end")
+        self.assertEqual(self.events_of(AttemptEnded)[0].outcome, Outcome.RESET)
 
     async def test_a_full_table_refuses_and_a_deadline_answers(self) -> None:
         self.build_quic(connections=1, deadline=300.0)
         await self.connect_and_talk()
         client = self.connect()
-        await self.until(lambda: client.events_of(events.ConnectionTerminated), "its refusal")
+        await self.wait_until(lambda: client.events_of(events.ConnectionTerminated), "its refusal")
         self.assertEqual(
             client.events_of(events.ConnectionTerminated)[0].error_code, packets.CONNECTION_REFUSED
         )
@@ -203,7 +203,7 @@
         ):
             peer.transport.write(data, ("127.0.0.1", self.front_port))
         peer.transport.write(unknown.ljust(1200, b"\0"), ("127.0.0.1", self.front_port))
-        await self.until(lambda: peer.received, "a version negotiation")
+        await self.wait_until(lambda: peer.received, "a version negotiation")
         (answer,) = peer.received
         self.assertEqual(answer[1:5], b"\0\0\0\0")
         self.assertIn(b"\0\0\0\x01", answer)
@@ -220,7 +220,7 @@
         for _ in range(3):
             forger.transport.write(sent, ("127.0.0.1", self.front_port))
         await self.speak(client, b"two")
-        await self.until(lambda: forger.received or len(self.front.flows) > 1, "the copies to arrive")
+        await self.wait_until(lambda: forger.received or len(self.front.flows) > 1, "the copies to arrive")
         await self.speak(client, b"three")
         self.assertLessEqual(sum(map(len, forger.received)), AMPLIFICATION_LIMIT * 3 * len(sent))
         self.assertIn(b"echo three", client.said())
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -145,7 +145,7 @@
         """Start a node with hosts and discovery; `settings` replace the usual ones."""
         self.hosts = {f"h{i}": Listener() for i in range(hosts)}
         self.discovery = Listener()
-        self.told: list[Event] = []
+        self.events: list[Event] = []
         known = EndpointList(1, True, [self.target(uid) for uid in self.hosts])
         host, port = self.discovery.address.split(":")
         told = NodeConfig(
@@ -156,7 +156,7 @@
 
         def spy(now: float, events: Any) -> Any:
             events = list(events)
-            self.told += events
+            self.events += events
             return decide(now, events)
 
         self.patch(self.node.engine.balancer, "handle", spy)
@@ -195,12 +195,12 @@
             if port is not None:
                 await maybeDeferred(port.stopListening)
         self.node.hot_restart.registry.unregister()
-        await self.until(
+        await self.wait_until(
             lambda: not self.node.connections.clients and all(p.end for p in peers), "all to close"
         )
         self.node.deadlines.clear()
 
-    async def until(self, met: Callable[[], Any], what: str) -> None:
+    async def wait_until(self, met: Callable[[], Any], what: str) -> None:
         """Wait until a condition holds that no peer's line shows."""
         for _ in range(500):
             if met():
@@ -223,7 +223,7 @@
 
     async def accept_attempt(self, *but: str) -> tuple[str, Peer]:
         """The host that a client has been sent to."""
-        await self.until(
+        await self.wait_until(
             lambda: any(h.accepted.pending for u, h in self.hosts.items() if u not in but),
             "a host to be reached",
         )
@@ -253,6 +253,6 @@
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
         watch.write(b"%x\r\n%s\r\n" % (len(body), body))
 
-    def ends(self, kind: type[Any]) -> list[Any]:
+    def events_of(self, kind: type[Any]) -> list[Any]:
         """Return the events of one kind that the decision module was given."""
-        return [event for event in self.told if isinstance(event, kind)]
+        return [event for event in self.events if isinstance(event, kind)]
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -33,7 +33,7 @@
         """A client that has said nothing, and the node's side of it."""
         before = set(self.node.connections.clients)
         plain = self.raw()
-        await self.until(lambda: self.node.connections.clients - before, "the accept")
+        await self.wait_until(lambda: self.node.connections.clients - before, "the accept")
         (line,) = self.node.connections.clients - before
         return plain, line
 
@@ -56,10 +56,10 @@
         """Return a client that has its PONG, and the node's side of it."""
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
-        await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: line.state is ConnectionState.IDLE, "PONG")
+        await self.wait_until(lambda: line.state is ConnectionState.IDLE, "PONG")
         return plain, line
 
     async def exactly(self, plain: socket.socket, count: int) -> bytes:
