--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -18,7 +18,7 @@
 from puffindeck.net.node import Node as NetNode
 from puffindeck_testing.ports import held_port
 from tests.importer.haproxy_reference import Reference, Where
-from tests.support.node_test_case import Dial, Listener, NodeTestCase, Peer, reactor
+from tests.support.node_test_case import Listener, NodeTestCase, Peer, PeerFactory, reactor
 
 SAMPLES = Path(__file__).parent / "haproxy"
 BOXES = ("A", "B", "C", "D")
@@ -31,7 +31,7 @@
     async def begin(self, name: str, **environment: str) -> Reference:
         """A node on the imported sample, with a stand-in server at each of its ports."""
         self.hosts = {box: Listener() for box in BOXES}
-        self.asked = 0
+        self.request_count = 0
         ports = [self.hold_port() for _ in FRONTS]
         self.environment = {
             **{box: host.address.rpartition(":")[2] for box, host in self.hosts.items()},
@@ -88,13 +88,13 @@
 
     async def come(self, source: str = "127.0.0.1", front: str = "FRONT") -> tuple[Peer, Where]:
         """A client that asks, from an address of its own."""
-        dial = Dial()
+        dial = PeerFactory()
         port = int(self.environment[front])
         reactor.connectTCP("127.0.0.1", port, dial, bindAddress=(source, 0))
         peer: Peer = await dial.up
         self.addCleanup(peer.transport.abortConnection)
-        self.asked += 1
-        line = f"OPEN {self.asked:016x} {self.asked * 7919:016x} c={self.cls},d=2000\r\n"
+        self.request_count += 1
+        line = f"OPEN {self.request_count:016x} {self.request_count * 7919:016x} c={self.cls},d=2000\r\n"
         peer.write(line.encode())
         here = peer.transport.getHost()
         return peer, Where(here.host, here.port, port)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -15,7 +15,7 @@
 from puffindeck.interface import EndpointAttached, EndpointDetached
 from puffindeck.net import admin_api, lifecycle
 from puffindeck.net.graceful_shutdown import DrainSchedule
-from tests.support.node_test_case import ASK, NodeTestCase, Peer
+from tests.support.node_test_case import REQUEST, NodeTestCase, Peer
 
 
 class AdminApiStories(NodeTestCase):
@@ -27,7 +27,7 @@
         self.folder = Path(folder.name)
         super().build(hosts, **settings)
 
-    def changed(self, told: NodeConfig) -> NodeConfig:
+    def adjust_config(self, told: NodeConfig) -> NodeConfig:
         return msgspec.structs.replace(told, operator=("127.0.0.1", 0), folder=self.folder)
 
     async def close(self) -> None:
@@ -96,13 +96,13 @@
     async def test_a_detached_host_gets_nothing_whatever_the_list_says_and_its_clients_move(self) -> None:
         self.build()
         watch = await self.serving()
-        client, uid, _ = await self.establish(ASK)
+        client, uid, _ = await self.establish(REQUEST)
         for _ in range(2):  # the call may arrive twice, and one call back undoes both
             self.assertEqual(await self.call(f"PUT /_hosts/detach?member={uid}"), 200)
         self.assertEqual(await client.line(), b"MOVE")
         self.send_update(watch, 3, False, self.target(uid))
         for _ in range(3):
-            _, reached, _ = await self.establish(ASK)
+            _, reached, _ = await self.establish(REQUEST)
             self.assertNotEqual(reached, uid)
         self.assertEqual(await self.call(f"PUT /_hosts/attach?member={uid}"), 200)
         self.assertEqual(
@@ -120,7 +120,7 @@
     async def test_an_attempt_waiting_for_its_connect_is_not_written_to_a_detached_host(self) -> None:
         self.build(hosts=1, drain_grace_ms=0)
         number = self.node.directory.number("h0")
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         await self.wait_until(lambda: self.node.connections.upstreams, "the attempt")
         self.node.detachment.detach("h0")
         _, host = await self.accept_attempt()
@@ -177,7 +177,7 @@
         await self.serving()
         front = await self.client("PING")
         self.assertEqual(await front.line(), b"PONG")
-        first, _, _ = await self.establish(ASK)
+        first, _, _ = await self.establish(REQUEST)
         with patch.object(
             lifecycle,
             "DRAIN",
@@ -186,15 +186,15 @@
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         front.write(b"PING\r\n")
         self.assertEqual(await front.line(), b"BUSY")
-        late, _, host = await self.establish(ASK)
+        late, _, host = await self.establish(REQUEST)
         host.write(b"half a li")
-        half = await self.client(ASK)  # its hosts say nothing
+        half = await self.client(REQUEST)  # its hosts say nothing
         leaving = self.node.lifecycle.shutdown
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         self.assertIs(self.node.lifecycle.shutdown, leaving)  # the clock goes on
         self.assertEqual(await first.line(), b"MOVE")
         await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
-        refused = await self.client(ASK)
+        refused = await self.client(REQUEST)
         self.assertRegex(await refused.line(), rb"^BUSY \d+$")
         self.assertEqual([await late.ended(), await half.ended()], ["ConnectionDone", "ConnectionDone"])
         self.assertRegex(await half.line(), rb"^(BUSY \d+|MOVE)$")
@@ -205,13 +205,13 @@
         for listener in self.hosts.values():
             while listener.accepted.pending:
                 await listener.next()
-        back, _, _ = await self.establish(ASK)
+        back, _, _ = await self.establish(REQUEST)
         self.assertIsNone(back.end)
 
     async def test_a_lame_duck_called_back_moves_nobody_more(self) -> None:
         self.build()
         await self.serving()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         with patch.object(
             lifecycle,
             "DRAIN",
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -5,7 +5,7 @@
 from unittest.mock import patch
 
 from puffindeck.net import admission
-from tests.support.node_test_case import ASK, NodeTestCase
+from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
 class AdmissionStories(NodeTestCase):
@@ -27,7 +27,7 @@
         rude = [await self.client() for _ in range(room - 1)]
         await self.wait_until(lambda: all(front.end for front in told), "who was told PONG to go first")
         self.assertEqual(sum(peer.end is not None for peer in (usual, *rude)), 0)
-        usual.write(ASK.encode() + b"\r\n")
+        usual.write(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
@@ -47,9 +47,9 @@
         self.build()
         client = await self.client()
         with patch("twisted.internet.tcp.Client.createInternetSocket", side_effect=OSError(24, "none left")):
-            client.write(ASK.encode() + b"\r\n")
+            client.write(REQUEST.encode() + b"\r\n")
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
-        await self.establish(ASK)
+        await self.establish(REQUEST)
         with patch.object(admission, "RESERVED_FOR_NODE", 1024):  # no room for a client and its host
-            other = await self.client(ASK)
+            other = await self.client(REQUEST)
             self.assertRegex(await other.line(), rb"^BUSY \d+$")
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_test_case import ASK, NodeTestCase
+from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
 class FirstLineStories(NodeTestCase):
@@ -60,16 +60,16 @@
             client = await self.client(line)
             self.assertEqual(await client.line(), b"ERR")
             await client.ended()
-        await self.establish(ASK)
+        await self.establish(REQUEST)
 
     async def test_lines_sent_at_once_or_before_an_answer_reach_no_host(self) -> None:
         self.build()
-        client = await self.client("\r\n".join([ASK] * 300))
+        client = await self.client("\r\n".join([REQUEST] * 300))
         self.assertEqual(await client.line(), b"ERR")
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         _, host = await self.accept_attempt()
         await host.line()
-        client.write(ASK.encode() + b"\r\n")
+        client.write(REQUEST.encode() + b"\r\n")
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
         self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.CANCELLED])
@@ -77,8 +77,8 @@
 
     async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
         self.build()
-        first, _, host = await self.establish(ASK.replace("9b1f03aa5c7e2d41", "77"))
-        second = await self.client(ASK.replace("9b1f03aa5c7e2d41", "77"))
+        first, _, host = await self.establish(REQUEST.replace("9b1f03aa5c7e2d41", "77"))
+        second = await self.client(REQUEST.replace("9b1f03aa5c7e2d41", "77"))
         self.assertEqual(await second.line(), b"ERR")
         first.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -11,7 +11,7 @@
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
 from tests.support.node_test_case import NodeTestCase
-from tests.support.raw_client_test_case import ASK, RawClientTestCase
+from tests.support.raw_client_test_case import REQUEST, RawClientTestCase
 
 
 class CloseStories(RawClientTestCase):
@@ -20,7 +20,7 @@
     async def test_a_request_that_has_come_when_a_resting_connection_is_ended_is_served(self) -> None:
         self.build()
         plain, line = await self.resting()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain.sendall(REQUEST.encode() + b"\r\n")
         line._on_timeout()
         self.assertIs(line.state, ConnectionState.WAITING)
         _, host = await self.accept_attempt()
@@ -32,7 +32,7 @@
         self.build()
         plain, line = await self.resting()
         line._on_timeout()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain.sendall(REQUEST.encode() + b"\r\n")
         text = await self.reads(plain)
         self.assertRegex(text, rb"^PONG\r\nBUSY \d+\r\n$")
         plain.close()
@@ -43,7 +43,7 @@
         self.build()
         asked, its = await self.met()
         silent, other = await self.met()
-        asked.sendall(ASK.encode() + b"\r\n")
+        asked.sendall(REQUEST.encode() + b"\r\n")
         its.evict()
         other.evict()
         self.assertIs(its.state, ConnectionState.WAITING)
@@ -72,7 +72,7 @@
     async def test_several_lines_in_one_segment_are_one_error_also_at_the_end(self) -> None:
         self.build()
         plain, line = await self.met()
-        plain.sendall((ASK + "\r\n").encode() * 3)
+        plain.sendall((REQUEST + "\r\n").encode() * 3)
         line.answer_before_stop(True)
         self.assertEqual(await self.reads(plain), b"ERR\r\n")
         self.assertFalse(self.reached())
@@ -118,7 +118,7 @@
         self.build()
         watch = await self.accept_watch()
         plain, line = await self.asking()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain.sendall(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
         await host.line()
         self.send_update(watch, 2, False)
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -20,7 +20,7 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import Effect, EndpointListUpdated, ListUpdateKind, SettingsChanged
 from puffindeck.net import served_classes
-from tests.support.node_test_case import ASK, Listener, NodeTestCase
+from tests.support.node_test_case import REQUEST, Listener, NodeTestCase
 
 
 class ReloadStories(NodeTestCase):
@@ -65,7 +65,7 @@
         path = self.configured()
         read = config.load_node_config({"EDGE_CONFIG": path})
         self.node.config = msgspec.structs.replace(self.node.config, file=read.file)
-        client, uid, host = await self.establish(ASK)
+        client, uid, host = await self.establish(REQUEST)
         old = await self.accept_watch()
         other = Listener()
         self.addCleanup(self.discovery.port.stopListening)
@@ -123,7 +123,7 @@
         two = {**one, "name": "two"}
         self.reread(self.configured(settings=table | {"classes": [one, two, {**one, "name": "chat"}]}))
         numbers = dict(self.node.classes.numbers)
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         old = self.node.engine.balancer.requests[next(iter(self.node.engine.requests)).number]
         new = {**two, "name": "new", "repeat": "side_effect", "hardLimitMs": 700.0}
         limits = table["limits"] | {"maxAttempts": 1}
@@ -137,7 +137,7 @@
         self.assertEqual(len(set(self.node.classes.numbers.values())), len(self.node.classes.numbers))
         self.assertEqual(now[self.node.classes.numbers["new"]].effect, Effect.NOT_IDEMPOTENT)
         await self.wait_until(lambda: "chat" not in self.node.classes.numbers, "the end of the dropped class")
-        late = await self.client(ASK)
+        late = await self.client(REQUEST)
         self.assertEqual(await late.line(), b"ERR")
         third = {**one, "name": "third"}
         self.reread(self.configured(settings=table | {"classes": [two, new, third], "limits": limits}))
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -19,7 +19,7 @@
 from puffindeck.net import discovery
 from puffindeck.net.node import Node
 from puffindeck.service_discovery.watch import WatchError, WatchState
-from tests.support.node_test_case import ASK, NodeTestCase, Peer, reactor
+from tests.support.node_test_case import REQUEST, NodeTestCase, Peer, reactor
 
 WHOLE = b"GET /catalog/members HTTP/1.1"
 
@@ -155,7 +155,7 @@
         second.hot_restart.registry.unregister()
         second.deadlines.clear()
 
-    def changed(self, told: NodeConfig) -> NodeConfig:
+    def adjust_config(self, told: NodeConfig) -> NodeConfig:
         if hasattr(self, "held"):
             return msgspec.structs.replace(told, inherited=self.held.fileno(), folder=self.folder)
         return told
@@ -206,11 +206,11 @@
     async def test_news_counts_at_once_and_a_drain_keeps_what_it_has(self) -> None:
         self.build()
         watch = await self.accept_watch()
-        client, uid, host = await self.establish(ASK)
+        client, uid, host = await self.establish(REQUEST)
         self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         await self.wait_until(lambda: self.events_of(EndpointListUpdated)[-1].version == 2, "the news")
         for _ in range(4):
-            other = await self.client(ASK)
+            other = await self.client(REQUEST)
             reached, peer = await self.accept_attempt()
             self.assertNotEqual(reached, uid)
             peer.write(b"ERR\r\n")
@@ -224,7 +224,7 @@
         with patch.object(self.node.engine, "may_reach", side_effect=self.node.engine.may_reach) as asked:
             drained = {self.node.directory.number("h0"): milliseconds(0)}
             with patch.object(self.node.engine.reachability, "unavailable_since", drained):
-                await self.client(ASK)
+                await self.client(REQUEST)
                 _, host = await self.accept_attempt()
                 await host.ended()
                 self.assertEqual(host.buffer, b"")
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -16,9 +16,9 @@
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
-from tests.support.node_test_case import ASK as ROUTED_ASK
+from tests.support.node_test_case import REQUEST as ROUTED_REQUEST
 from tests.support.node_test_case import SETTINGS, Listener, NodeTestCase, Peer, reactor
-from tests.support.raw_client_test_case import ASK, RawClientTestCase
+from tests.support.raw_client_test_case import REQUEST, RawClientTestCase
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
@@ -36,7 +36,7 @@
     async def moving_with_half_a_line(self) -> tuple[Peer, ClientProtocol, Peer]:
         """A client that is to move and has half a line, the node's side of it, and its host."""
         self.build()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         host.write(b"half of a li")
         await self.wait_until(lambda: client.left(b"half of a li"), "the half")
@@ -48,7 +48,7 @@
         self.node.lifecycle.is_accepting = False
         waiting = [self.raw() for _ in range(40)]  # more than one turn accepts
         for plain in waiting:
-            plain.sendall(ASK.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
+            plain.sendall(REQUEST.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
         self.assertFalse(self.node.listeners.close_when_empty(False))
         for plain in waiting:
             self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
@@ -60,7 +60,7 @@
     async def test_who_waits_at_the_port_when_time_is_up_is_answered_too(self) -> None:
         self.build()
         plain = self.raw()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain.sendall(REQUEST.encode() + b"\r\n")
         self.node.lifecycle.is_accepting = False
         self.leaving()._check()
         self.assertFalse(self.main_port.connected)
@@ -132,7 +132,7 @@
 
     async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
         self.build()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
         await self.wait_until(lambda: line.relay._line_open, "the half")
@@ -145,7 +145,7 @@
 
     async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
         self.build()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
@@ -160,7 +160,7 @@
 
     async def test_moves_are_held_for_in_time(self) -> None:
         self.build()
-        await self.establish(ASK)
+        await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
@@ -181,7 +181,7 @@
 
     async def test_a_lame_duck_that_is_stopped_ends(self) -> None:
         self.build()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
@@ -228,7 +228,7 @@
     async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
         self.build()
         await self.accept_watch()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         other = Listener()
         self.addCleanup(other.port.stopListening)
         name, port = other.address.split(":")
@@ -275,7 +275,7 @@
 
     async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
         self.build()
-        client, _, host = await self.establish(ROUTED_ASK)
+        client, _, host = await self.establish(ROUTED_REQUEST)
         host.write(b"half a ")
         await self.wait_until(lambda: client.buffer, "the half line")
         slow = await self.client()
@@ -290,12 +290,12 @@
         ):
             self.node.stop()
             late, _, _ = await self.establish(
-                ROUTED_ASK
+                ROUTED_REQUEST
             )  # other nodes may be stopping too, or not be back yet
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
             await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
-            slow.write(ROUTED_ASK.encode() + b"\r\n")
+            slow.write(ROUTED_REQUEST.encode() + b"\r\n")
             self.assertRegex(await slow.line(), rb"^BUSY \d+$")
             self.assertEqual(client.end, None)
             self.assertEqual(await late.line(), b"MOVE")
@@ -322,7 +322,7 @@
     async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
         chat = replace(SETTINGS.classes[0], deadline_ms=500)
         self.build(classes=(chat,))
-        client, _, host = await self.establish(ROUTED_ASK.replace("d=1100", "d=450"))
+        client, _, host = await self.establish(ROUTED_REQUEST.replace("d=1100", "d=450"))
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -19,7 +19,7 @@
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.node import Node
 from puffindeck.net.process_registry import ProcessRegistry, count_open_descriptors
-from tests.support.node_test_case import ASK, NodeTestCase, Peer, reactor
+from tests.support.node_test_case import REQUEST, NodeTestCase, Peer, reactor
 
 
 class UpgradeStories(NodeTestCase):
@@ -38,7 +38,7 @@
         self.addCleanup(self.close_second)
         self.second.start()
 
-    def changed(self, told: NodeConfig) -> NodeConfig:
+    def adjust_config(self, told: NodeConfig) -> NodeConfig:
         return msgspec.structs.replace(told, inherited=self.socket.fileno(), folder=self.folder)
 
     async def made_ready(self, started: Node) -> None:
@@ -64,7 +64,7 @@
 
     async def test_the_older_process_serves_until_the_newer_is_ready_then_moves_all_and_ends(self) -> None:
         await self.build_both()
-        client = await self.dial(ASK)
+        client = await self.dial(REQUEST)
         _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
@@ -93,7 +93,9 @@
             self.node.stop()  # SIGTERM does not begin it anew
             self.assertEqual(self.node.lifecycle.reason_not_ready(), "stopping")
             await self.wait_until(lambda: not self.main_port.connected, "the older to shut its port")
-            accepted.write(ASK.replace("9b1f03aa5c7e2d41", "aa").encode() + b"\r\n")  # still owed an answer
+            accepted.write(
+                REQUEST.replace("9b1f03aa5c7e2d41", "aa").encode() + b"\r\n"
+            )  # still owed an answer
             _, host = await self.accept_attempt()
             await host.line()
             host.write(b"UP r2\r\n")
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -13,7 +13,7 @@
 from puffindeck.net import request_log
 from puffindeck.net.logs import line
 from puffindeck.net.request_log import RequestLog
-from tests.support.node_test_case import ASK, NodeTestCase
+from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
 class RequestLogStories(NodeTestCase):
@@ -35,7 +35,7 @@
     async def test_an_attempt_that_fails_a_retry_the_answer_and_the_close_each_have_a_line(self) -> None:
         self.build()
         seen = self.written()
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         first, host = await self.accept_attempt()
         await host.line()
         host.write(b"ERR\r\n")
@@ -62,13 +62,13 @@
     async def test_a_client_that_leaves_and_one_refused_by_a_node_that_stops_have_a_line(self) -> None:
         self.build()
         seen = self.written()
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         _, host = await self.accept_attempt()
         await host.line()
         client.transport.loseConnection()
         await host.ended()
         self.node.lifecycle.is_accepting = False
-        await (await self.client(ASK)).line()
+        await (await self.client(REQUEST)).line()
         self.assertIn(f"{1:016x}: closed: the client left", seen)
         self.assertIn(f"{2:016x}: refused: this node stops", seen)
 
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -7,8 +7,8 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.net import silence_monitor
-from tests.support.node_test_case import ASK, NodeTestCase
-from tests.support.raw_client_test_case import ASK as SHORT_ASK
+from tests.support.node_test_case import REQUEST, NodeTestCase
+from tests.support.raw_client_test_case import REQUEST as SHORT_REQUEST
 from tests.support.raw_client_test_case import RawClientTestCase
 
 
@@ -18,7 +18,7 @@
     async def test_a_silent_hosts_client_is_moved(self) -> None:
         with patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(100)):
             self.build()
-            client, _, host = await self.establish(ASK)
+            client, _, host = await self.establish(REQUEST)
             client.write(b"M 1\r\n")
             self.assertEqual(await host.line(), b"M 1")
             self.assertEqual(await client.line(), b"MOVE")
@@ -28,7 +28,7 @@
     async def test_the_start_of_a_line_is_owed_no_answer(self) -> None:
         # a client that stopped short in a line was moved, and its host cut, for the host's silence
         self.build()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         client.write(b"half a li")
         await self.wait_until(lambda: host.left(b"half a li"), "its passing")
         later = self.node.deadlines.clock.now() + silence_monitor.SILENCE_LIMIT * 2
@@ -49,7 +49,7 @@
             patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
         ):
             self.build()
-            client, _, host = await self.establish(SHORT_ASK)
+            client, _, host = await self.establish(SHORT_REQUEST)
             client.write(b"M 1\r\n")
             await host.line()
             host.write(b"M ")
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -14,9 +14,9 @@
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.upstream_connection import UpstreamConnection
 from puffindeck.net.upstream_protocol import UpstreamProtocol
-from tests.support.node_test_case import ASK as ROUTED_ASK
+from tests.support.node_test_case import REQUEST as ROUTED_REQUEST
 from tests.support.node_test_case import NodeTestCase
-from tests.support.raw_client_test_case import ASK, CHAT, RawClientTestCase
+from tests.support.raw_client_test_case import CHAT, REQUEST, RawClientTestCase
 
 
 class LeaverStories(RawClientTestCase):
@@ -35,7 +35,7 @@
     async def test_no_attempt_for_a_client_that_closed_right_behind_its_request(self) -> None:
         self.build()
         plain, line = await self.met()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain.sendall(REQUEST.encode() + b"\r\n")
         plain.close()
         await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.connections.upstreams)
@@ -46,7 +46,7 @@
         self.build()
         plain, line = await self.met()
         with self.at_connect(plain.close):
-            plain.sendall(ASK.encode() + b"\r\n")
+            plain.sendall(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
         await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
@@ -62,7 +62,7 @@
                 self.node.engine.client_disconnected(link.attempt_id.request)
 
         with self.at_connect(given_up):
-            await self.client(ASK)
+            await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
@@ -71,7 +71,7 @@
     async def test_no_further_attempt_for_a_client_that_left_when_the_first_one_failed(self) -> None:
         self.build()
         plain, line = await self.met()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain.sendall(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
         await host.line()
         (link,) = self.node.connections.upstreams
@@ -89,7 +89,7 @@
                 link._begin = self.node.deadlines.clock.now()
 
         with self.at_connect(late):
-            client.write(ASK.encode() + b"\r\n")
+            client.write(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
             self.assertEqual(host.received, b"")
@@ -97,7 +97,7 @@
 
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         uid, host = await self.accept_attempt()
         await host.line()
         begins: list[Any] = []
@@ -148,7 +148,7 @@
             patch.object(upstream_protocol, "flush", lambda transport: None),
             patch.object(UpstreamProtocol, "connectionMade", then),
         ):
-            await self.client(ASK)
+            await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
@@ -184,7 +184,7 @@
     async def test_a_connection_from_before_the_run_goes_to_its_host_with_any_time(self) -> None:
         # the first day lost all of these: their d is 4294967
         self.build()
-        client = await self.client(f"{ROUTED_ASK},at=h1".replace("d=1100", "d=4294967"))
+        client = await self.client(f"{ROUTED_REQUEST},at=h1".replace("d=1100", "d=4294967"))
         host = await self.hosts["h1"].next()
         await host.line()
         host.transport.abortConnection()  # it is tried again: nobody else has it
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -4,7 +4,7 @@
 
 from puffindeck.core.clock import milliseconds, to_ms
 from puffindeck.interface import AttemptEnded, Outcome
-from tests.support.node_test_case import ASK, NodeTestCase
+from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
 class FailureStories(NodeTestCase):
@@ -13,7 +13,7 @@
     async def test_a_host_that_says_bye_before_anything_else_is_no_answer(self) -> None:
         # the engine took the request for served to its end, and nobody told the client
         self.build()
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         for _ in range(2):
             _, host = await self.accept_attempt()
             await host.line()
@@ -28,7 +28,7 @@
         # the full trial lost such a request: the break reached the client before the answer had left
         self.build(hosts=6)
         for _ in range(3):
-            client = await self.client(ASK)
+            client = await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.line()
             host.transport.getHandle().send(b"UP r1\r\n")
@@ -47,7 +47,7 @@
             (b"MOVE\r\n", Outcome.CANCELLED),
             (b"", Outcome.RESET),
         ):
-            client = await self.client(ASK)
+            client = await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.line()
             host.write(said)
@@ -58,7 +58,7 @@
             endpoint = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
             endpoint.ejected_until_ms, endpoint.load_limit = 0.0, float("inf")  # each as if it were the first
         await self.hosts["h0"].port.stopListening()
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(self.events_of(AttemptEnded)[-1].outcome, Outcome.CONNECT_FAILED)
 
@@ -66,7 +66,7 @@
         self.build()
         await self.hosts["h0"].port.stopListening()
         for i in range(6):
-            client = await self.client(ASK.replace("g=5", f"g={i}"))
+            client = await self.client(REQUEST.replace("g=5", f"g={i}"))
             host = await self.hosts["h1"].next()
             await host.line()
             host.write(b"UP r\r\n")
@@ -76,7 +76,7 @@
     async def test_a_host_that_says_nothing_is_given_up_and_the_client_answered_in_time(self) -> None:
         self.build(hosts=1)
         start = self.node.deadlines.clock.now()
-        client = await self.client(ASK.replace("1100", "400"))
+        client = await self.client(REQUEST.replace("1100", "400"))
         _, host = await self.accept_attempt()
         await host.line()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
@@ -86,7 +86,7 @@
 
     async def test_a_client_that_leaves_takes_its_attempt_along(self) -> None:
         self.build()
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         _, host = await self.accept_attempt()
         client.transport.abortConnection()
         await host.ended()
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -21,7 +21,7 @@
 from tests.support.gateway import SETTINGS as WORLD
 
 reactor: Any = default_reactor
-ASK = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
+REQUEST = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
 SETTINGS: Settings = replace(
     WORLD,
     classes=(ClassSettings(300, 1200, message_latency_objective_ms=60, name="chat"),),
@@ -36,7 +36,7 @@
 )
 
 
-def deferred(why: str) -> Deferred[Any]:
+def deferred_with_timeout(why: str) -> Deferred[Any]:
     """Something to happen within 5 s; a story that waits in vain fails with the reason."""
     waited: Deferred[Any] = Deferred()
     waited.addTimeout(5, reactor, onTimeoutCancel=lambda _, __: (_ for _ in ()).throw(AssertionError(why)))
@@ -82,7 +82,7 @@
 
     def ended(self) -> Deferred[Any]:
         """Wait for the end; the name of the error that ended the connection."""
-        waiting = deferred("the connection did not end")
+        waiting = deferred_with_timeout("the connection did not end")
         if self.end is not None:
             waiting.callback(self.end)
         else:
@@ -121,14 +121,14 @@
         return self.accepted.get().addTimeout(5, reactor)
 
 
-class Dial(ClientFactory):
+class PeerFactory(ClientFactory):
     """A client's way in."""
 
     noisy = False
 
     def __init__(self) -> None:
         self.peer = Peer()
-        self.up = deferred("no connection")
+        self.up = deferred_with_timeout("no connection")
 
     def buildProtocol(self, addr: object) -> Peer:
         """Make the connection's protocol (Twisted's hook)."""
@@ -139,7 +139,7 @@
 class NodeTestCase(TestCase):
     """A node with hosts and discovery round it, all closed at the end."""
 
-    asked = 0
+    request_count = 0
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
         """Start a node with hosts and discovery; `settings` replace the usual ones."""
@@ -151,7 +151,7 @@
         told = NodeConfig(
             "n0", ("127.0.0.1", 0), (host, int(port)), 7, 1024, known, replace(SETTINGS, **settings)
         )
-        self.node = NetNode(reactor, self.changed(told), Clock())
+        self.node = NetNode(reactor, self.adjust_config(told), Clock())
         decide = self.node.engine.balancer.handle
 
         def spy(now: float, events: Any) -> Any:
@@ -175,7 +175,7 @@
         assert self.node.lifecycle.shutdown is not None
         return self.node.lifecycle.shutdown
 
-    def changed(self, told: NodeConfig) -> NodeConfig:
+    def adjust_config(self, told: NodeConfig) -> NodeConfig:
         """Return the configuration that a story gives its node instead of the usual one."""
         return told
 
@@ -212,13 +212,13 @@
 
     async def client(self, line: str = "", port: int = 0) -> Peer:
         """Connect a client, and send its line if there is one."""
-        dial = Dial()
+        dial = PeerFactory()
         reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, dial)
         peer: Peer = await dial.up
         self.addCleanup(peer.transport.abortConnection)
         if line:
-            self.asked += 1  # an id is new for each connection
-            peer.write(line.encode().replace(b"9b1f03aa5c7e2d41", b"%016x" % self.asked) + b"\r\n")
+            self.request_count += 1  # an id is new for each connection
+            peer.write(line.encode().replace(b"9b1f03aa5c7e2d41", b"%016x" % self.request_count) + b"\r\n")
         return peer
 
     async def accept_attempt(self, *but: str) -> tuple[str, Peer]:
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -15,7 +15,7 @@
 from puffindeck.net.connection_state import ConnectionState
 from tests.support.node_test_case import SETTINGS, NodeTestCase, Peer
 
-ASK = "OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=1100"
+REQUEST = "OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=1100"
 CHAT = SETTINGS.classes[0]
 
 
@@ -69,7 +69,7 @@
     async def hung(self, told: dict[str, Any] | None = None, **rules: Any) -> tuple[Peer, Peer]:
         """A client whose request is with a host that says nothing."""
         self.build(classes=(replace(CHAT, **rules),), **(told or {}))
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         _, host = await self.accept_attempt()
         await host.line()
         return client, host
