--- a/tests/core/test_generational_arena.py
+++ b/tests/core/test_generational_arena.py
@@ -19,5 +19,5 @@
         self.assertNotEqual(first, second)
         self.assertIsNone(slots.get(first))
         self.node.engine.attempt_ended(AttemptId(first, 0), Outcome.OK)
-        self.assertEqual(self.events_of(AttemptEnded), [])
+        self.assertEqual(self.recorded_events(AttemptEnded), [])
         slots.drop(second)
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -73,7 +73,7 @@
             ("PUT /_hosts/attach?member=h7", 404),
         ):
             self.assertEqual(await self.call(odd), status, odd)
-        self.assertEqual(self.events_of(EndpointDetached), [])
+        self.assertEqual(self.recorded_events(EndpointDetached), [])
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         self.assertEqual(await self.call("GET /_ready"), 503)
         self.assertEqual(await self.call("PUT /_lameduck/off", "Content-Length: 2\r\n\r\nhi"), 200)
@@ -106,7 +106,7 @@
             self.assertNotEqual(reached, uid)
         self.assertEqual(await self.call(f"PUT /_hosts/attach?member={uid}"), 200)
         self.assertEqual(
-            (len(self.events_of(EndpointDetached)), len(self.events_of(EndpointAttached))), (1, 1)
+            (len(self.recorded_events(EndpointDetached)), len(self.recorded_events(EndpointAttached))), (1, 1)
         )
         await self.wait_until(lambda: self.back_in_use(uid), "its use")
 
@@ -135,16 +135,16 @@
         marker = self.folder / "detached" / b"h0".hex()
         marker.touch()
         (self.folder / "detached" / "not ours").touch()
-        await self.wait_until(lambda: self.events_of(EndpointDetached), "the other's word")
+        await self.wait_until(lambda: self.recorded_events(EndpointDetached), "the other's word")
         marker.unlink()
-        await self.wait_until(lambda: self.events_of(EndpointAttached), "the other's word")
+        await self.wait_until(lambda: self.recorded_events(EndpointAttached), "the other's word")
         number = self.node.directory.number("h0")
         records = self.folder / "detached"
         records.rename(self.folder / "away")
         records.touch()  # no folder: nothing can be recorded
         self.assertEqual(await self.call("PUT /_hosts/detach?member=h0"), 507)
         # it counts 1 s after the call whatever was answered, so it holds here
-        self.assertEqual(len(self.events_of(EndpointDetached)), 2)
+        self.assertEqual(len(self.recorded_events(EndpointDetached)), 2)
         self.assertIn(number, self.node.engine.reachability.detached_since)
         records.unlink()
         await self.wait_until(
@@ -170,7 +170,7 @@
         marker.unlink()
         records.rmdir()
         await self.wait_until(marker.exists, "its record")
-        self.assertFalse(self.events_of(EndpointAttached))
+        self.assertFalse(self.recorded_events(EndpointAttached))
 
     async def test_a_lame_duck_says_no_serves_a_little_moves_all_and_takes_clients_again(self) -> None:
         self.build()
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -72,7 +72,7 @@
         client.write(REQUEST.encode() + b"\r\n")
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
-        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(len(self.node.engine.requests), 0)
 
     async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -19,7 +19,7 @@
 
     async def test_a_request_that_has_come_when_a_resting_connection_is_ended_is_served(self) -> None:
         self.build()
-        plain, line = await self.resting()
+        plain, line = await self.connect_idle()
         plain.sendall(REQUEST.encode() + b"\r\n")
         line._on_timeout()
         self.assertIs(line.state, ConnectionState.WAITING)
@@ -30,59 +30,59 @@
 
     async def test_a_request_that_comes_after_the_end_has_an_answer_and_is_not_sent_on(self) -> None:
         self.build()
-        plain, line = await self.resting()
+        plain, line = await self.connect_idle()
         line._on_timeout()
         plain.sendall(REQUEST.encode() + b"\r\n")
-        text = await self.reads(plain)
+        text = await self.read_to_end(plain)
         self.assertRegex(text, rb"^PONG\r\nBUSY \d+\r\n$")
         plain.close()
         await self.wait_until(lambda: line.state is ConnectionState.GONE, "the end")
-        self.assertFalse(self.reached())
+        self.assertFalse(self.is_host_reached())
 
     async def test_who_is_put_out_for_room_and_has_asked_is_served_and_else_told_busy(self) -> None:
         self.build()
-        asked, its = await self.met()
-        silent, other = await self.met()
+        asked, its = await self.connect_accepted()
+        silent, other = await self.connect_accepted()
         asked.sendall(REQUEST.encode() + b"\r\n")
         its.evict()
         other.evict()
         self.assertIs(its.state, ConnectionState.WAITING)
         self.assertIs(other.state, ConnectionState.GONE)  # its descriptor is free at once
-        self.assertRegex(await self.reads(silent), rb"^BUSY \d+\r\n$")
+        self.assertRegex(await self.read_to_end(silent), rb"^BUSY \d+\r\n$")
 
     async def test_an_answer_leaves_whole_though_room_is_needed_in_the_same_turn(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         with patch.object(self.node.admission, "on_answered", lambda client: client.evict()):
             line.fail()
         self.assertIs(line.state, ConnectionState.GONE)
-        self.assertEqual(await self.reads(plain), b"ERR\r\n")
+        self.assertEqual(await self.read_to_end(plain), b"ERR\r\n")
 
     async def test_half_a_line_at_the_end_is_answered(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall(b"OPEN 9b1f03aa")
         await self.wait_until(lambda: line._buffer, "the half")
         self.node.lifecycle.is_accepting = False
         line.answer_before_stop(True)
         plain.sendall(b"5c7e2d41 7f3a c=chat,d=1100\r\n")
-        self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
-        self.assertFalse(self.reached())
+        self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
+        self.assertFalse(self.is_host_reached())
 
     async def test_several_lines_in_one_segment_are_one_error_also_at_the_end(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall((REQUEST + "\r\n").encode() * 3)
         line.answer_before_stop(True)
-        self.assertEqual(await self.reads(plain), b"ERR\r\n")
-        self.assertFalse(self.reached())
+        self.assertEqual(await self.read_to_end(plain), b"ERR\r\n")
+        self.assertFalse(self.is_host_reached())
 
 
 class ReadinessStories(RawClientTestCase):
     """Clients that ask whether this node is ready before it is."""
 
     async def asking(self) -> tuple[socket.socket, ClientProtocol]:
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall(b"PING\r\n")
         await self.wait_until(lambda: line.state is ConnectionState.ASKING_READINESS, "the question")
         return plain, line
@@ -95,7 +95,7 @@
         await self.wait_until(lambda: line._unanswered_pings == 2, "the second question")
         self.send_update(watch, 2, False)
         await self.wait_until(lambda: line.state is ConnectionState.IDLE, "readiness")
-        self.assertEqual(await self.exactly(plain, 12), b"PONG\r\nPONG\r\n")
+        self.assertEqual(await self.read_exactly(plain, 12), b"PONG\r\nPONG\r\n")
 
     async def test_who_waits_for_readiness_stands_at_the_door_and_may_have_to_go(self) -> None:
         # they were counted as served: by asking they could fill all descriptors while discovery was away
@@ -103,7 +103,7 @@
         plain, line = await self.asking()
         self.assertIn(line, self.node.admission.waiting)
         line.evict()
-        self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
+        self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
         await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.lifecycle._waiting)
 
@@ -125,11 +125,11 @@
         await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
         host.write(b"UP r\r\n")
         await self.wait_until(lambda: line.state is ConnectionState.RELAYING, "UP")
-        self.assertEqual(await self.exactly(plain, 6), b"UP r\r\n")
+        self.assertEqual(await self.read_exactly(plain, 6), b"UP r\r\n")
 
     async def test_an_idle_moment_in_which_the_question_comes_ends_nothing(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall(b"PING\r\n")
         line._on_timeout()
         self.assertIs(line.state, ConnectionState.ASKING_READINESS)
@@ -145,7 +145,7 @@
         self.assertLessEqual(patience.when, self.node.deadlines.clock.now() + ANSWER_TIMEOUT)
         patience.act(*patience.args)
         await self.wait_until(lambda: line.state is ConnectionState.IDLE, "readiness")
-        self.assertEqual(await self.exactly(plain, 6), b"PONG\r\n")
+        self.assertEqual(await self.read_exactly(plain, 6), b"PONG\r\n")
 
 
 class RudeStories(NodeTestCase):
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -91,7 +91,7 @@
         watch = await other.next()
         self.assertIn(b"watch=1&after=1 ", await watch.line())
         self.assertEqual(
-            [(e.kind, len(e.entries)) for e in self.events_of(EndpointListUpdated)][-1],
+            [(e.kind, len(e.entries)) for e in self.recorded_events(EndpointListUpdated)][-1],
             (ListUpdateKind.FULL, 2),
         )
         self.assertEqual(len(gone.peers), 1)  # the old one is not asked again
@@ -129,7 +129,7 @@
         limits = table["limits"] | {"maxAttempts": 1}
         with patch.object(served_classes, "DROP_DELAY", milliseconds(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
-        self.assertEqual([e.settings.max_attempts for e in self.events_of(SettingsChanged)][-1], 1)
+        self.assertEqual([e.settings.max_attempts for e in self.recorded_events(SettingsChanged)][-1], 1)
         self.assertEqual((old.max_attempts, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
         now = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -54,7 +54,7 @@
         return watch
 
     def lists(self) -> list[tuple[ListUpdateKind, int]]:
-        return [(e.kind, e.version) for e in self.events_of(EndpointListUpdated)]
+        return [(e.kind, e.version) for e in self.recorded_events(EndpointListUpdated)]
 
     async def pause(self, seconds: float) -> None:
         waiting: list[int] = []
@@ -208,7 +208,7 @@
         watch = await self.accept_watch()
         client, uid, host = await self.establish(REQUEST)
         self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
-        await self.wait_until(lambda: self.events_of(EndpointListUpdated)[-1].version == 2, "the news")
+        await self.wait_until(lambda: self.recorded_events(EndpointListUpdated)[-1].version == 2, "the news")
         for _ in range(4):
             other = await self.client(REQUEST)
             reached, peer = await self.accept_attempt()
@@ -229,7 +229,7 @@
                 await host.ended()
                 self.assertEqual(host.buffer, b"")
             self.assertTrue(asked.called)
-        self.assertEqual(self.events_of(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
+        self.assertEqual(self.recorded_events(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_watch_that_breaks_or_falls_silent_or_talks_nonsense_is_asked_for_again(self) -> None:
         with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
@@ -238,22 +238,24 @@
             watch = await self.discovery.next()
             watch.write(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
             await self.wait_until(
-                lambda: self.events_of(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED, "its failure"
+                lambda: self.recorded_events(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED,
+                "its failure",
             )
             await watch.ended()
             self.assertEqual(
-                [e.kind for e in self.events_of(EndpointListUpdated)],
+                [e.kind for e in self.recorded_events(EndpointListUpdated)],
                 [ListUpdateKind.CACHED, ListUpdateKind.FAILED],
             )
             for ill in (b"", b"3\r\n{]\n\r\n"):
                 watch = await self.accept_watch()
                 self.send_update(watch, 5, True, *(self.target(uid) for uid in self.hosts))
                 await self.wait_until(
-                    lambda: self.events_of(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL, "the list"
+                    lambda: self.recorded_events(EndpointListUpdated)[-1].kind == ListUpdateKind.FULL,
+                    "the list",
                 )
                 watch.write(ill)
                 await self.wait_until(
-                    lambda: self.events_of(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED,
+                    lambda: self.recorded_events(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED,
                     "its failure",
                 )
             again = await self.discovery.next()
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -39,19 +39,19 @@
         client, _, host = await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         host.write(b"half of a li")
-        await self.wait_until(lambda: client.left(b"half of a li"), "the half")
+        await self.wait_until(lambda: client.has_partial_line(b"half of a li"), "the half")
         self.node.engine.migrate_before_stop(line.request)
         return client, line, host
 
     async def test_who_waits_at_the_port_is_answered_before_it_closes(self) -> None:
         self.build()
         self.node.lifecycle.is_accepting = False
-        waiting = [self.raw() for _ in range(40)]  # more than one turn accepts
+        waiting = [self.connect_raw() for _ in range(40)]  # more than one turn accepts
         for plain in waiting:
             plain.sendall(REQUEST.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
         self.assertFalse(self.node.listeners.close_when_empty(False))
         for plain in waiting:
-            self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
+            self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
             plain.close()
         await self.wait_until(lambda: not self.node.connections.clients, "their ends")
         self.assertTrue(self.node.listeners.close_when_empty(False))
@@ -59,21 +59,21 @@
 
     async def test_who_waits_at_the_port_when_time_is_up_is_answered_too(self) -> None:
         self.build()
-        plain = self.raw()
+        plain = self.connect_raw()
         plain.sendall(REQUEST.encode() + b"\r\n")
         self.node.lifecycle.is_accepting = False
         self.leaving()._check()
         self.assertFalse(self.main_port.connected)
-        self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
+        self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
 
     async def test_a_request_at_a_hung_host_is_refused_at_the_end_where_that_is_harmless(self) -> None:
-        client, host = await self.hung()
+        client, host = await self.connect_unanswered()
         self.leaving()._check()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_its_attempt_is_given_up_too_where_the_settings_know_no_cancelling(self) -> None:
-        client, host = await self.hung(told={"can_cancel": False})
+        client, host = await self.connect_unanswered(told={"can_cancel": False})
         (link,) = self.node.connections.upstreams
         self.leaving()._check()
         self.assertTrue(link.done)  # at once, not with its deadline
@@ -81,18 +81,20 @@
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_that_may_have_run_and_must_not_run_twice_is_failed_at_the_end(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_whose_repeats_only_a_zone_discards_is_failed_at_the_end(self) -> None:
-        client, _ = await self.hung(effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0)
+        client, _ = await self.connect_unanswered(
+            effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0
+        )
         self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
 
     async def test_a_request_is_answered_at_the_end_though_the_module_fails(self) -> None:
-        client, host = await self.hung()
+        client, host = await self.connect_unanswered()
         with patch.object(self.node.engine.balancer, "handle", side_effect=ZeroDivisionError):
             self.leaving()._check()
             self.assertEqual(await client.line(), b"ERR")
@@ -101,7 +103,7 @@
 
     async def test_who_asks_whether_it_is_ready_is_told_no_when_it_ends_before_that(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall(b"PING\r\n")
         await self.wait_until(lambda: self.node.lifecycle._waiting, "the question")
         with patch.object(
@@ -112,7 +114,7 @@
             self.node.stop()
         self.assertIs(line.state, ConnectionState.IDLE)
         plain.shutdown(socket.SHUT_WR)
-        self.assertEqual(await self.reads(plain), b"BUSY\r\n")
+        self.assertEqual(await self.read_to_end(plain), b"BUSY\r\n")
         self.shutdown.cancel()
 
     async def test_a_line_that_does_not_end_before_the_end_gets_no_move_into_it(self) -> None:
@@ -121,14 +123,14 @@
         self.assertIs(line.state, ConnectionState.MOVING)
         self.leaving()._check()
         self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.left(b"half of a li"))
+        self.assertTrue(client.has_partial_line(b"half of a li"))
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_a_host_that_ends_in_the_middle_of_the_line_before_a_move(self) -> None:
         client, _, host = await self.moving_with_half_a_line()
         host.transport.loseConnection()
         self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.left(b"half of a li"))
+        self.assertTrue(client.has_partial_line(b"half of a li"))
 
     async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
         self.build()
@@ -141,7 +143,7 @@
         await self.wait_until(lambda: line.relay._held_start == b"next", "the next")
         self.node.engine.migrate_before_stop(line.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
-        self.assertTrue(client.left(b""))
+        self.assertTrue(client.has_partial_line(b""))
 
     async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
         self.build()
@@ -154,7 +156,7 @@
         host.write(b"half")
         await self.wait_until(lambda: line.relay._held_start, "the half")
         leaving.cancel()
-        await self.wait_until(lambda: client.left(b"half"), "the half at the client")
+        await self.wait_until(lambda: client.has_partial_line(b"half"), "the half at the client")
         host.write(b" a line\r\n")
         self.assertEqual(await client.line(), b"half a line")
 
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -30,9 +30,9 @@
         self.assertEqual(len(await host.line()), 80000)
         for piece in (b"LO", b"AD 7.5\r\nno LOAD 9\r\n" + b"x" * 100 + b"\r", b"\nLOAD x\r\nBYE\r", b"\n"):
             host.write(piece)  # what a host tells is passed on too; here its figure is a message's delay
-            await self.wait_until(partial(client.left, piece.rsplit(b"\n", 1)[-1]), "the piece")
+            await self.wait_until(partial(client.has_partial_line, piece.rsplit(b"\n", 1)[-1]), "the piece")
         host.transport.loseConnection()
         self.assertEqual([await client.line() for _ in range(5)][::2], [b"LOAD 7.5", b"x" * 100, b"BYE"])
-        self.assertEqual([e.latency_ms for e in self.events_of(LatencyReported)], [7.5])
+        self.assertEqual([e.latency_ms for e in self.recorded_events(LatencyReported)], [7.5])
         self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertEqual(self.events_of(AttemptEnded)[-1].outcome, Outcome.OK)
+        self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.OK)
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -23,14 +23,14 @@
             self.assertEqual(await host.line(), b"M 1")
             self.assertEqual(await client.line(), b"MOVE")
             self.assertEqual(await client.ended(), "ConnectionDone")
-            self.assertEqual(self.events_of(AttemptEnded)[-1].outcome, Outcome.RESET)
+            self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.RESET)
 
     async def test_the_start_of_a_line_is_owed_no_answer(self) -> None:
         # a client that stopped short in a line was moved, and its host cut, for the host's silence
         self.build()
         client, _, host = await self.establish(REQUEST)
         client.write(b"half a li")
-        await self.wait_until(lambda: host.left(b"half a li"), "its passing")
+        await self.wait_until(lambda: host.has_partial_line(b"half a li"), "its passing")
         later = self.node.deadlines.clock.now() + silence_monitor.SILENCE_LIMIT * 2
         (link,) = self.node.connections.upstreams
         self.assertLess(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
@@ -54,8 +54,8 @@
             await host.line()
             host.write(b"M ")
             self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.left(b"M "))  # no MOVE has its place in the middle of a line
-        self.assertEqual(self.events_of(AttemptEnded)[-1].outcome, Outcome.RESET)
+        self.assertTrue(client.has_partial_line(b"M "))  # no MOVE has its place in the middle of a line
+        self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.RESET)
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     def test_silence_ends_well_before_seven_seconds(self) -> None:
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -34,24 +34,24 @@
 
     async def test_no_attempt_for_a_client_that_closed_right_behind_its_request(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall(REQUEST.encode() + b"\r\n")
         plain.close()
         await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.connections.upstreams)
-        self.assertFalse(self.reached())
-        self.assertEqual(len(self.events_of(ClientDisconnected)), 1)
+        self.assertFalse(self.is_host_reached())
+        self.assertEqual(len(self.recorded_events(ClientDisconnected)), 1)
 
     async def test_no_byte_goes_out_where_the_client_left_while_the_connect_took_its_time(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         with self.at_connect(plain.close):
             plain.sendall(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
         await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_a_connection_that_comes_up_when_its_request_was_given_up_is_ended_unused(self) -> None:
@@ -66,11 +66,11 @@
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
 
     async def test_no_further_attempt_for_a_client_that_left_when_the_first_one_failed(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
         await host.line()
@@ -93,7 +93,7 @@
             _, host = await self.accept_attempt()
             await host.ended()
             self.assertEqual(host.received, b"")
-            self.assertEqual(self.events_of(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
+            self.assertEqual(self.recorded_events(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
@@ -121,7 +121,7 @@
 
     async def test_up_that_has_come_when_the_deadline_expires_is_handed_on(self) -> None:
         # timers go before octets: a node that was held up gave up what had been answered in time
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.connections.clients
         host.transport.getHandle().send(b"UP r9\r\n")
         self.node.engine.attempts.expire(AttemptId(line.request, 0))
@@ -129,7 +129,7 @@
         self.assertIs(line.state, ConnectionState.RELAYING)
 
     async def test_an_attempt_without_an_answer_ends_with_its_deadline(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.connections.clients
         self.node.engine.attempts.expire(AttemptId(line.request, 0))
         self.assertEqual(await client.line(), b"ERR")
@@ -154,28 +154,28 @@
         self.assertEqual(host.received, b"")
 
     async def test_an_answer_cut_in_the_middle_is_a_failed_attempt(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP r")
         host.transport.loseConnection()
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.RESET])
 
     async def test_an_answer_that_never_ends_is_a_failed_attempt(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP " + b"r" * 5000)
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.ERROR])
         await host.ended()
 
     async def test_an_answer_behind_the_end_of_an_attempt_is_not_heard(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         (link,) = self.node.connections.upstreams
         host.transport.getHandle().send(b"ERR\r\nUP r9\r\n")
         self.assertEqual(await client.line(), b"ERR")
         await client.ended()
-        self.assertTrue(client.left(b""))
+        self.assertTrue(client.has_partial_line(b""))
         self.assertTrue(link.done)
-        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.ERROR])
 
 
 class RestoreStories(NodeTestCase):
@@ -193,8 +193,8 @@
         host.write(b"UP r\r\n")
         self.assertEqual(await client.line(), b"UP r")
         self.assertEqual(
-            [e.endpoint for e in self.events_of(ConnectionRestored)], [self.node.directory.number("h1")]
+            [e.endpoint for e in self.recorded_events(ConnectionRestored)], [self.node.directory.number("h1")]
         )
         host.transport.abortConnection()
         self.assertEqual(await client.ended(), "ConnectionLost")
-        self.assertEqual([e.outcome for e in self.events_of(AttemptEnded)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.RESET])
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -54,13 +54,13 @@
             if not said:
                 host.transport.abortConnection()
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
-            self.assertEqual(self.events_of(AttemptEnded)[-1].outcome, outcome)
+            self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, outcome)
             endpoint = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
             endpoint.ejected_until_ms, endpoint.load_limit = 0.0, float("inf")  # each as if it were the first
         await self.hosts["h0"].port.stopListening()
         client = await self.client(REQUEST)
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
-        self.assertEqual(self.events_of(AttemptEnded)[-1].outcome, Outcome.CONNECT_FAILED)
+        self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_host_that_is_down_costs_the_client_nothing(self) -> None:
         self.build()
@@ -71,7 +71,7 @@
             await host.line()
             host.write(b"UP r\r\n")
             self.assertEqual(await client.line(), b"UP r")
-        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.events_of(AttemptEnded)])
+        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.recorded_events(AttemptEnded)])
 
     async def test_a_host_that_says_nothing_is_given_up_and_the_client_answered_in_time(self) -> None:
         self.build(hosts=1)
@@ -90,5 +90,5 @@
         _, host = await self.accept_attempt()
         client.transport.abortConnection()
         await host.ended()
-        self.assertEqual(self.events_of(AttemptEnded)[-1].outcome, Outcome.CANCELLED)
+        self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.CANCELLED)
         self.assertEqual(len(self.node.engine.requests), 0)
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -158,7 +158,7 @@
         (end,) = client.events_of(events.ConnectionTerminated)
         self.assertEqual(end.error_code, packets.CONNECTION_REFUSED)
         self.assertRegex(end.reason_phrase, "^busy")
-        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.events_of(AttemptEnded)])
+        self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.recorded_events(AttemptEnded)])
 
     async def test_a_box_that_dies_later_ends_its_flow(self) -> None:
         self.build_quic(servers=1)
@@ -169,10 +169,10 @@
 
         def ended() -> list[Any]:
             client.say(b".")
-            return self.events_of(AttemptEnded)
+            return self.recorded_events(AttemptEnded)
 
         await self.wait_until(ended, "the flow's end")
-        self.assertEqual(self.events_of(AttemptEnded)[0].outcome, Outcome.RESET)
+        self.assertEqual(self.recorded_events(AttemptEnded)[0].outcome, Outcome.RESET)
 
     async def test_a_full_table_refuses_and_a_deadline_answers(self) -> None:
         self.build_quic(connections=1, deadline=300.0)
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -72,7 +72,7 @@
         for waiting in self._ended:
             waiting.callback(self.end)
 
-    def left(self, text: bytes) -> bool:
+    def has_partial_line(self, text: bytes) -> bool:
         """Is this what came after the last whole line?"""
         return self.buffer == text
 
@@ -253,6 +253,6 @@
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
         watch.write(b"%x\r\n%s\r\n" % (len(body), body))
 
-    def events_of(self, kind: type[Any]) -> list[Any]:
+    def recorded_events(self, kind: type[Any]) -> list[Any]:
         """Return the events of one kind that the decision module was given."""
         return [event for event in self.events if isinstance(event, kind)]
