--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -7,8 +7,8 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.net import silence_monitor
-from tests.support.node_test_case import ASK, NodeTestCase
-from tests.support.raw_client_test_case import ASK as SHORT_ASK
+from tests.support.node_test_case import REQUEST, NodeTestCase
+from tests.support.raw_client_test_case import REQUEST as SHORT_REQUEST
 from tests.support.raw_client_test_case import RawClientTestCase
 
 
@@ -18,19 +18,19 @@
     async def test_a_silent_hosts_client_is_moved(self) -> None:
         with patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(100)):
             self.build()
-            client, _, host = await self.establish(ASK)
+            client, _, host = await self.establish(REQUEST)
             client.write(b"M 1\r\n")
             self.assertEqual(await host.line(), b"M 1")
             self.assertEqual(await client.line(), b"MOVE")
             self.assertEqual(await client.ended(), "ConnectionDone")
-            self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.RESET)
+            self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.RESET)
 
     async def test_the_start_of_a_line_is_owed_no_answer(self) -> None:
         # a client that stopped short in a line was moved, and its host cut, for the host's silence
         self.build()
-        client, _, host = await self.establish(ASK)
+        client, _, host = await self.establish(REQUEST)
         client.write(b"half a li")
-        await self.until(lambda: host.left(b"half a li"), "its passing")
+        await self.wait_until(lambda: host.has_partial_line(b"half a li"), "its passing")
         later = self.node.deadlines.clock.now() + silence_monitor.SILENCE_LIMIT * 2
         (link,) = self.node.connections.upstreams
         self.assertLess(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
@@ -49,13 +49,13 @@
             patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
         ):
             self.build()
-            client, _, host = await self.establish(SHORT_ASK)
+            client, _, host = await self.establish(SHORT_REQUEST)
             client.write(b"M 1\r\n")
             await host.line()
             host.write(b"M ")
             self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.left(b"M "))  # no MOVE has its place in the middle of a line
-        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.RESET)
+        self.assertTrue(client.has_partial_line(b"M "))  # no MOVE has its place in the middle of a line
+        self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.RESET)
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     def test_silence_ends_well_before_seven_seconds(self) -> None:
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -14,9 +14,9 @@
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.upstream_connection import UpstreamConnection
 from puffindeck.net.upstream_protocol import UpstreamProtocol
-from tests.support.node_test_case import ASK as ROUTED_ASK
+from tests.support.node_test_case import REQUEST as ROUTED_REQUEST
 from tests.support.node_test_case import NodeTestCase
-from tests.support.raw_client_test_case import ASK, CHAT, RawClientTestCase
+from tests.support.raw_client_test_case import CHAT, REQUEST, RawClientTestCase
 
 
 class LeaverStories(RawClientTestCase):
@@ -34,24 +34,24 @@
 
     async def test_no_attempt_for_a_client_that_closed_right_behind_its_request(self) -> None:
         self.build()
-        plain, line = await self.met()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain, line = await self.connect_accepted()
+        plain.sendall(REQUEST.encode() + b"\r\n")
         plain.close()
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.connections.upstreams)
-        self.assertFalse(self.reached())
-        self.assertEqual(len(self.ends(ClientDisconnected)), 1)
+        self.assertFalse(self.is_host_reached())
+        self.assertEqual(len(self.recorded_events(ClientDisconnected)), 1)
 
     async def test_no_byte_goes_out_where_the_client_left_while_the_connect_took_its_time(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         with self.at_connect(plain.close):
-            plain.sendall(ASK.encode() + b"\r\n")
+            plain.sendall(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_a_connection_that_comes_up_when_its_request_was_given_up_is_ended_unused(self) -> None:
@@ -62,22 +62,22 @@
                 self.node.engine.client_disconnected(link.attempt_id.request)
 
         with self.at_connect(given_up):
-            await self.client(ASK)
+            await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
 
     async def test_no_further_attempt_for_a_client_that_left_when_the_first_one_failed(self) -> None:
         self.build()
-        plain, line = await self.met()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain, line = await self.connect_accepted()
+        plain.sendall(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
         await host.line()
         (link,) = self.node.connections.upstreams
         plain.close()
         link.finish(Outcome.ERROR)  # the host's word, in the turn in which the client's end has come
-        await self.until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_an_attempt_whose_time_is_over_when_its_connection_comes_up_is_not_begun(self) -> None:
@@ -89,15 +89,15 @@
                 link._begin = self.node.deadlines.clock.now()
 
         with self.at_connect(late):
-            client.write(ASK.encode() + b"\r\n")
+            client.write(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
             self.assertEqual(host.received, b"")
-            self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
+            self.assertEqual(self.recorded_events(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
-        client = await self.client(ASK)
+        client = await self.client(REQUEST)
         uid, host = await self.accept_attempt()
         await host.line()
         begins: list[Any] = []
@@ -121,7 +121,7 @@
 
     async def test_up_that_has_come_when_the_deadline_expires_is_handed_on(self) -> None:
         # timers go before octets: a node that was held up gave up what had been answered in time
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.connections.clients
         host.transport.getHandle().send(b"UP r9\r\n")
         self.node.engine.attempts.expire(AttemptId(line.request, 0))
@@ -129,7 +129,7 @@
         self.assertIs(line.state, ConnectionState.RELAYING)
 
     async def test_an_attempt_without_an_answer_ends_with_its_deadline(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         (line,) = self.node.connections.clients
         self.node.engine.attempts.expire(AttemptId(line.request, 0))
         self.assertEqual(await client.line(), b"ERR")
@@ -148,34 +148,34 @@
             patch.object(upstream_protocol, "flush", lambda transport: None),
             patch.object(UpstreamProtocol, "connectionMade", then),
         ):
-            await self.client(ASK)
+            await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
 
     async def test_an_answer_cut_in_the_middle_is_a_failed_attempt(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP r")
         host.transport.loseConnection()
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.RESET])
 
     async def test_an_answer_that_never_ends_is_a_failed_attempt(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP " + b"r" * 5000)
         self.assertEqual(await client.line(), b"ERR")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.ERROR])
         await host.ended()
 
     async def test_an_answer_behind_the_end_of_an_attempt_is_not_heard(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         (link,) = self.node.connections.upstreams
         host.transport.getHandle().send(b"ERR\r\nUP r9\r\n")
         self.assertEqual(await client.line(), b"ERR")
         await client.ended()
-        self.assertTrue(client.left(b""))
+        self.assertTrue(client.has_partial_line(b""))
         self.assertTrue(link.done)
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.ERROR])
 
 
 class RestoreStories(NodeTestCase):
@@ -184,7 +184,7 @@
     async def test_a_connection_from_before_the_run_goes_to_its_host_with_any_time(self) -> None:
         # the first day lost all of these: their d is 4294967
         self.build()
-        client = await self.client(f"{ROUTED_ASK},at=h1".replace("d=1100", "d=4294967"))
+        client = await self.client(f"{ROUTED_REQUEST},at=h1".replace("d=1100", "d=4294967"))
         host = await self.hosts["h1"].next()
         await host.line()
         host.transport.abortConnection()  # it is tried again: nobody else has it
@@ -193,8 +193,8 @@
         host.write(b"UP r\r\n")
         self.assertEqual(await client.line(), b"UP r")
         self.assertEqual(
-            [e.endpoint for e in self.ends(ConnectionRestored)], [self.node.directory.number("h1")]
+            [e.endpoint for e in self.recorded_events(ConnectionRestored)], [self.node.directory.number("h1")]
         )
         host.transport.abortConnection()
         self.assertEqual(await client.ended(), "ConnectionLost")
-        self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.RESET])
+        self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.RESET])
