--- a/puffindeck/policy/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -46,7 +46,7 @@
 DETACH_MS = 1200.0  # over how long the connections of an endpoint that is detached are migrated
 
 
-def usual_strategies(state: GatewayState) -> Strategies:
+def default_strategies(state: GatewayState) -> Strategies:
     """The strategies of a gateway that replaces nothing."""
     return Strategies()
 
@@ -67,7 +67,7 @@
         self,
         settings: Settings,
         seed: int,
-        strategies: StrategyFactory = usual_strategies,
+        strategies: StrategyFactory = default_strategies,
         minimum_connections: Callable[[], float] = no_minimum,
     ) -> None:
         """`strategies` replaces parts of the decisions; `minimum_connections` is CapacityModel's."""
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -7,7 +7,7 @@
 
 from puffindeck.interface import Effect, Settings
 from puffindeck.policy import Balancer
-from puffindeck.policy.balancer import usual_strategies
+from puffindeck.policy.balancer import default_strategies
 from puffindeck.policy.capacity import CapacityModel
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.endpoint_registry import EndpointRegistry
@@ -126,7 +126,7 @@
         seed: int,
         should_leave: Callable[[Request], bool],
         pool_connections: Callable[[], int],
-        base: StrategyFactory = usual_strategies,
+        base: StrategyFactory = default_strategies,
     ) -> None:
         """`should_leave` says whether another tier is to serve a request that waits here, `pool_connections`
         how many connections all tiers have; `base` has strategies that this class adds to.
