--- a/packages/residency/src/puffindeck_residency/regional.py
+++ b/packages/residency/src/puffindeck_residency/regional.py
@@ -72,19 +72,19 @@
 class RegionalPlacement:
     """Looks for an endpoint in one allowed region after the other. An EndpointChooser."""
 
-    def __init__(self, constraints: RegionConstraints, otherwise: EndpointChooser) -> None:
+    def __init__(self, constraints: RegionConstraints, fallback: EndpointChooser) -> None:
         self._constraints = constraints
-        self._otherwise = otherwise
+        self._fallback = fallback
 
     def choose(self, request: Request) -> Choice:
         """The endpoint for a request."""
         order = self._constraints.orders.get(request.id)
         if order is None:
-            return self._otherwise.choose(request)
+            return self._fallback.choose(request)
         for region in self._constraints.candidates(order):
             self._constraints.region = region
             try:
-                choice = self._otherwise.choose(request)
+                choice = self._fallback.choose(request)
             finally:
                 self._constraints.region = None
             if choice.endpoint is not None:
@@ -116,9 +116,9 @@
         )
 
     def _wrap_placement(
-        self, otherwise: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
+        self, fallback: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
     ) -> EndpointChooser:
-        return RegionalPlacement(self._constraints, otherwise)
+        return RegionalPlacement(self._constraints, fallback)
 
     def connections_outside_regions(self) -> list[int]:
         """Established connections whose endpoint is in none of their allowed regions now."""
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -130,7 +130,7 @@
         ring: ClientRing,
         rules: SendRules,
         endpoint_filter: EndpointFilter | None,
-        otherwise: EndpointChooser,
+        fallback: EndpointChooser,
     ) -> None:
         self._context = state.context
         self._loads = state.loads
@@ -138,7 +138,7 @@
         self._ring = ring
         self._rules = rules
         self._filter = endpoint_filter
-        self._otherwise = otherwise
+        self._fallback = fallback
 
     def choose(self, request: Request) -> Choice:
         """The endpoint for a request."""
@@ -149,7 +149,7 @@
                     return Choice(home, True)
             elif self._is_usual(request, home):
                 return Choice(home, True)
-        return self._otherwise.choose(request)
+        return self._fallback.choose(request)
 
     def _is_usual(self, request: Request, home: Endpoint) -> bool:
         """Whether the search would end at its first step. Told apart to save time."""
@@ -278,6 +278,6 @@
         )
 
     def _wrap_placement(
-        self, otherwise: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
+        self, fallback: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
     ) -> EndpointChooser:
-        return ClientPlacement(self._state, self.ring, rules, endpoint_filter, otherwise)
+        return ClientPlacement(self._state, self.ring, rules, endpoint_filter, fallback)
--- a/puffindeck/policy/strategies.py
+++ b/puffindeck/policy/strategies.py
@@ -70,7 +70,7 @@
     """Makes a chooser that looks at some requests itself and leaves the others to the usual one."""
 
     def __call__(
-        self, otherwise: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
+        self, fallback: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
     ) -> EndpointChooser:
         """The chooser in its place."""
 
