--- a/puffindeck/core/timer_queue.py
+++ b/puffindeck/core/timer_queue.py
@@ -34,11 +34,11 @@
 class Deadline:
     """A call to be made at a time of the clock, unless it is cancelled before."""
 
-    __slots__ = ("act", "args", "when")
+    __slots__ = ("args", "callback", "due")
 
-    def __init__(self, when: timedelta, act: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        self.when = when
-        self.act: Callable[..., Any] | None = act
+    def __init__(self, due: timedelta, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
+        self.due = due
+        self.callback: Callable[..., Any] | None = callback
         self.args = args
 
 
@@ -54,25 +54,25 @@
         self._timer: Timer | None = None
         self._timer_at = ZERO
 
-    def after(self, wait: timedelta, act: Callable[..., Any], *args: Any) -> Deadline:
-        """Call `act` after a wait."""
-        return self.at(self.clock.now() + wait, act, *args)
+    def after(self, wait: timedelta, callback: Callable[..., Any], *args: Any) -> Deadline:
+        """Call `callback` after a wait."""
+        return self.at(self.clock.now() + wait, callback, *args)
 
-    def at(self, when: timedelta, act: Callable[..., Any], *args: Any) -> Deadline:
-        """Call `act` at a time of the clock; of two at the same time the first requested comes first."""
-        deadline = Deadline(when, act, args)
+    def at(self, due: timedelta, callback: Callable[..., Any], *args: Any) -> Deadline:
+        """Call `callback` at a time of the clock; of two at the same time the first requested comes first."""
+        deadline = Deadline(due, callback, args)
         self._count += 1
-        heappush(self._heap, (when, self._count, deadline))
+        heappush(self._heap, (due, self._count, deadline))
         self._set()
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
         """Do not make this call. None, or a call that has been made, changes nothing."""
-        if deadline is not None and deadline.act is not None:
-            deadline.act, deadline.args = None, ()  # releases what they refer to
+        if deadline is not None and deadline.callback is not None:
+            deadline.callback, deadline.args = None, ()  # releases what they refer to
             self._cancelled += 1
             if self._cancelled > MIN_CANCELLED and 2 * self._cancelled > len(self._heap):
-                self._heap = [item for item in self._heap if item[2].act is not None]
+                self._heap = [item for item in self._heap if item[2].callback is not None]
                 heapify(self._heap)
                 self._cancelled = 0
 
@@ -118,12 +118,12 @@
         self._log_late(now)
         while self._heap and self._heap[0][0] <= now:
             deadline = heappop(self._heap)[2]
-            act, deadline.act = deadline.act, None
-            if act is None:
+            callback, deadline.callback = deadline.callback, None
+            if callback is None:
                 self._cancelled -= 1
                 continue
             try:
-                act(*deadline.args)
+                callback(*deadline.args)
             except Exception:
                 log.failure("a deadline's act failed")
         self._set()
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -141,9 +141,9 @@
         assert self.node.watch is not None
         patience = self.node.watch._timeout
         assert patience is not None
-        assert patience.act is not None
-        self.assertLessEqual(patience.when, self.node.deadlines.clock.now() + ANSWER_TIMEOUT)
-        patience.act(*patience.args)
+        assert patience.callback is not None
+        self.assertLessEqual(patience.due, self.node.deadlines.clock.now() + ANSWER_TIMEOUT)
+        patience.callback(*patience.args)
         await self.until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.exactly(plain, 6), b"PONG\r\n")
 
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -200,7 +200,7 @@
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
             await self.until(lambda: stop.called, "its end")
-        self.assertTrue(all(deadline.act is None for deadline in lame._pending))
+        self.assertTrue(all(deadline.callback is None for deadline in lame._pending))
 
     async def test_a_reload_while_it_ends_moves_discovery(self) -> None:
         self.build()
