--- a/puffindeck/core/__init__.py
+++ b/puffindeck/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes, independent of the wire."""
+"""Requests, attempts and their outcomes, independent of the transport protocol."""
--- a/puffindeck/core/attempts.py
+++ b/puffindeck/core/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of requests: one out at a time, each cut to its time, and each with one end."""
+"""Attempts of requests: a request has at most one active attempt, and each attempt ends exactly once."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Attempts:
-    """Starts attempts, and ends them by what a front, a deadline or the decision module says."""
+    """Starts attempts, and ends them when a front, a deadline or the decision module requires it."""
 
     def __init__(
         self,
@@ -28,46 +28,49 @@
         self._observer = observer
         self._dispatch = dispatch
 
-    def current(self, attempt_id: AttemptId) -> RequestState | None:
-        """Return the request of an attempt that is out; None for any other."""
+    def find_active(self, attempt_id: AttemptId) -> RequestState | None:
+        """Return the request of an active attempt; None if the attempt has ended or is unknown."""
         state = self._requests.get(attempt_id.request)
         if state is None or not state.attempt_active or attempt_id.attempt != state.attempts - 1:
             return None
         return state
 
-    def unanswered(self, attempt_id: AttemptId) -> RequestState | None:
-        """Return the request of an attempt that is out, if its server has sent no answer by this moment."""
-        state = self.current(attempt_id)
+    def find_unanswered(self, attempt_id: AttemptId) -> RequestState | None:
+        """Return the request of an active attempt whose server has not answered yet; None otherwise.
+
+        Reads first what the server has sent, so that an answer that waits in the socket's buffer counts.
+        """
+        state = self.find_active(attempt_id)
         if state is not None and state.link is not None and not state.established:
             state.link.read_available()
-            state = self.current(attempt_id)
+            state = self.find_active(attempt_id)
         return state if state is not None and not state.established else None
 
     def start(self, state: RequestState, action: Send) -> None:
-        """Start the attempt that the decision module asks for, within the request's deadline."""
+        """Start the attempt that the decision module requests, limited by the request's deadline."""
         attempt_id = AttemptId(action.request, state.attempts)
         now = self._clock.now()
-        until = state.deadline
+        answer_deadline = state.deadline
         if action.timeout_ms:
-            until = min(until, now + milliseconds(action.timeout_ms))
-        begin = until
+            answer_deadline = min(answer_deadline, now + milliseconds(action.timeout_ms))
+        start_deadline = answer_deadline
         if action.start_within_ms:
-            begin = min(until, now + milliseconds(action.start_within_ms))
+            start_deadline = min(answer_deadline, now + milliseconds(action.start_within_ms))
         state.attempts += 1
         state.attempt_active = True
         state.endpoint = action.endpoint
         state.attempt_started = now
-        if until <= now:
+        if answer_deadline <= now:
             self.ended(attempt_id, Outcome.TIMEOUT)
             return
         self._observer.attempt_began(state.id, action.endpoint, attempt_id.attempt)
-        state.attempt_expiry = self._deadlines.at(until, self.expire, attempt_id)
-        link = state.client.start_attempt(attempt_id, action.endpoint, until, begin)
-        if self.current(attempt_id) is state:
+        state.attempt_expiry = self._deadlines.at(answer_deadline, self.expire, attempt_id)
+        link = state.client.start_attempt(attempt_id, action.endpoint, answer_deadline, start_deadline)
+        if self.find_active(attempt_id) is state:
             state.link = link
 
     def reject_start(self, state: RequestState, action: Send) -> None:
-        """Report an attempt as moot: the request is answered, or has an attempt out or none left."""
+        """Report an attempt as moot: its request is answered, has an active attempt or no attempts left."""
         attempt = state.attempts
         state.attempts += not state.attempt_active
         self._dispatch(
@@ -75,8 +78,11 @@
         )
 
     def established(self, attempt_id: AttemptId) -> bool:
-        """Answer the client by a connection that stands. False if nobody waits for it any more."""
-        state = self.current(attempt_id)
+        """Notify the client that its connection is established.
+
+        Returns False if the attempt is no longer active or its request is already answered.
+        """
+        state = self.find_active(attempt_id)
         if state is None or state.answered or state.link is None:
             return False
         state.established = True
@@ -85,13 +91,13 @@
         self._deadlines.cancel(state.deadline_guard)
         state.client.on_established(state.link)
         self._observer.answered(state.id, Answer.UP, Reason.SERVED)
-        took = to_ms(self._clock.now() - state.attempt_started)
-        self._dispatch(AttemptEstablished(attempt_id.request, state.endpoint, took, attempt_id.attempt))
+        elapsed_ms = to_ms(self._clock.now() - state.attempt_started)
+        self._dispatch(AttemptEstablished(attempt_id.request, state.endpoint, elapsed_ms, attempt_id.attempt))
         return True
 
     def ended(self, attempt_id: AttemptId, outcome: Outcome) -> None:
-        """Report the end of an attempt, or of the connection that it became. Only the first report counts."""
-        state = self.current(attempt_id)
+        """Report the end of an attempt or of its connection. Reports after the first are ignored."""
+        state = self.find_active(attempt_id)
         if state is None:
             return
         state.attempt_active = False
@@ -100,22 +106,24 @@
         if outcome == Outcome.OK:
             state.answered = True
         if outcome == Outcome.NO_RESOURCE:
-            state.max_attempts += 1  # it reached nobody, and is none of the attempts that are allowed
-        took = self._clock.now() - state.attempt_started
+            state.max_attempts += 1  # the attempt reached no server and does not count towards the limit
+        elapsed = self._clock.now() - state.attempt_started
         if not state.established:
-            self._observer.attempt_ended(state.id, state.endpoint, attempt_id.attempt, outcome, took)
-        self._requests.settle(state)
+            self._observer.attempt_ended(state.id, state.endpoint, attempt_id.attempt, outcome, elapsed)
+        self._requests.release_if_complete(state)
         request, attempt = attempt_id
-        self._dispatch(AttemptEnded(request, outcome, state.endpoint, attempt, state.answered, to_ms(took)))
+        self._dispatch(
+            AttemptEnded(request, outcome, state.endpoint, attempt, state.answered, to_ms(elapsed))
+        )
 
     def expire(self, attempt_id: AttemptId) -> None:
-        """End an attempt whose time is up."""
-        state = self.unanswered(attempt_id)
+        """End an attempt whose deadline has passed."""
+        state = self.find_unanswered(attempt_id)
         if state is not None:
-            self.cut(state, Outcome.TIMEOUT)
+            self.terminate(state, Outcome.TIMEOUT)
 
-    def cut(self, state: RequestState, outcome: Outcome) -> None:
-        """End the attempt that is out, and its link."""
+    def terminate(self, state: RequestState, outcome: Outcome) -> None:
+        """End the active attempt and close its link."""
         link = state.link
         self.ended(AttemptId(state.number, state.attempts - 1), outcome)
         if link is not None:
--- a/puffindeck/core/class_numbering.py
+++ b/puffindeck/core/class_numbering.py
@@ -1,4 +1,4 @@
-"""The numbers of request classes when the settings change."""
+"""Assigns numbers to request classes when the settings change."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 
 def renumber_classes(
-    current: Sequence[ClassSettings], named: Sequence[ClassSettings], used: Collection[int]
+    current: Sequence[ClassSettings], new: Sequence[ClassSettings], used: Collection[int]
 ) -> tuple[ClassSettings, ...]:
-    """Return the classes by number, after a change from `current` to `named`.
+    """Return the classes by number after a change from `current` to `new`.
 
-    A class keeps its number while it is named, or while something open uses it (`used`). A new class takes a
-    number that is free, or the next one.
+    A class keeps its number while the settings contain it, or while an open request or connection uses it
+    (`used`). A new class gets an unused number, or the next higher one.
     """
-    places = list(current)
-    numbers = {rules.name: number for number, rules in enumerate(places)}
-    names = {rules.name for rules in named}
-    free = [i for i, rules in enumerate(places) if rules.name not in names and i not in used]
-    for rules in named:
+    classes = list(current)
+    numbers = {rules.name: number for number, rules in enumerate(classes)}
+    names = {rules.name for rules in new}
+    free = [i for i, rules in enumerate(classes) if rules.name not in names and i not in used]
+    for rules in new:
         if rules.name in numbers:
-            places[numbers[rules.name]] = rules
+            classes[numbers[rules.name]] = rules
         elif free:
-            places[free.pop(0)] = rules
+            classes[free.pop(0)] = rules
         else:
-            places.append(rules)
-    return tuple(places)
+            classes.append(rules)
+    return tuple(classes)
--- a/puffindeck/core/clock.py
+++ b/puffindeck/core/clock.py
@@ -1,4 +1,4 @@
-"""The clock, and the one boundary between durations and the decision module's milliseconds."""
+"""The engine's clock, and conversions between durations and the decision module's milliseconds."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def to_ms(duration: timedelta) -> float:
-    """Convert a duration, or a time since 1970, to the decision module's milliseconds."""
+    """Convert a duration, or a Unix time, to the decision module's milliseconds."""
     return duration / MILLISECOND
 
 
@@ -20,19 +20,19 @@
 
 
 def monotonic_ms() -> float:
-    """Read the machine's monotonic clock, common to all its processes (clock_gettime(2)), in milliseconds."""
+    """Return the machine's monotonic time in milliseconds, the same in all processes (clock_gettime(2))."""
     return time.monotonic() * 1000.0
 
 
 class Clock:
-    """Time since 1970, from the wall clock at the start of the process and the monotonic clock since then.
+    """Unix time: the wall clock at the start of the process plus the monotonic time since then.
 
-    It never steps, even if the wall clock is set.
+    The time does not jump when the wall clock is set.
     """
 
     def __init__(self) -> None:
         self._start = timedelta(seconds=time.time()) - timedelta(seconds=time.monotonic())
 
     def now(self) -> timedelta:
-        """Return the time since 1970."""
+        """Return the Unix time as a duration since 1970."""
         return self._start + timedelta(seconds=time.monotonic())
--- a/puffindeck/core/datagram_port.py
+++ b/puffindeck/core/datagram_port.py
@@ -1,7 +1,7 @@
-"""A UDP socket that a passing lack of memory or buffers does not close.
+"""A UDP socket that stays open when memory or buffers run short for a moment.
 
-Twisted's own port (`twisted.internet.udp.Port`, 26.10) closes itself on any error of recvfrom(2) that is not
-ECONNREFUSED, EAGAIN or EINTR, and tells its protocol no more than that it has stopped.
+Twisted's own port (`twisted.internet.udp.Port`, 26.10) closes itself on any error of recvfrom(2) except
+ECONNREFUSED, EAGAIN and EINTR, and notifies its protocol only that it has stopped.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 
 class DatagramPort(udp.Port):
-    """Goes on reading after errors that pass."""
+    """A UDP port that continues to read after transient errors."""
 
     def doRead(self) -> None:
-        """Read what has come (Twisted's hook). Raises OSError for an error that closes the socket."""
+        """Read the datagrams that have arrived (called by Twisted). Raises OSError to close the socket."""
         try:
             super().doRead()
         except OSError as error:
@@ -27,9 +27,12 @@
 
 
 def listen_datagrams(
-    reactor: Any, port: int, protocol: DatagramProtocol, interface: str = "", largest: int = 8192
+    reactor: Any, port: int, protocol: DatagramProtocol, interface: str = "", max_datagram_size: int = 8192
 ) -> DatagramPort:
-    """Bind a UDP socket. `largest`: bytes of a datagram that are read. Raises CannotListenError."""
-    opened = DatagramPort(port, protocol, interface, largest, reactor)
-    opened.startListening()
-    return opened
+    """Bind a UDP socket and start to read from it. Raises CannotListenError.
+
+    Datagrams are read up to `max_datagram_size` bytes.
+    """
+    datagram_port = DatagramPort(port, protocol, interface, max_datagram_size, reactor)
+    datagram_port.startListening()
+    return datagram_port
--- a/puffindeck/core/dispatcher.py
+++ b/puffindeck/core/dispatcher.py
@@ -1,4 +1,4 @@
-"""Hands events to the decision module, and carries out the actions that it returns."""
+"""Passes events to the decision module, and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 
 
 class Decisions(Protocol):
-    """The decision module, or one for each pool."""
+    """The decision module, or a router with one decision module per pool."""
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Take what has happened, at a moment in milliseconds since 1970; return what is to be done."""
+        """Process events at a Unix time in milliseconds, and return the actions to execute."""
         ...
 
     def load_limits(self) -> dict[int, float]:
-        """Return the load limit of each endpoint that has one."""
+        """Return load limits by endpoint, for the endpoints that have one."""
         ...
 
 
 class Dispatcher:
-    """One batch of events at a time: what an action brings about at once comes after it."""
+    """Processes events in batches. Events that an action causes are handled in the next batch."""
 
     def __init__(
         self, module: Decisions, clock: Clock, handlers: Mapping[type[Any], Callable[[Any], None]]
@@ -36,14 +36,14 @@
         self._clock = clock
         self._handlers = handlers
         self._events: deque[Event] = deque()
-        self._busy = False
+        self._dispatching = False
 
     def dispatch(self, *events: Event) -> None:
-        """Hand events to the module, and carry out its actions."""
+        """Pass events to the decision module, and execute its actions."""
         self._events.extend(events)
-        if self._busy:
+        if self._dispatching:
             return
-        self._busy = True
+        self._dispatching = True
         try:
             while self._events:
                 batch = list(self._events)
@@ -51,11 +51,11 @@
                 for action in self._decide(batch):
                     self._handlers[type(action)](action)
         finally:
-            self._busy = False
+            self._dispatching = False
 
     def _decide(self, batch: Iterable[Event]) -> list[Action]:
         try:
             return self._module.handle(to_ms(self._clock.now()), batch)
-        except Exception:  # each request's deadline guard still answers it in time
+        except Exception:  # the deadline guard of each request still answers it in time
             log.failure("decision failed")
             return []
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -1,8 +1,9 @@
-"""The life of requests: events to the decision module, its actions carried out.
+"""Manages requests: passes events to the decision module, and executes its actions.
 
-The engine knows no wire. A front brings clients and opens links; the engine holds the module and the front to
-what every wire needs: one final answer for each request, one attempt out at a time, no more attempts than
-allowed, time-outs cut to the client's deadline, and one reported end for each attempt.
+The engine is independent of the transport protocol. A front accepts clients and opens links to servers. The
+engine ensures for all fronts that each request gets one final answer, has at most one active attempt and no
+more attempts than allowed, that attempts do not outlast the client's deadline, and that the end of each
+attempt is reported once.
 """
 
 from __future__ import annotations
@@ -51,13 +52,13 @@
 
 log = Logger("puffindeck")
 
-DEADLINE_GRACE = milliseconds(15)  # after its deadline, a request that the module has not answered is failed
+DEADLINE_GRACE = milliseconds(15)  # wait after the deadline before a request without an answer is failed
 
 
 class Engine:
-    """One gateway: its decision module and the requests it has taken.
+    """The engine of one gateway, with its decision module and its requests.
 
-    `watch_endpoints` is called when the module asks for the list of endpoints.
+    `watch_endpoints` is called when the decision module requests the list of endpoints.
     """
 
     def __init__(
@@ -89,31 +90,34 @@
         self._dispatcher = Dispatcher(balancer, self.clock, handlers)
 
     def dispatch(self, *events: Event) -> None:
-        """Hand events to the module, and carry out its actions."""
+        """Pass events to the decision module, and execute its actions."""
         self._dispatcher.dispatch(*events)
 
-    # From the front: the list of endpoints
+    # Called by the front: the list of endpoints
 
     def update_endpoints(
         self, kind: ListUpdateKind, version: int = 0, entries: Iterable[EndpointEntry] = ()
     ) -> None:
-        """Take a piece of the endpoint list, or its failure."""
+        """Apply a full endpoint list or changes to it, or report that the list could not be read."""
         entries = list(entries)
         self.reachability.update_endpoints(kind, entries)
         self.dispatch(EndpointListUpdated(kind, version, entries))
 
     def is_listed(self, endpoint: int) -> bool:
-        """Does the list have it, draining or not?"""
+        """Return whether the endpoint list contains the endpoint, draining or not."""
         return self.reachability.is_listed(endpoint)
 
     def may_reach(self, endpoint: int) -> bool:
-        """May something new begin there? Asked again right before an attempt's first byte."""
+        """Return whether an attempt may be sent to the endpoint now.
+
+        A front checks this again immediately before it sends an attempt's first byte.
+        """
         return self.reachability.may_reach(endpoint)
 
-    # From the front: operators' calls and settings
+    # Called by the front: operators' commands and settings
 
     def detach(self, endpoint: int) -> None:
-        """Send nothing new to this endpoint until it is attached, whatever the list says."""
+        """Send no new attempts to this endpoint until it is attached, even if the list has it as ready."""
         self.reachability.detach(endpoint)
         self.dispatch(EndpointDetached(endpoint))
 
@@ -122,44 +126,47 @@
         self.reachability.attach(endpoint)
         self.dispatch(EndpointAttached(endpoint))
 
-    def apply_settings(self, new: Settings, kept: Iterable[int] = ()) -> None:
-        """Use other settings from now on; what is open keeps the rules that it began with.
+    def apply_settings(self, new: Settings, used_by_fronts: Iterable[int] = ()) -> None:
+        """Use other settings from now on. Open requests and connections keep the rules of their start.
 
-        `kept`: numbers of classes that a front still uses.
+        `used_by_fronts` has the numbers of classes that fronts still use.
         """
-        used = {*kept, *(state.class_number for state in self.requests)}
+        used = {*used_by_fronts, *(state.class_number for state in self.requests)}
         classes = renumber_classes(self.settings.classes, new.classes, used)
         self.settings = replace(new, classes=classes)
         self.reachability.apply_settings(new)
         self.dispatch(SettingsChanged(self.settings))
 
-    # From the front: requests
+    # Called by the front: requests
+
+    def request(self, client: Client, request: Request) -> int:
+        """Accept a request and return its number.
 
-    def request(self, client: Client, asked: Request) -> int:
-        """Take a request; returns its number. The client is answered once, before its time is up."""
-        deadline = self.clock.now() + asked.time_left
-        state = RequestState(client, asked.class_number, deadline, self.settings.max_attempts, asked.id)
-        number = self.requests.take(state)
+        The client gets one answer, at most `DEADLINE_GRACE` after its deadline.
+        """
+        deadline = self.clock.now() + request.time_left
+        state = RequestState(client, request.class_number, deadline, self.settings.max_attempts, request.id)
+        number = self.requests.add_request(state)
         state.deadline_guard = self.deadlines.at(deadline + DEADLINE_GRACE, self._fail_overdue, number)
         self.dispatch(
             RequestArrived(
                 number,
-                asked.class_number,
+                request.class_number,
                 0,
-                asked.key,
-                to_ms(asked.time_left),
-                asked.load_hint,
-                asked.group,
-                returning=asked.returning,
-                connection_info=asked.connection_info,
+                request.key,
+                to_ms(request.time_left),
+                request.load_hint,
+                request.group,
+                returning=request.returning,
+                connection_info=request.connection_info,
             )
         )
         return number
 
-    def restore_connection(self, client: Client, asked: Request, endpoint: int) -> AttemptId:
-        """Take a connection that was open before the start. Its link is the front's to set up."""
-        state = RequestState(client, asked.class_number, self.clock.now(), 1, asked.id)
-        number = self.requests.take(state)
+    def restore_connection(self, client: Client, request: Request, endpoint: int) -> AttemptId:
+        """Register a connection that was open before the start. The front sets its link up."""
+        state = RequestState(client, request.class_number, self.clock.now(), 1, request.id)
+        number = self.requests.add_request(state)
         state.attempts = 1
         state.attempt_active = True
         state.established = True
@@ -167,19 +174,19 @@
         state.endpoint = endpoint
         self.dispatch(
             ConnectionRestored(
-                number, endpoint, asked.class_number, 0, asked.load_hint, asked.group, asked.key
+                number, endpoint, request.class_number, 0, request.load_hint, request.group, request.key
             )
         )
         return AttemptId(number, 0)
 
     def set_restored_link(self, attempt_id: AttemptId, link: UpstreamLink) -> None:
-        """Note the link of a connection that was open before the start."""
-        state = self.attempts.current(attempt_id)
+        """Record the link of a connection that was open before the start."""
+        state = self.attempts.find_active(attempt_id)
         if state is not None:
             state.link = link
 
     def client_disconnected(self, number: int) -> None:
-        """Abandon what is out for a client that has gone."""
+        """End the request and the active attempt of a client that has disconnected."""
         state = self.requests.get(number)
         if state is None:
             return
@@ -188,43 +195,47 @@
             self.observer.closed(state.id, Reason.CLIENT_DISCONNECTED)
             self.dispatch(ClientDisconnected(number))
         if state.attempt_active:
-            self.attempts.cut(state, Outcome.CANCELLED)
-        self.requests.settle(state)
+            self.attempts.terminate(state, Outcome.CANCELLED)
+        self.requests.release_if_complete(state)
 
     def abort_request(self, number: int) -> None:
-        """Answer a request now, as this gateway ends: the module says with which answer."""
+        """Answer a request because this gateway stops. The decision module chooses the answer."""
         state = self.requests.get(number)
         if state is None or state.established:
             return
         self.dispatch(RequestAborted(number))
-        self._fail_overdue(number, Reason.STOPPING)  # whatever the module has done, it is answered
+        self._fail_overdue(number, Reason.STOPPING)  # in case the decision module did not answer it
         if self.requests.get(number) is state and state.attempt_active:
-            self.attempts.cut(state, Outcome.CANCELLED)
+            self.attempts.terminate(state, Outcome.CANCELLED)
 
-    # From the front: attempts and connections
+    # Called by the front: attempts and connections
 
     def attempt_established(self, attempt_id: AttemptId) -> bool:
-        """Answer the client by a connection that stands. False if nobody waits for it any more."""
+        """Notify the client that its connection is established.
+
+        Returns False if the attempt is no longer active or its request is already answered.
+        """
         return self.attempts.established(attempt_id)
 
     def attempt_ended(self, attempt_id: AttemptId, outcome: Outcome) -> None:
-        """Report the end of an attempt, or of the connection that it became. Only the first report counts."""
+        """Report the end of an attempt or of its connection. Reports after the first are ignored."""
         self.attempts.ended(attempt_id, outcome)
 
-    def record_report(self, attempt_id: AttemptId, figure: float) -> None:
-        """Take a server's figure on an open connection: load, or a message's latency in milliseconds.
+    def record_report(self, attempt_id: AttemptId, value: float) -> None:
+        """Process a value that a server reported on an open connection.
 
-        The settings say which of them it is.
+        The settings define whether the value is the connection's load in work per second, or the latency of a
+        message in milliseconds.
         """
-        state = self.attempts.current(attempt_id)
+        state = self.attempts.find_active(attempt_id)
         if state is None:
             return
         if self.settings.reports_load:
-            self.dispatch(LoadReported(attempt_id.request, state.endpoint, figure))
+            self.dispatch(LoadReported(attempt_id.request, state.endpoint, value))
         elif self.settings.reports_latency:
-            self.dispatch(LatencyReported(attempt_id.request, state.endpoint, figure))
+            self.dispatch(LatencyReported(attempt_id.request, state.endpoint, value))
 
-    # The module's actions
+    # Actions of the decision module
 
     def _send(self, action: Send) -> None:
         state = self.requests.get(action.request)
@@ -238,7 +249,7 @@
             self.attempts.start(state, action)
 
     def _take_unanswered(self, number: int) -> RequestState | None:
-        """Return a request that is owed its answer, and note that it gets one."""
+        """Mark an unanswered request as answered and return it; None if it is answered or unknown."""
         state = self.requests.get(number)
         if state is None or state.answered:
             return None
@@ -251,40 +262,40 @@
         if state is not None:
             self.observer.answered(state.id, Answer.REJECTED, Reason.DECISION)
             state.client.reject(milliseconds(action.retry_after_ms))
-            self.requests.settle(state)
+            self.requests.release_if_complete(state)
 
     def _fail(self, action: Fail) -> None:
         state = self._take_unanswered(action.request)
         if state is not None:
             self.observer.answered(state.id, Answer.FAILED, Reason.DECISION)
             state.client.fail()
-            self.requests.settle(state)
+            self.requests.release_if_complete(state)
 
-    def _fail_overdue(self, number: int, why: Reason = Reason.OVERDUE) -> None:
-        """Fail a request that the module has not answered: one answer in time does not hang on it alone."""
+    def _fail_overdue(self, number: int, reason: Reason = Reason.OVERDUE) -> None:
+        """Fail a request that the decision module left unanswered, since each request must be answered."""
         state = self._take_unanswered(number)
         if state is not None:
             log.warn("request {id} was not answered in time: failed", id=state.id)
-            self.observer.answered(state.id, Answer.FAILED, why)
+            self.observer.answered(state.id, Answer.FAILED, reason)
             state.client.fail()
             if state.attempt_active:
-                self.attempts.cut(state, Outcome.TIMEOUT)
+                self.attempts.terminate(state, Outcome.TIMEOUT)
             else:
                 self.dispatch(ClientDisconnected(number))
-            self.requests.settle(state)
+            self.requests.release_if_complete(state)
 
     def _cancel(self, action: Cancel) -> None:
-        state = self.attempts.unanswered(AttemptId(action.request, action.attempt))
+        state = self.attempts.find_unanswered(AttemptId(action.request, action.attempt))
         if state is not None:
-            self.attempts.cut(state, Outcome.CANCELLED)
+            self.attempts.terminate(state, Outcome.CANCELLED)
 
     def _migrate(self, action: Migrate) -> None:
         self._migrate_away(action.request, Reason.MOVED)
 
-    def _migrate_away(self, number: int, why: Reason) -> None:
+    def _migrate_away(self, number: int, reason: Reason) -> None:
         state = self.requests.get(number)
         if state is not None and state.established and state.attempt_active and state.client.migrate():
-            self.observer.closed(state.id, why)
+            self.observer.closed(state.id, reason)
             self.attempts.ended(AttemptId(state.number, state.attempts - 1), Outcome.CANCELLED)
 
     def _schedule_timer(self, action: ScheduleTimer) -> None:
@@ -293,12 +304,12 @@
     def _log(self, action: Log) -> None:
         log.info("module: {text}", text=action.text)
 
-    # The end
+    # Called by the front: shutdown
 
     def established_requests(self) -> list[int]:
-        """Return the numbers of the requests whose connections stand."""
+        """Return the numbers of the requests whose connections are established and open."""
         return [state.number for state in self.requests if state.established and state.attempt_active]
 
     def migrate_before_stop(self, number: int) -> None:
-        """Send a client away because this gateway stops."""
+        """Ask a connected client to reconnect because this gateway stops."""
         self._migrate_away(number, Reason.STOPPING)
--- a/puffindeck/core/generational_arena.py
+++ b/puffindeck/core/generational_arena.py
@@ -1,4 +1,4 @@
-"""Numbered slots with generations: a late callback finds nothing in a slot that was reused."""
+"""Numbered slots with generations, so that a late callback can't reach the new item of a reused slot."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from typing import Generic, TypeVar
 
 T = TypeVar("T")
-INDEX_BITS = 16  # of a number for the slot; the rest is its generation, so no number comes twice
+INDEX_BITS = 16  # low bits of a number; the bits above are the generation, so numbers are never reused
 
 
 class GenerationalArena(Generic[T]):
-    """A table of items by number. A number is a slot's index and the slot's generation."""
+    """A table of items by number. A number consists of a slot's index and generation."""
 
     def __init__(self) -> None:
         self._items: list[T | None] = []
@@ -21,13 +21,13 @@
         return len(self._items) - len(self._free)
 
     def full(self) -> bool:
-        """Are all slots taken?"""
+        """Return whether all slots are in use."""
         return len(self) >= 1 << INDEX_BITS
 
     def add(self, item: T) -> int:
-        """Put an item into a free slot. Returns its number, never 0. Raises OverflowError."""
+        """Store an item and return its number, never 0. Raises OverflowError if all slots are in use."""
         if self.full():
-            raise OverflowError("all slots are taken")
+            raise OverflowError("all slots are in use")
         if self._free:
             index = self._free.pop()
             self._items[index] = item
@@ -38,14 +38,14 @@
         return self._generations[index] << INDEX_BITS | index
 
     def get(self, number: int) -> T | None:
-        """Return the item with this number; None once it is dropped, even if its slot is used again."""
+        """Return the item with this number; None after its removal, even if its slot was reused."""
         index = number & (1 << INDEX_BITS) - 1
         if index >= len(self._items) or self._generations[index] != number >> INDEX_BITS:
             return None
         return self._items[index]
 
     def drop(self, number: int) -> None:
-        """Free the slot; its number is never used again."""
+        """Remove an item and free its slot. Its number is never used again."""
         if self.get(number) is not None:
             index = number & (1 << INDEX_BITS) - 1
             self._items[index] = None
--- a/puffindeck/core/local_resource_errors.py
+++ b/puffindeck/core/local_resource_errors.py
@@ -1,6 +1,6 @@
-"""Errors of system calls that say nothing of the other side: a passing shortage of this machine.
+"""Errors of system calls that are caused by this machine and not by the remote host.
 
-From the Linux manual pages accept(2), socket(2), connect(2), recv(2) and send(2).
+The errors are listed in the Linux manual pages accept(2), socket(2), connect(2), recv(2) and send(2).
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 import errno
 from typing import Any
 
-# no descriptor, memory, port or buffer is left here, or the call was interrupted
+# This machine has no descriptor, memory, port, buffer or network available, or the call was interrupted.
 NO_RESOURCE = frozenset(
     {
         errno.EMFILE,
@@ -23,7 +23,7 @@
         errno.ENETUNREACH,
     }
 )
-# of a connection that waits to be accepted, and is taken off the queue with this (accept(2))
+# Errors of accept(2) that remove the failed connection from the queue of pending connections.
 CONNECTION_GONE = frozenset(
     {
         errno.ECONNABORTED,
@@ -39,12 +39,12 @@
         errno.ETIMEDOUT,
     }
 )
-# of reading or writing on a connection that goes on
+# Errors of reading or writing after which the connection remains usable.
 TRANSIENT = frozenset({errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR, errno.ENOBUFS, errno.ENOMEM})
 
 
 def errno_of(error: Any) -> int:
-    """Return the errno of a socket's error, as the system or Twisted raises it; 0 for none."""
+    """Return the errno of a socket error that the system or Twisted raised; 0 if it has none."""
     number = getattr(error, "osError", None) or getattr(error, "errno", None)
     arguments: tuple[Any, ...] = getattr(error, "args", ())
     if number is None and arguments:
--- a/puffindeck/core/reactor_clock.py
+++ b/puffindeck/core/reactor_clock.py
@@ -1,8 +1,8 @@
-"""The clock of a reactor's timers.
+"""Makes a reactor measure its timers on the monotonic clock.
 
-Twisted's reactors keep the time of a timer on the wall clock (`ReactorBase.seconds` is `time.time` in Twisted
-26.10). When somebody sets that clock back, no timer runs until it has caught up; when it is set ahead, all
-run at once. A span of time is to be measured on the monotonic clock, which is never set (clock_gettime(2)).
+Twisted's reactors schedule timers by the wall clock (`ReactorBase.seconds` is `time.time` in Twisted 26.10).
+When that clock is set back, no timer runs until the clock has caught up; when it is set forward, timers run
+too early. The monotonic clock is never set (clock_gettime(2)), so durations are measured on it.
 """
 
 from __future__ import annotations
@@ -12,19 +12,19 @@
 
 
 class PendingTimersError(RuntimeError):
-    """The reactor has timers already, whose times are of the other clock."""
+    """The reactor already has timers, whose times were set by the wall clock."""
 
     remedy = "Call use_monotonic_clock at the start of the program, before anything sets a timer."
 
 
 def use_monotonic_clock(reactor: Any) -> None:
-    """Have a reactor measure its timers on the monotonic clock, in seconds, from now on.
+    """Make a reactor measure its timers on the monotonic clock, in seconds, from now on.
 
-    To be called once, at the start of a program. `reactor.seconds()` is no Unix time any more. Raises
-    PendingTimersError where timers wait already.
+    Call this once, at the start of a program. Afterwards `reactor.seconds()` does not return Unix time.
+    Raises PendingTimersError if the reactor already has pending timers.
     """
     if reactor.seconds is time.monotonic:
         return
     if reactor.getDelayedCalls():
-        raise PendingTimersError(f"{len(reactor.getDelayedCalls())} timers wait already")
+        raise PendingTimersError(f"{len(reactor.getDelayedCalls())} timers are pending already")
     reactor.seconds = time.monotonic
--- a/puffindeck/core/request_observer.py
+++ b/puffindeck/core/request_observer.py
@@ -1,4 +1,4 @@
-"""What the engine reports of each request, for logs. An observer decides nothing."""
+"""The interface through which the engine reports the progress of requests, for logs."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Answer(StrEnum):
-    """A final answer to a request."""
+    """The final answer to a request. The values are written to the log."""
 
     UP = "up"
     REJECTED = "refused"
@@ -18,7 +18,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request was given its answer, or its connection was ended."""
+    """The reason for a request's answer or for a connection's end. The values are written to the log."""
 
     SERVED = "the server took it"
     DECISION = "decided"
@@ -34,36 +34,39 @@
 
 
 class RequestObserver(Protocol):
-    """Notified of each step. `request` is the client's own id where its wire has one, else a number."""
+    """Is notified of each step of a request.
+
+    `request` is the client's own id if its protocol has one, and the engine's number otherwise.
+    """
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
-        """An attempt is on its way to a server; the first of a request is number 0."""
+        """An attempt to reach a server began. A request's first attempt has number 0."""
 
     def attempt_ended(
-        self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
+        self, request: str, endpoint: int, attempt: int, outcome: Outcome, elapsed: timedelta
     ) -> None:
-        """An attempt ended without a connection that stands."""
+        """An attempt ended without an established connection."""
 
-    def answered(self, request: str, answer: Answer, why: Reason) -> None:
-        """The request has its final answer."""
+    def answered(self, request: str, answer: Answer, reason: Reason) -> None:
+        """The request received its final answer."""
 
-    def closed(self, request: str, why: Reason) -> None:
-        """A connection that stood has ended, or a client left before its answer."""
+    def closed(self, request: str, reason: Reason) -> None:
+        """An established connection ended, or a client disconnected before its request was answered."""
 
 
 class Unobserved:
-    """An observer that ignores everything."""
+    """An observer that ignores all notifications."""
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
     def attempt_ended(
-        self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
+        self, request: str, endpoint: int, attempt: int, outcome: Outcome, elapsed: timedelta
     ) -> None:
-        """Ignore it."""
+        """Do nothing."""
 
-    def answered(self, request: str, answer: Answer, why: Reason) -> None:
-        """Ignore it."""
+    def answered(self, request: str, answer: Answer, reason: Reason) -> None:
+        """Do nothing."""
 
-    def closed(self, request: str, why: Reason) -> None:
-        """Ignore it."""
+    def closed(self, request: str, reason: Reason) -> None:
+        """Do nothing."""
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests, their attempts, and what the engine needs of a front's clients and links."""
+"""Requests and attempts, and the interfaces that a front implements for the engine."""
 
 from __future__ import annotations
 
@@ -11,47 +11,48 @@
 
 
 class AttemptId(NamedTuple):
-    """An attempt: its request's number in the table, and its own among the request's."""
+    """Identifies an attempt by its request's number and its index among the attempts of that request."""
 
     request: int
     attempt: int
 
 
 class UpstreamLink(Protocol):
-    """A front's side of an attempt, and of the connection that it becomes."""
+    """The front's side of an attempt, and of the connection that the attempt becomes."""
 
     def abandon(self) -> None:
-        """End it; nothing more is reported of it."""
+        """End the attempt or its connection without reporting its end to the engine."""
 
     def read_available(self) -> None:
-        """Read what the server has sent by now: an answer that came in time counts, even if read late."""
+        """Read what the server has sent. An answer that arrived in time counts even if it is read late."""
 
 
 class Client(Protocol):
-    """A front's side of a request: it waits for the answer."""
+    """The front's side of a request, which waits for the answer."""
 
     def is_waiting(self) -> bool:
-        """Is it still there, at this very moment? One that has gone gets no further attempt."""
+        """Return whether the client is still connected; otherwise no further attempt is made."""
 
     def start_attempt(
-        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+        self, attempt_id: AttemptId, endpoint: int, answer_deadline: timedelta, start_deadline: timedelta
     ) -> UpstreamLink | None:
-        """Start an attempt that is due its answer by `until`, and whose first byte may go out until `begin`.
+        """Start an attempt.
 
-        Both are times of the engine's clock. None if it has ended already; that has been reported then.
+        Its first byte may be sent until `start_deadline`, and the server must answer by `answer_deadline`,
+        both on the engine's clock. Returns None if the attempt has already ended and its end was reported.
         """
 
     def on_established(self, link: UpstreamLink) -> None:
-        """Take the final answer: served through this link."""
+        """Receive the final answer: the request is served through this link."""
 
     def reject(self, retry_after: timedelta) -> None:
-        """Take the final answer: rejected; trying again, after a wait, does no harm."""
+        """Receive the final answer: rejected. The client may safely retry after `retry_after`."""
 
     def fail(self) -> None:
-        """Take the final answer: failed, and it is not known what was done."""
+        """Receive the final answer: failed. A server may have processed the request or part of it."""
 
     def migrate(self) -> bool:
-        """Send a client whose connection stands to another place, and end the link. False if it can't be."""
+        """Ask a connected client to reconnect, and end the link. Returns False if that is impossible."""
 
 
 class Request(NamedTuple):
@@ -68,7 +69,7 @@
 
 
 class RequestState:
-    """A request in its slot, until it is answered and its last attempt has ended."""
+    """The state of a request until it is answered and its last attempt has ended."""
 
     __slots__ = (
         "answered",
@@ -97,12 +98,14 @@
         self.max_attempts = max_attempts
         self.id = id
         self.number = 0
-        self.attempts = 0  # begun so far
-        self.endpoint = 0  # of the last attempt
+        self.attempts = 0  # attempts started so far
+        self.endpoint = 0  # endpoint of the latest attempt
         self.answered = False
-        self.established = False  # by a connection that stands or stood
-        self.attempt_active = False  # an attempt is out, or the connection that it became stands
+        self.established = False  # whether an attempt became a connection, even if it has ended since
+        self.attempt_active = False  # whether the latest attempt or its connection is open
         self.attempt_started = ZERO
         self.link: UpstreamLink | None = None
         self.attempt_expiry: Deadline | None = None
-        self.deadline_guard: Deadline | None = None  # fails the request if the module does not answer it
+        self.deadline_guard: Deadline | None = (
+            None  # fails the request if the decision module does not answer it
+        )
--- a/puffindeck/core/timer_queue.py
+++ b/puffindeck/core/timer_queue.py
@@ -1,4 +1,4 @@
-"""All deadlines, in one ordered structure under one timer of the reactor."""
+"""A queue of all deadlines that needs only one timer of the reactor."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 log = Logger("puffindeck")
 
-MIN_CANCELLED = 64  # before the heap is rebuilt without them
+MIN_CANCELLED = 64  # the heap is not rebuilt for this many cancelled deadlines or fewer
 LATE_WARNING_THRESHOLD = milliseconds(250)  # a timer that runs later than this is logged
 
 
 class Timer(Protocol):
-    """The one timer, as the reactor hands it out."""
+    """A pending timer of the reactor."""
 
     def cancel(self) -> None:
-        """Do not run it."""
+        """Cancel the timer."""
 
 
-class Timers(Protocol):
-    """The part of the reactor that hands out timers."""
+class TimerScheduler(Protocol):
+    """The part of a reactor that schedules timers."""
 
     def callLater(self, delay: float, callable: Callable[..., Any]) -> Any:
-        """Call it after a delay in seconds (Twisted's IReactorTime)."""
+        """Call `callable` after a delay in seconds (Twisted's IReactorTime)."""
 
 
 class Deadline:
-    """A call to be made at a time of the clock, unless it is cancelled before."""
+    """A callback that is called at a time of the clock unless it is cancelled before."""
 
     __slots__ = ("args", "callback", "due")
 
@@ -43,33 +43,36 @@
 
 
 class TimerQueue:
-    """A heap of deadlines. A cancelled one stays until its time, or until most of the heap is cancelled."""
+    """A heap of deadlines.
 
-    def __init__(self, clock: Clock, timers: Timers) -> None:
+    A cancelled deadline stays in the heap until its time, or until most deadlines in the heap are cancelled.
+    """
+
+    def __init__(self, clock: Clock, timers: TimerScheduler) -> None:
         self.clock = clock
         self._timers = timers
         self._heap: list[tuple[timedelta, int, Deadline]] = []
-        self._count = 0  # of deadlines so far, which orders those at the same time
-        self._cancelled = 0  # of those in the heap
+        self._count = 0  # deadlines added so far; orders deadlines with the same time
+        self._cancelled = 0  # cancelled deadlines in the heap
         self._timer: Timer | None = None
         self._timer_at = ZERO
 
-    def after(self, wait: timedelta, callback: Callable[..., Any], *args: Any) -> Deadline:
-        """Call `callback` after a wait."""
-        return self.at(self.clock.now() + wait, callback, *args)
+    def after(self, delay: timedelta, callback: Callable[..., Any], *args: Any) -> Deadline:
+        """Call `callback` after a delay."""
+        return self.at(self.clock.now() + delay, callback, *args)
 
     def at(self, due: timedelta, callback: Callable[..., Any], *args: Any) -> Deadline:
-        """Call `callback` at a time of the clock; of two at the same time the first requested comes first."""
+        """Call `callback` at a time of the clock. Callbacks due at the same time run in order."""
         deadline = Deadline(due, callback, args)
         self._count += 1
         heappush(self._heap, (due, self._count, deadline))
-        self._set()
+        self._schedule_timer()
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Do not make this call. None, or a call that has been made, changes nothing."""
+        """Cancel a deadline. None, or a deadline whose callback was called, changes nothing."""
         if deadline is not None and deadline.callback is not None:
-            deadline.callback, deadline.args = None, ()  # releases what they refer to
+            deadline.callback, deadline.args = None, ()  # releases the objects that they refer to
             self._cancelled += 1
             if self._cancelled > MIN_CANCELLED and 2 * self._cancelled > len(self._heap):
                 self._heap = [item for item in self._heap if item[2].callback is not None]
@@ -77,29 +80,29 @@
                 self._cancelled = 0
 
     def clear(self) -> None:
-        """Cancel all calls."""
+        """Cancel all deadlines."""
         self._heap.clear()
         self._cancelled = 0
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _set(self) -> None:
+    def _schedule_timer(self) -> None:
         if not self._heap:
             return
         first = self._heap[0][0]
         if self._timer is not None:
-            if self._timer_at <= first and not self._stuck():
+            if self._timer_at <= first and not self._is_timer_stuck():
                 return
             self._timer.cancel()
         self._timer_at = first
         wait = max(0.0, (first - self.clock.now()).total_seconds())
         self._timer = self._timers.callLater(wait, self.run)
 
-    def _stuck(self) -> bool:
-        """Is the pending timer long overdue? One on a wall clock that was set back is.
+    def _is_timer_stuck(self) -> bool:
+        """Return whether the pending timer is long overdue, as after the wall clock was set back.
 
-        In another program, as a library, the reactor may measure its timers on that clock.
+        A program that uses this package as a library may have a reactor whose timers use the wall clock.
         """
         return self.clock.now() - self._timer_at > LATE_WARNING_THRESHOLD
 
@@ -107,12 +110,12 @@
         late = now - self._timer_at
         if late > LATE_WARNING_THRESHOLD:
             log.warn(
-                "timers: {late_ms} ms late: nothing that waits for time was done meanwhile",
+                "timers: {late_ms} ms late: no timer ran in this time",
                 late_ms=round(to_ms(late)),
             )
 
     def run(self) -> None:
-        """Make all calls that are due. What one of them raises must not delay the others."""
+        """Call all callbacks that are due. An exception in one must not prevent or delay the others."""
         self._timer = None
         now = self.clock.now()
         self._log_late(now)
@@ -125,5 +128,5 @@
             try:
                 callback(*deadline.args)
             except Exception:
-                log.failure("a deadline's act failed")
-        self._set()
+                log.failure("callback of a deadline failed")
+        self._schedule_timer()
