--- a/puffindeck/config/__init__.py
+++ b/puffindeck/config/__init__.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults; errors name the key at fault.
+"""Reads and checks configuration and supplies defaults. Each error names the invalid key.
 
 | module | content |
 | --- | --- |
@@ -7,7 +7,7 @@
 | `endpoint_list` | the list of endpoints |
 | `policy_settings` | the decision module's settings |
 | `routing`, `quic` | the tables of routes and of the QUIC front |
-| `fleet`, `quota`, `residency` | the tables of a fleet's member, not loaded by other nodes |
+| `fleet`, `quota`, `residency` | the tables of a fleet member, not loaded by other nodes |
 | `node_config`, `reload` | a node's whole configuration, and its reload |
 | `client_config` | the configuration of a client-side plug-in |
 """
--- a/puffindeck/config/checks.py
+++ b/puffindeck/config/checks.py
@@ -1,4 +1,4 @@
-"""Checks and parsers of single values, shared by all tables. Each error names the key at fault."""
+"""Checks and parsers of single values, shared by all tables. Each error names the invalid key."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def require(table: Any, path: str, where: str = "settings") -> Any:
-    """The value at a dotted path. Raises MissingKeyError, which names `where` and the path."""
+    """Return the value at a dotted path. Raises MissingKeyError, which names `where` and the path."""
     for key in path.split("."):
         if not isinstance(table, dict) or key not in table:
             raise MissingKeyError(where, path)
@@ -30,10 +30,10 @@
     where: str = "settings",
     above: bool = False,
 ) -> float:
-    """A finite number of at least `low`, or more than `low` where `above` is set.
+    """Return a finite number of at least `low`, or greater than `low` if `above` is set.
 
-    `default` stands for a number that is left out at the end of the path. Raises MissingKeyError, or
-    InvalidValueError for another value.
+    `default` is returned if the last key of the path is missing or null. Raises MissingKeyError, and
+    InvalidValueError for any other value.
     """
     *outer, last = path.split(".")
     inner = require(table, ".".join(outer), where) if outer else table
@@ -48,7 +48,7 @@
 
 
 def optional_table(table: Any, key: str) -> dict[str, Any]:
-    """The table at a key, empty if it is left out. Raises InvalidValueError for a value of another type."""
+    """Return the table at a key, empty if it is missing. Raises InvalidValueError for another type."""
     inner = (table.get(key) if isinstance(table, dict) else None) or {}
     if not isinstance(inner, dict):
         raise InvalidValueError(f"settings: {key}", "must be a table")
@@ -56,9 +56,9 @@
 
 
 def number_list(table: dict[str, Any], key: str) -> list[float]:
-    """The numbers at a key of `familyInfo`, none if it is left out; null stands for infinity.
+    """Return the numbers at a key of `familyInfo`, empty if it is missing; null means infinity.
 
-    Raises InvalidValueError for a value of another type or below 0.
+    Raises InvalidValueError for another type or a number below 0.
     """
     numbers = table.get(key) or []
     if not isinstance(numbers, list) or not all(
@@ -69,7 +69,7 @@
 
 
 def name_list(table: dict[str, Any], key: str) -> tuple[str, ...]:
-    """The names at a key, none if it is left out. Raises InvalidValueError for a value of another type."""
+    """Return the names at a key, empty if it is missing. Raises InvalidValueError for another type."""
     names = table.get(key) or []
     if not isinstance(names, list) or not all(isinstance(name, str) for name in names):
         raise InvalidValueError(f"settings: {key}", "must be a list of names")
@@ -77,7 +77,7 @@
 
 
 def parse_address(text: str, key: str) -> tuple[str, int]:
-    """Host and port of HOST:PORT, with a port from 0 to 65535; an IPv6 host stands in brackets.
+    """Return host and port of HOST:PORT, with a port from 0 to 65535. An IPv6 address is put in brackets.
 
     Raises InvalidValueError, which names the key.
     """
@@ -89,7 +89,7 @@
 
 
 def parse_hexadecimal(text: str, key: str) -> bytes:
-    """Octets written as hexadecimal digits. Raises InvalidValueError, which names the key."""
+    """Return octets from hexadecimal digits. Raises InvalidValueError, which names the key."""
     try:
         return bytes.fromhex(text)
     except ValueError:
@@ -97,7 +97,7 @@
 
 
 def parse_seed(text: str) -> int:
-    """The seed of a file, a hexadecimal number. Raises InvalidValueError."""
+    """Return a seed that is written as a hexadecimal number. Raises InvalidValueError."""
     try:
         return int(text, 16)
     except ValueError:
@@ -110,14 +110,14 @@
         raise InvalidValueError(key, "must be a number over 0")
 
 
-def check_at_least(value: int, least: int, key: str) -> None:
-    """Check a whole number. Raises InvalidValueError if it is under `least`."""
-    if value < least:
-        raise InvalidValueError(key, f"must be {least} or more")
+def check_at_least(value: int, minimum: int, key: str) -> None:
+    """Check a whole number. Raises InvalidValueError if it is less than `minimum`."""
+    if value < minimum:
+        raise InvalidValueError(key, f"must be {minimum} or more")
 
 
 def convert_table(decoded: Any, kind: type[Table], key: str) -> Table:
-    """A decoded table as the struct that describes it. Raises ConfigError, which names the table's key."""
+    """Convert a decoded table to the struct `kind`. Raises ConfigError, which names the table's key."""
     try:
         return msgspec.convert(decoded, kind)
     except msgspec.ValidationError as error:
--- a/puffindeck/config/client_config.py
+++ b/puffindeck/config/client_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a client-side plug-in: the node's settings, and how calls become requests."""
+"""The configuration of a client-side plug-in: settings as for a node, and how calls become requests."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class TlsTable(msgspec.Struct, forbid_unknown_fields=True):
-    """Files in PEM; relative paths start at the configuration's folder."""
+    """The table `rpc.tls`: PEM files, whose relative paths start at the configuration file's folder."""
 
     ca: str = ""
     cert: str = ""
@@ -30,7 +30,7 @@
 
 
 class RpcTable(msgspec.Struct, forbid_unknown_fields=True):
-    """How calls become the decision module's requests, as it is read."""
+    """The table `rpc` as it is read: how calls become requests of the decision module."""
 
     class_: str = msgspec.field(name="class", default="")
     methods: dict[str, str] = msgspec.field(default_factory=dict)
@@ -43,7 +43,7 @@
 
 
 class ClientFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The file as it is read."""
+    """The configuration file as it is read."""
 
     settings: dict[str, Any]
     name: str = "client"
@@ -55,7 +55,7 @@
 
 
 class TlsConfig(msgspec.Struct, frozen=True):
-    """The content of the files that `rpc.tls` names; empty where none is named."""
+    """The contents of the files that `rpc.tls` names; empty where it names none."""
 
     ca: bytes
     cert: bytes
@@ -64,7 +64,7 @@
 
 
 class RpcConfig(msgspec.Struct, frozen=True):
-    """How calls become requests, checked."""
+    """The checked table `rpc`: how calls become requests."""
 
     class_number: int  # the class of calls whose method is not in `methods`
     methods: dict[
@@ -79,15 +79,15 @@
 
 
 class ClientConfig(msgspec.Struct, frozen=True):
-    """A client-side plug-in's whole configuration, checked."""
+    """The whole checked configuration of a client-side plug-in."""
 
     name: str
-    discovery: tuple[str, int] | None  # None: the file's list is the only one
+    discovery: tuple[str, int] | None  # None: only the file's list of endpoints is used
     seed: int
     file_endpoints: EndpointList
     settings: Settings
     rpc: RpcConfig
-    routing: Routing | None = None  # its package is not loaded by a client without routing
+    routing: Routing | None = None  # puffindeck.routing is loaded only if this is set
 
 
 def _read_pem(folder: Path, name: str, key: str) -> bytes:
@@ -132,7 +132,7 @@
 def parse_rpc(table: RpcTable, settings: Settings, folder: Path) -> RpcConfig:
     """Check the table `rpc`; relative paths of files start at `folder`.
 
-    Raises ConfigError, which names the key at fault.
+    Raises ConfigError, which names the invalid key.
     """
     class_number = find_class_number(settings, table.class_, "rpc.class") if table.class_ else 0
     methods = _parse_methods(table.methods, settings)
@@ -156,9 +156,9 @@
     settings = parse_settings(file.settings)
     check_class_names(settings)
     if not file.discovery and file.known is None:
-        raise ConfigError("discovery is missing, and there is no list in known")
+        raise ConfigError("discovery is missing, and known has no list of endpoints")
     if file.routing and file.routing.listeners:
-        raise ConfigError("routing.listeners: a client listens on none")
+        raise ConfigError("routing.listeners: a client has no listeners")
     return ClientConfig(
         routing=parse_routing(file.routing) if file.routing else None,
         name=file.name,
@@ -171,9 +171,9 @@
 
 
 def load_client_config(path: str | Path) -> ClientConfig:
-    """Read a plug-in's TOML file. Raises ConfigError, which names the file and the key at fault.
+    """Read a plug-in's TOML file. Raises ConfigError, which names the file and the invalid key.
 
-    Without `seed` one is drawn, so that no two clients have the same random numbers.
+    Without `seed` a random one is used, so that clients have different random numbers.
     """
     path = Path(path)
     try:
--- a/puffindeck/config/durations.py
+++ b/puffindeck/config/durations.py
@@ -1,4 +1,4 @@
-"""Durations as operators' files have them."""
+"""Durations as they are written in operators' files."""
 
 from __future__ import annotations
 
@@ -8,12 +8,15 @@
 
 
 def duration_ms(text: str, key: str) -> float:
-    """Milliseconds of `250ms`, `60s`, `5m`, `1h` or `1d`. Raises InvalidValueError, which names the key."""
+    """Convert a duration such as `250ms`, `60s`, `5m`, `1h` or `1d` to milliseconds.
+
+    Raises InvalidValueError, which names the key.
+    """
     unit = text.lstrip("0123456789.")
     try:
         value = float(text[: len(text) - len(unit)])
     except ValueError:
         value = -1.0
     if unit not in UNITS_MS or value <= 0:
-        raise InvalidValueError(key, f"must be a span like 250ms, 60s, 5m or 1h, not {text!r}")
+        raise InvalidValueError(key, f"must be a duration like 250ms, 60s, 5m or 1h, not {text!r}")
     return value * UNITS_MS[unit]
--- a/puffindeck/config/endpoint_list.py
+++ b/puffindeck/config/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of endpoints, as discovery sends it and as a configuration file may have it."""
+"""The list of endpoints, as discovery sends it and as a configuration file may contain it."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Target(msgspec.Struct):
-    """An endpoint of the list; the fields are named as discovery's JSON has them."""
+    """An endpoint of the list. The fields have the names of discovery's JSON."""
 
     uid: str
     state: str
@@ -19,7 +19,7 @@
 
 
 class EndpointList(msgspec.Struct):
-    """The whole list of endpoints, or what has changed in it since an earlier revision."""
+    """The whole list of endpoints, or the changes to it since an earlier revision."""
 
     rev: int
     all: bool  # whether this is the whole list
--- a/puffindeck/config/errors.py
+++ b/puffindeck/config/errors.py
@@ -1,4 +1,4 @@
-"""Errors of configuration. Each names the file or the key at fault and says what an operator must change."""
+"""Errors of configuration. Each names the file or the invalid key and says what an operator must change."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class MissingKeyError(ConfigError):
-    """A key that has no default is missing: add it.
+    """A key that has no default is missing, so the operator must add it.
 
     `location` is the table that lacks the key, `key` the dotted path of the key in that table.
     """
@@ -24,7 +24,7 @@
 
 
 class InvalidValueError(ConfigError):
-    """The value of a key cannot be used: change it so that it meets the requirement.
+    """The value of a key cannot be used: the operator must change it to meet the requirement.
 
     `key` is the dotted path of the key, `requirement` begins with "must".
     """
--- a/puffindeck/config/fleet.py
+++ b/puffindeck/config/fleet.py
@@ -1,4 +1,4 @@
-"""The tables of a node that is a member of a fleet: `fleet`, and with it `quota` and `residency`."""
+"""The tables of a fleet member: `fleet`, and with it `quota` and `residency`."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 class FleetConfig(msgspec.Struct, frozen=True):
-    """The fleet that a node is a member of, checked."""
+    """The checked table `fleet`."""
 
     name: str
     bind: tuple[str, int]
     region: str
-    folder: str  # where the member's state is stored; empty: nowhere
-    advertise: str  # HOST:PORT that other members send to; empty: as `bind`
+    folder: str  # where the member's state is stored; empty: state is not stored
+    advertise: str  # HOST:PORT to which other members send; empty: the same as `bind`
     peers: dict[str, str]  # HOST:PORT by name
 
 
 class FleetMemberConfig(msgspec.Struct, frozen=True):
-    """The configuration of a node that is a member of a fleet."""
+    """The checked configuration of a fleet member."""
 
     fleet: FleetConfig
     quota: QuotaConfig | None = None
@@ -63,27 +63,27 @@
             raise ConfigError(f"fleet.peers.{name}: an instance's name has 1 to {MAX_NAME_OCTETS} octets")
     bind = parse_address(table.bind, "fleet.bind")
     if bind[1] == 0:
-        raise InvalidValueError("fleet.bind", "must name a port, as the others send to it")
+        raise InvalidValueError("fleet.bind", "must name a port, because other members send to it")
     if table.advertise:
         parse_address(table.advertise, "fleet.advertise")
     peers = _parse_peers(table, instance)
     return FleetConfig(table.name, bind, table.region, table.folder, table.advertise, peers)
 
 
-def _check_alone(quota: Any, residency: Any) -> None:
-    """Check the tables of a file without `fleet`."""
+def _check_no_fleet_tables(quota: Any, residency: Any) -> None:
+    """Check that a file without `fleet` has no tables that need it."""
     for key, table in (("quota", quota), ("residency", residency)):
         if table is not None:
-            raise ConfigError(f"{key} needs a [fleet] table, be it with no peers")
+            raise ConfigError(f"{key} needs a [fleet] table, which may have no peers")
 
 
 def parse_fleet_member(fleet: Any, quota: Any, residency: Any, instance: str) -> FleetMemberConfig | None:
-    """Check the decoded tables of the member that is named `instance`; None for a file without `fleet`.
+    """Check the decoded tables of the member named `instance`. Returns None for a file without `fleet`.
 
-    Raises ConfigError, which names the key at fault.
+    Raises ConfigError, which names the invalid key.
     """
     if fleet is None:
-        _check_alone(quota, residency)
+        _check_no_fleet_tables(quota, residency)
         return None
     fleet_config = _parse_fleet(convert_table(fleet, FleetTable, "fleet"), instance)
     members = (instance, *fleet_config.peers)
--- a/puffindeck/config/node_config.py
+++ b/puffindeck/config/node_config.py
@@ -1,4 +1,4 @@
-"""A node's configuration: its file, and the environment variables that go before keys of the file."""
+"""A node's configuration: its file, and the environment variables that override keys of the file."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
     from puffindeck.config.fleet import FleetMemberConfig
     from puffindeck.routing import Routing
 
-MIN_DESCRIPTORS = 64  # fewer would not do for discovery, the listener and one client
+MIN_DESCRIPTORS = 64  # fewer do not suffice for discovery, the listener and one client
 
 
 class Limits(msgspec.Struct):
-    """Limits of the machine."""
+    """The table `limits` as it is read."""
 
-    sockets: int = 1024  # descriptors that the node may have open
+    sockets: int = 1024  # file descriptors that the node may have open
 
 
 class NodeFile(msgspec.Struct):
@@ -52,57 +52,57 @@
 
 
 class NodeConfig(msgspec.Struct, frozen=True):
-    """A node's whole configuration, checked."""
+    """The whole checked configuration of a node."""
 
     name: str
     listen: tuple[str, int]
-    discovery: tuple[str, int] | None  # None: the file's list is the only one
+    discovery: tuple[str, int] | None  # None: only the file's list of endpoints is used
     seed: int
     max_descriptors: int  # file descriptors that the node may have open
     file_endpoints: EndpointList
     settings: Settings
     quic: QuicConfig | None = None
-    routing: Routing | None = None  # its package is not loaded by a node without routing
-    fleet_member: FleetMemberConfig | None = None  # None: a node that is no member of a fleet
-    operator: tuple[str, int] | None = None  # None: no second address
-    json_logs: bool = False  # log lines as JSON
+    routing: Routing | None = None  # puffindeck.routing is loaded only if this is set
+    fleet_member: FleetMemberConfig | None = None  # None: the node is not a member of a fleet
+    operator: tuple[str, int] | None = None  # address of the admin API; None: no second address is opened
+    json_logs: bool = False  # whether log lines are JSON
     inherited_descriptor: int | None = None  # a listening socket for clients that other processes share
     state_folder: Path = Path(gettempdir())  # for state that outlives the process
-    file: NodeFile | None = None  # the file as it was read, for a reload to compare with
-    file_keys: dict[str, Any] = msgspec.field(default_factory=dict)  # the keys that the file has
+    file: NodeFile | None = None  # the file as it was read; a reload compares it with the new one
+    file_keys: dict[str, Any] = msgspec.field(default_factory=dict)  # the decoded keys of the file
 
 
 class _ReadFile(NamedTuple):
-    """A configuration file, decoded."""
+    """A decoded configuration file."""
 
     file: NodeFile
     keys: dict[str, Any]
 
 
 def parse_inherited_descriptor(text: str) -> int | None:
-    """The number of an inherited listening TCP socket; None for an empty text.
+    """Return the descriptor of an inherited listening TCP socket; None for an empty text.
 
-    Raises ConfigError if the descriptor is no such socket.
+    Raises ConfigError if the descriptor is not a listening TCP socket.
     """
     if not text:
         return None
     if not (text.isascii() and text.isdigit()):
-        raise InvalidValueError("EDGE_INHERITED_FD", f"must be a descriptor's number, not {text!r}")
+        raise InvalidValueError("EDGE_INHERITED_FD", f"must be the number of a descriptor, not {text!r}")
     try:
         listener = socket(fileno=dup(int(text)))
     except OSError as error:
-        raise ConfigError(f"EDGE_INHERITED_FD: {text} is no socket: {error.strerror}") from None
+        raise ConfigError(f"EDGE_INHERITED_FD: {text} is not a socket: {error.strerror}") from None
     with listener:
         is_tcp = listener.family in (AF_INET, AF_INET6)
         if not is_tcp or not listener.getsockopt(SOL_SOCKET, SO_ACCEPTCONN):
-            raise ConfigError(f"EDGE_INHERITED_FD: {text} is no listening TCP socket")
+            raise ConfigError(f"EDGE_INHERITED_FD: {text} is not a listening TCP socket")
     return int(text)
 
 
 def _read_file(environment: Mapping[str, str], operator_file: str) -> _ReadFile:
     path = operator_file or environment.get("EDGE_CONFIG")
     if not path:
-        raise ConfigError("EDGE_CONFIG is not set, and there is no --config")
+        raise ConfigError("EDGE_CONFIG is not set, and --config is not given")
     source = "--config" if operator_file else "EDGE_CONFIG"
     decode = msgspec.toml.decode if operator_file else msgspec.json.decode
     try:
@@ -123,7 +123,7 @@
 def _parse_file_settings(file: NodeFile) -> Settings:
     settings = parse_settings(file.settings)
     if file.routing and settings.evenness:
-        raise ConfigError("routing: settings.evenness holds for one list of servers, not for pools")
+        raise ConfigError("routing: settings.evenness applies to a single list of servers, not to pools")
     check_class_names(settings)
     return settings
 
@@ -131,7 +131,7 @@
 def _parse_fleet_member(
     file: NodeFile, settings: Settings, name: str, is_operator_file: bool
 ) -> FleetMemberConfig | None:
-    """The tables of a fleet's member; None for a file without them."""
+    """Return the configuration of a fleet member; None for a file without its tables."""
     if file.fleet is None and file.quota is None and file.residency is None:
         return None
     if not is_operator_file:  # the platform forbids messages between instances
@@ -142,14 +142,14 @@
 
     fleet_member = parse_fleet_member(file.fleet, file.quota, file.residency, name)
     if file.residency is not None and (file.routing is not None or settings.evenness):
-        raise ConfigError("residency can't be had together with routing or settings.evenness yet")
+        raise ConfigError("residency cannot be combined with routing or settings.evenness")
     return fleet_member
 
 
 def load_node_config(environment: Mapping[str, str], operator_file: str = "") -> NodeConfig:
     """Read the JSON file that EDGE_CONFIG names, or an operator's TOML file where its path is given.
 
-    Raises ConfigError, which names the file or the key at fault, and ConfigUnreadable if the file cannot be
+    Raises ConfigError, which names the file or the invalid key, and ConfigUnreadable if the file cannot be
     read at this moment.
     """
     file, keys = _read_file(environment, operator_file)
@@ -158,7 +158,9 @@
     settings = _parse_file_settings(file)
     discovery = environment.get("EDGE_DISCOVERY") or file.discovery
     if not discovery and not (operator_file and file.known):
-        raise ConfigError("discovery is not set, and an operator's file has no list in known")
+        raise ConfigError(
+            "discovery is not set, and there is no operator's file with a list of endpoints in known"
+        )
     operator = environment.get("EDGE_OPERATOR") or file.operator
     name = environment.get("EDGE_NAME") or file.name or "node"
     temporary_folder = Path(environment.get("TMPDIR") or gettempdir())
--- a/puffindeck/config/policy_settings.py
+++ b/puffindeck/config/policy_settings.py
@@ -1,4 +1,4 @@
-"""The settings of the decision module, as JSON and TOML files have them."""
+"""The settings of the decision module, as they are written in JSON and TOML files."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     effect = str(require(table, "repeat", at))
     scope = str(table.get("group", "all"))
     if effect not in EFFECTS or scope not in SCOPES:
-        raise ConfigError(f"{at}.repeat or .group is not known")
+        raise ConfigError(f"{at}.repeat or .group has an unknown value")
     return ClassSettings(
         latency_objective_ms=number(table, "aimMs", where=at),
         deadline_ms=number(table, "hardLimitMs", where=at, above=True),
@@ -37,7 +37,7 @@
 def _parse_classes(table: Any, family: dict[str, Any]) -> tuple[ClassSettings, ...]:
     classes = require(table, "classes")
     if not isinstance(classes, list) or not classes:
-        raise InvalidValueError("settings: classes", "must be a list of at least one")
+        raise InvalidValueError("settings: classes", "must be a list of at least one class")
     message_objectives_ms = number_list(family, "messageAimMs")
     return tuple(_parse_class(item, index, message_objectives_ms) for index, item in enumerate(classes))
 
@@ -45,16 +45,14 @@
 def _parse_bound(table: Any) -> float:
     bound = number(table, "bound", default=0.0)
     if bound and bound <= 1:
-        raise InvalidValueError("settings: bound", "must be over 1, or 0 for the module's own")
+        raise InvalidValueError("settings: bound", "must be over 1, or 0 for the default")
     return bound
 
 
 def _parse_evenness(table: Any) -> float:
     evenness = number(table, "evenness", default=0.0)
     if evenness and evenness < 1:
-        raise InvalidValueError(
-            "settings: evenness", "must be 1 or more, or 0 for the ring as its points fall"
-        )
+        raise InvalidValueError("settings: evenness", "must be 1 or more, or 0 for no limit")
     return evenness
 
 
@@ -65,9 +63,9 @@
 
 
 def parse_settings(table: Any) -> Settings:
-    """The settings, as the simulator's first message and a node's file have them.
+    """Check the settings of the simulator's first message or of a node's file.
 
-    Raises ConfigError, which names the key at fault.
+    Raises ConfigError, which names the invalid key.
     """
     family = optional_table(table, "familyInfo")
     prices = optional_table(table, "prices")
@@ -104,9 +102,9 @@
 
 
 def decode_settings(text: bytes) -> Settings:
-    """The settings in the first message of a simulated instance, which is JSON.
+    """Decode the settings in the first message of a simulated instance, which is JSON.
 
-    Raises ConfigError, which names the key at fault.
+    Raises ConfigError, which names the invalid key.
     """
     try:
         table = msgspec.json.decode(text)
@@ -123,7 +121,7 @@
 
 
 def find_class_number(settings: Settings, name: str, key: str) -> int:
-    """The number of the class of that name. Raises InvalidValueError, which names `key`, if there is none."""
+    """Return the number of the class `name`. Raises InvalidValueError, which names `key`, if none has it."""
     names = [request_class.name for request_class in settings.classes]
     if name not in names:
         raise InvalidValueError(key, f"must be one of {', '.join(names)}, not {name!r}")
--- a/puffindeck/config/quic.py
+++ b/puffindeck/config/quic.py
@@ -12,7 +12,7 @@
 from puffindeck.config.policy_settings import find_class_number
 from puffindeck.interface import Settings
 
-MAX_CONFIG_ID = 6  # QUIC-LB keeps 7 for ids that carry no server id
+MAX_CONFIG_ID = 6  # QUIC-LB reserves 7 for connection ids without a server id
 MAX_SERVER_ID_OCTETS = 15
 MIN_NONCE_OCTETS = 4
 MAX_SERVER_ID_AND_NONCE_OCTETS = 19
@@ -20,7 +20,7 @@
 
 
 class QuicTable(msgspec.Struct):
-    """The QUIC table as it is read; QUIC is off where the file has none."""
+    """The table `quic` as it is read. QUIC is off if the file has no such table."""
 
     listen: str
     class_: str = msgspec.field(name="class", default="")
@@ -36,11 +36,11 @@
 
 
 class QuicConfig(msgspec.Struct, frozen=True):
-    """The QUIC front's configuration, checked."""
+    """The checked configuration of the QUIC front."""
 
     listen: tuple[str, int]
     class_number: int  # the index in the settings of the request class of all connections
-    deadline: timedelta  # from a client's first Initial to the answer
+    deadline: timedelta  # time from a client's first Initial packet to the answer
     idle_timeout: timedelta  # a flow without datagrams is removed after it
     silence_timeout: timedelta  # a flow whose endpoint sends nothing is removed after it
     config_id: int
@@ -60,8 +60,8 @@
     if not MIN_NONCE_OCTETS <= table.nonce_length <= max_nonce_octets:
         raise InvalidValueError(
             "quic.nonce_length",
-            f"must be {MIN_NONCE_OCTETS} or more, and {MAX_SERVER_ID_AND_NONCE_OCTETS} or less with "
-            "server_id_length",
+            f"must be {MIN_NONCE_OCTETS} or more, and {MAX_SERVER_ID_AND_NONCE_OCTETS} or less together "
+            "with server_id_length",
         )
 
 
@@ -73,24 +73,22 @@
 
 
 def _parse_server_ids(table: QuicTable) -> dict[bytes, str]:
-    """The endpoints' uids by server id."""
+    """Return the endpoints' uids by server id."""
     uids: dict[bytes, str] = {}
     for uid, text in table.boxes.items():
         server_id = parse_hexadecimal(text, f"quic.boxes.{uid}")
         if len(server_id) != table.server_id_length:
             raise InvalidValueError(f"quic.boxes.{uid}", "must have server_id_length octets")
         if server_id in uids:
-            raise ConfigError(f"quic.boxes.{uid} has the id of {uids[server_id]}")
+            raise ConfigError(f"quic.boxes.{uid} has the same server id as {uids[server_id]}")
         uids[server_id] = uid
     return uids
 
 
 def parse_quic(table: QuicTable, settings: Settings) -> QuicConfig:
-    """Check the QUIC table. Raises ConfigError, which names the key at fault or the library to install."""
+    """Check the QUIC table. Raises ConfigError, which names the invalid key or the library to install."""
     if find_spec("aioquic") is None:
-        raise ConfigError(
-            "quic: the front wants what requirements-operator.txt names, aioquic, which is not installed"
-        )
+        raise ConfigError("quic: aioquic, which requirements-operator.txt names, is not installed")
     class_number = find_class_number(settings, table.class_, "quic.class") if table.class_ else 0
     _check_connection_id_layout(table)
     key = _parse_key(table.key)
--- a/puffindeck/config/reload.py
+++ b/puffindeck/config/reload.py
@@ -1,4 +1,4 @@
-"""Reload of a running node's configuration file, all or nothing."""
+"""Reloads a running node's configuration file. An invalid file changes nothing."""
 
 from __future__ import annotations
 
@@ -12,17 +12,23 @@
 from puffindeck.config.errors import ConfigError
 from puffindeck.config.node_config import NodeConfig, NodeFile, load_node_config
 
-FREE_FORM_KEYS = ("known", "quic.boxes", "fleet.peers", "quota", "residency")  # entries of these may go
-# keys that a running node takes up, and `known` where there is no discovery
+FREE_FORM_KEYS = (
+    "known",
+    "quic.boxes",
+    "fleet.peers",
+    "quota",
+    "residency",
+)  # a new file may lack entries below these keys
+# Keys whose changes a running node applies; without discovery it also applies changes of `known`.
 RELOADED_KEYS = ("discovery", "limits", "settings", "quota", "residency")
-START_ONLY_KEYS = ("seed", "known")  # they count for a node's start only: their change is not reported
+START_ONLY_KEYS = ("seed", "known")  # used at the start only; changes are not reported
 
 
 class ReloadedConfig(NamedTuple):
-    """A configuration that was read again."""
+    """The result of a reload."""
 
-    config: NodeConfig  # in force from now on
-    restart_keys: list[str]  # keys that have changed and take a restart
+    config: NodeConfig  # the configuration to use from now on
+    restart_keys: list[str]  # keys whose changes require a restart
 
 
 def _missing_in_table(running: dict[str, Any], new: Any, path: str) -> str:
@@ -38,9 +44,9 @@
 
 
 def _missing_in_list(running: list[dict[str, Any]], new: Any, path: str) -> str:
-    """As `_missing_key`, for a list of tables, which may have other entries than before.
+    """Like `_missing_key`, for a list of tables, whose entries may differ from the running ones.
 
-    Each new entry must have the keys that all the running ones have.
+    Each new entry must have the keys that all running entries have.
     """
     first = running[0]
     shared = {key: first[key] for key in first if all(key in item for item in running)}
@@ -51,9 +57,9 @@
 
 
 def _missing_key(running: Any, new: Any, path: str = "") -> str:
-    """The path of the first key that the running file has and the new one lacks; empty if there is none.
+    """Return the path of the first key that the running file has and the new file lacks; empty if none.
 
-    A default must not take the place of a key that is lost from a file cut short.
+    A key that is missing from a truncated file must not be replaced by its default.
     """
     if isinstance(running, dict):
         return _missing_in_table(running, new, path)
@@ -73,7 +79,7 @@
 def _reloaded_discovery(
     running: NodeConfig, running_file: NodeFile, file: NodeFile
 ) -> tuple[str, int] | None:
-    """A `discovery` that has changed in the file goes before the environment, which cannot change."""
+    """Return discovery's address. A changed key of the file overrides the environment, which is fixed."""
     if file.discovery and file.discovery != running_file.discovery:
         return parse_address(file.discovery, "discovery")
     return running.discovery
@@ -88,7 +94,7 @@
 ) -> ReloadedConfig:
     """Read the configuration file of a running node again, as `load_node_config` does.
 
-    Raises ConfigError, which names the file or the key at fault; the running configuration then stays.
+    Raises ConfigError, which names the file or the invalid key; then the running configuration remains.
     """
     new = load_node_config(environment, operator_file)
     if missing := _missing_key(running.file_keys, new.file_keys):
@@ -99,7 +105,7 @@
     assert file is not None
     discovery = _reloaded_discovery(running, running_file, file)
     restart_keys = _changed_restart_keys(running_file, file)
-    for key in restart_keys:  # the old values stay in force, so the next reload has to name these again
+    for key in restart_keys:  # the old values remain in use, so that the next reload reports these keys again
         setattr(file, key, getattr(running_file, key))
     config = msgspec.structs.replace(
         running,
--- a/puffindeck/config/residency.py
+++ b/puffindeck/config/residency.py
@@ -1,4 +1,4 @@
-"""The residency table of an operator's file: regions, and in which of them each service may run."""
+"""The residency table of an operator's file: regions, and the regions in which each service may run."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ServiceTable(msgspec.Struct, forbid_unknown_fields=True):
-    """One of `residency.services`."""
+    """One entry of `residency.services`."""
 
     name: str
     when: list[list[ConditionTable]]
@@ -43,7 +43,7 @@
 
 
 class ResidencyConfig(msgspec.Struct, frozen=True):
-    """The rules, checked."""
+    """The checked residency table."""
 
     ruleset: Ruleset
     refuse_when_stale: bool  # whether a member that has lost its quorum rejects requests
@@ -52,24 +52,24 @@
 
 
 def _parse_regions(table: ResidencyTable) -> dict[str, str]:
-    """The region of each zone."""
+    """Return regions by zone."""
     regions: dict[str, str] = {}
     for region, zones in table.regions.items():
         for zone in zones:
             if not region or not zone or zone in regions:
-                raise ConfigError(f"residency.regions.{region}: {zone!r} is empty, or in two regions")
+                raise ConfigError(f"residency.regions.{region}: {zone!r} is an empty name or in two regions")
             regions[zone] = region
     return regions
 
 
 def _matcher(groups: ConditionGroups) -> Callable[[Any], bool]:
-    """A predicate of a request's view: do all conditions of one of the groups hold?"""
+    """Return a predicate of a request's view: whether all conditions of at least one group hold."""
     return lambda view: any(all(condition.holds(view) for condition in group) for group in groups)
 
 
 def _check_service(table: ServiceTable, at: str, regions: set[str], earlier: set[str]) -> None:
     if not table.name or table.name in earlier:
-        raise InvalidValueError(f"{at}.name", f"must be a name of its own, not {table.name!r}")
+        raise InvalidValueError(f"{at}.name", f"must be a unique name, not {table.name!r}")
     if not table.allowed:
         raise InvalidValueError(f"{at}.allowed", "must name at least one region")
     for key, named in (("allowed", table.allowed), ("transit", table.transit)):
@@ -95,14 +95,14 @@
     return tuple(services)
 
 
-def parse_residency(given: Any) -> ResidencyConfig:
-    """Check a decoded residency table, of a file or from another member.
+def parse_residency(decoded: Any) -> ResidencyConfig:
+    """Check a decoded residency table from a file or another member.
 
-    Raises ConfigError, which names the key at fault.
+    Raises ConfigError, which names the invalid key.
     """
     from puffindeck_residency import Ruleset
 
-    table = convert_table(given, ResidencyTable, "residency")
+    table = convert_table(decoded, ResidencyTable, "residency")
     if table.version < 1:
         raise InvalidValueError("residency.version", "must be 1 or more")
     if table.stale not in ("refuse", "keep"):
@@ -119,5 +119,5 @@
 
 
 def parse_ruleset(text: bytes) -> Ruleset:
-    """The rules that another member has sent as JSON. Raises ValueError if they cannot be used here."""
+    """Parse rules that another member sent as JSON. Raises ValueError if this member cannot use them."""
     return parse_residency(msgspec.json.decode(text)).ruleset
--- a/puffindeck/config/routing.py
+++ b/puffindeck/config/routing.py
@@ -13,11 +13,11 @@
     from puffindeck.routing import Condition, Pool, Route, Routing
 
 Tiers = tuple[tuple[str, ...], ...]
-ConditionGroups = tuple[tuple["Condition", ...], ...]  # they hold where all conditions of one group hold
+ConditionGroups = tuple[tuple["Condition", ...], ...]  # match if all conditions of one group hold
 
 
 class ConditionTable(msgspec.Struct, forbid_unknown_fields=True):
-    """One condition of a route."""
+    """A condition of a route, tenant or service, as it is read."""
 
     on: str
     values: list[str | int] = msgspec.field(name="is", default_factory=list)
@@ -28,14 +28,14 @@
 
 
 class RouteEntry(msgspec.Struct, forbid_unknown_fields=True):
-    """A route: to the pool, where all conditions of one of the groups hold."""
+    """A route as it is read: requests go to the pool if all conditions of at least one group hold."""
 
     pool: str
     when: list[list[ConditionTable]] = msgspec.field(default_factory=list)
 
 
 class PoolTable(msgspec.Struct, forbid_unknown_fields=True):
-    """A pool and its backup tiers."""
+    """A pool and its backup tiers, as they are read."""
 
     members: list[str]
     backups: list[list[str]] = msgspec.field(default_factory=list)
@@ -48,7 +48,7 @@
 
 
 class RoutingTable(msgspec.Struct, forbid_unknown_fields=True):
-    """Routes to pools; off where an operator's file has no such table."""
+    """The table `routing` as it is read. Routing is off if the file has no such table."""
 
     pools: dict[str, PoolTable]
     default: str = ""
@@ -57,7 +57,7 @@
 
 
 def parse_condition(table: ConditionTable, at: str) -> Condition:
-    """Check one condition. Raises ConfigError, which names the key `at` which it stands."""
+    """Check a condition. Raises ConfigError, which names the condition's key, `at`."""
     from puffindeck.routing import Condition, ConditionError
 
     try:
@@ -74,7 +74,7 @@
 
 
 def parse_condition_groups(tables: list[list[ConditionTable]], at: str) -> ConditionGroups:
-    """Check groups of conditions. Raises ConfigError, which names the condition at fault."""
+    """Check groups of conditions. Raises ConfigError, which names the invalid condition."""
     return tuple(
         tuple(parse_condition(table, f"{at}[{i}][{j}]") for j, table in enumerate(group))
         for i, group in enumerate(tables)
@@ -96,19 +96,19 @@
     seen: set[str] = set()
     for server in (server for tier in tiers for server in tier):
         if server in seen:
-            raise ConfigError(f"{at}: {server} stands twice")
+            raise ConfigError(f"{at}: {server} is listed twice")
         seen.add(server)
     return tiers
 
 
 def _check_pool_limits(table: PoolTable, tiers: Tiers, at: str) -> None:
     if table.limit < 0 or table.attempts < 0 or any(limit < 1 for limit in table.server_limits.values()):
-        raise InvalidValueError(f"{at}: limits and attempts", "must be above 0, or left out")
+        raise InvalidValueError(f"{at}: limits and attempts", "must be above 0, or omitted")
     servers = {server for tier in tiers for server in tier}
     if unknown := set(table.server_limits) - servers:
-        raise ConfigError(f"{at}.server_limits: {min(unknown)} is in no tier of the pool")
+        raise ConfigError(f"{at}.server_limits: {min(unknown)} is not in any tier of the pool")
     if table.bound and not 1 < table.bound < 1000:
-        raise InvalidValueError(f"{at}.bound", "must be over 1, or left out")
+        raise InvalidValueError(f"{at}.bound", "must be over 1 and under 1000, or omitted")
 
 
 def _parse_pool(name: str, table: PoolTable) -> Pool:
@@ -142,8 +142,8 @@
 
 
 def parse_routing(table: RoutingTable) -> Routing:
-    """Check the routing table. Raises ConfigError, which names the key at fault."""
-    from puffindeck.routing import RouteTable, Routing  # only where a file has such a table
+    """Check the routing table. Raises ConfigError, which names the invalid key."""
+    from puffindeck.routing import RouteTable, Routing  # loaded only if the file has a routing table
 
     pools = tuple(_parse_pool(name, pool) for name, pool in table.pools.items())
     if not pools:
--- a/puffindeck/core/attempts.py
+++ b/puffindeck/core/attempts.py
@@ -61,7 +61,7 @@
         state.endpoint = action.endpoint
         state.attempt_started = now
         if answer_deadline <= now:
-            self.ended(attempt_id, Outcome.TIMEOUT)
+            self.report_ended(attempt_id, Outcome.TIMEOUT)
             return
         self._observer.attempt_began(state.id, action.endpoint, attempt_id.attempt)
         state.attempt_expiry = self._deadlines.at(answer_deadline, self.expire, attempt_id)
@@ -77,7 +77,7 @@
             AttemptEnded(action.request, Outcome.MOOT, action.endpoint, attempt, state.answered, 0.0)
         )
 
-    def established(self, attempt_id: AttemptId) -> bool:
+    def report_established(self, attempt_id: AttemptId) -> bool:
         """Notify the client that its connection is established.
 
         Returns False if the attempt is no longer active or its request is already answered.
@@ -95,7 +95,7 @@
         self._dispatch(AttemptEstablished(attempt_id.request, state.endpoint, elapsed_ms, attempt_id.attempt))
         return True
 
-    def ended(self, attempt_id: AttemptId, outcome: Outcome) -> None:
+    def report_ended(self, attempt_id: AttemptId, outcome: Outcome) -> None:
         """Report the end of an attempt or of its connection. Reports after the first are ignored."""
         state = self.find_active(attempt_id)
         if state is None:
@@ -125,6 +125,6 @@
     def terminate(self, state: RequestState, outcome: Outcome) -> None:
         """End the active attempt and close its link."""
         link = state.link
-        self.ended(AttemptId(state.number, state.attempts - 1), outcome)
+        self.report_ended(AttemptId(state.number, state.attempts - 1), outcome)
         if link is not None:
             link.abandon()
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -215,11 +215,11 @@
 
         Returns False if the attempt is no longer active or its request is already answered.
         """
-        return self.attempts.established(attempt_id)
+        return self.attempts.report_established(attempt_id)
 
     def attempt_ended(self, attempt_id: AttemptId, outcome: Outcome) -> None:
         """Report the end of an attempt or of its connection. Reports after the first are ignored."""
-        self.attempts.ended(attempt_id, outcome)
+        self.attempts.report_ended(attempt_id, outcome)
 
     def record_report(self, attempt_id: AttemptId, value: float) -> None:
         """Process a value that a server reported on an open connection.
@@ -296,7 +296,7 @@
         state = self.requests.get(number)
         if state is not None and state.established and state.attempt_active and state.client.migrate():
             self.observer.closed(state.id, reason)
-            self.attempts.ended(AttemptId(state.number, state.attempts - 1), Outcome.CANCELLED)
+            self.attempts.report_ended(AttemptId(state.number, state.attempts - 1), Outcome.CANCELLED)
 
     def _schedule_timer(self, action: ScheduleTimer) -> None:
         self.deadlines.after(milliseconds(action.delay_ms), self.dispatch, TimerFired(action.token))
--- a/tests/config/test_routing.py
+++ b/tests/config/test_routing.py
@@ -17,7 +17,7 @@
     ("line", "key"),
     [
         ("[routing.pools.a]\nmembers = []\n", "routing.pools.a.members"),
-        ('[routing.pools.a]\nmembers = ["x"]\nbackups = [["x"]]\n', "routing.pools.a: x stands twice"),
+        ('[routing.pools.a]\nmembers = ["x"]\nbackups = [["x"]]\n', "routing.pools.a: x is listed twice"),
         ('[routing.pools.a]\nmembers = ["x"]\nserver_limits = {y = 1}\n', "routing.pools.a.server_limits: y"),
         ('[routing.pools.a]\nmembers = ["x"]\nlimit = -1\n', "routing.pools.a"),
         ('[routing.pools.a]\nmembers = ["x"]\ncolour = 1\n', "colour"),
