--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -141,9 +141,9 @@
         assert self.node.watch is not None
         patience = self.node.watch._timeout
         assert patience is not None
-        assert patience.act is not None
-        self.assertLessEqual(patience.when, self.node.deadlines.clock.now() + ANSWER_TIMEOUT)
-        patience.act(*patience.args)
+        assert patience.callback is not None
+        self.assertLessEqual(patience.due, self.node.deadlines.clock.now() + ANSWER_TIMEOUT)
+        patience.callback(*patience.args)
         await self.wait_until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.read_exactly(plain, 6), b"PONG\r\n")
 
