--- a/packages/quota/src/puffindeck_quota/__init__.py
+++ b/packages/quota/src/puffindeck_quota/__init__.py
@@ -1,7 +1,8 @@
 """Tenant quotas that all gateways enforce together: the decisions of one gateway, without I/O or a clock.
 
-`Quota.admit` answers at once from the permits available at this gateway. `Quota.handle` moves permits to where they
-are needed and agrees with the other gateways on who receives new ones. docs/design/quota.md weighs the alternatives.
+`Quota.admit` admits or rejects a request immediately, using only the permits available at this gateway. `Quota.handle`
+transfers permits to the gateways that need them and takes part in the consensus on which gateways are allocated new
+permits. docs/design/quota.md compares the alternatives.
 """
 
 from puffindeck_quota.actions import Action, Revoke
--- a/packages/quota/src/puffindeck_quota/actions.py
+++ b/packages/quota/src/puffindeck_quota/actions.py
@@ -1,4 +1,4 @@
-"""Actions that `Quota.handle` returns."""
+"""Actions that `Quota.handle` returns for its caller to perform."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class Revoke:
-    """An open connection has no permit any more and is to be moved."""
+    """Migrate an open connection, because its permits could not be renewed."""
 
     charge: Charge
 
--- a/packages/quota/src/puffindeck_quota/admission.py
+++ b/packages/quota/src/puffindeck_quota/admission.py
@@ -1,4 +1,4 @@
-"""Admits requests from the permits that are available at this gateway, without asking others."""
+"""Admits requests by the permits available at this gateway, without communication with other gateways."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Admission:
-    """Charges requests, and owns the charges of connections that need their permits renewed."""
+    """Charges requests, and owns the charges of open connections whose permits need renewal."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         tenant_limits: TenantLimits,
         random: Random,
     ) -> None:
-        self.established: set[Charge] = set()  # open connections with a limit on seconds or on concurrency
+        self.established: set[Charge] = set()  # open connections limited in seconds or concurrency
         self._settings = settings
         self._paxos = paxos
         self._allocator = allocator
@@ -35,19 +35,20 @@
         self._random = random
 
     def admit(self, tenant: str, now_ms: float, until_ms: float) -> Charge | Rejection:
-        """Charge a request that may be served up to `until_ms`, or reject it.
+        """Charge a request that may be established at any time until `until_ms`, or reject it.
 
-        Near the end of a window the request may be served in either, and is charged in both until it is known.
+        Near the end of a window it is unknown in which window the request will be established. It is charged in each
+        possible window until `on_established` refunds the others.
         """
         charge = Charge(tenant, now_ms)
         first_ms = now_ms - self._settings.skew_ms
         last_ms = until_ms + self._settings.skew_ms
         for tenant_limit in self._tenant_limits.for_tenant(tenant):
-            tenant_limit.record_demand(now_ms, self._settings.demand_memory_ms)
+            tenant_limit.record_demand(now_ms, self._settings.demand_time_constant_ms)
             self._tenant_limits.active.add(tenant_limit)
             permits = ChargedPermits(tenant_limit, set())
             charge.permits.append(permits)
-            may_consume = not tenant_limit.limit.strict or self._peers.clock_in_sync
+            may_consume = not tenant_limit.limit.strict or self._peers.strict_admission_allowed
             for window in tenant_limit.limit.windows_between(first_ms, last_ms):
                 ledger = tenant_limit.ledgers.get(window) or self._allocator.ledger(tenant_limit, window)
                 if may_consume and ledger.consume():
@@ -60,9 +61,10 @@
         return charge
 
     def overdraw(self, charge: Charge, tenant_limit: TenantLimit, window: int) -> bool:
-        """Admit beyond the permits of a limit that is not strict while the others can't be asked.
+        """Admit a request without a permit, if the limit is not strict and no majority of the voters is reachable.
 
-        Each voter may do so for an equal part of the limit; False where that is used up.
+        Each gateway may do so for the limit's amount divided by the number of voters, rounded up. Return False if that
+        is used up or an overdraft is not allowed.
         """
         limit = tenant_limit.limit
         if limit.strict or not self._settings.local_overdraft or not self._peers.is_partitioned():
@@ -76,7 +78,7 @@
         return True
 
     def on_established(self, charge: Charge, now_ms: float) -> None:
-        """The request is served: refund the windows in which that can't have been."""
+        """Refund the permits of windows in which the connection cannot have been established."""
         skew_ms = self._settings.skew_ms
         charge.established_ms = now_ms
         for permits in charge.permits:
@@ -89,14 +91,17 @@
                 self.established.add(charge)
 
     def refund(self, charge: Charge) -> None:
-        """The request was rejected for another reason, and no server can have served it."""
+        """Refund all permits of a request that was rejected for another reason. No server can have served it."""
         if charge.closed:
             return
         charge.closed = True
         charge.refund()
 
     def on_ended(self, charge: Charge) -> None:
-        """The connection has ended, or the request may have been served unseen: refund limits on concurrency."""
+        """Refund only the permits of concurrency limits.
+
+        To be called when the connection has ended, or when the request has failed but a server may have served it.
+        """
         if charge.closed:
             return
         charge.closed = True
@@ -106,7 +111,11 @@
                 permits.tenant_limit.refund(permits.windows)
 
     def _retry_after_ms(self, tenant_limit: TenantLimit, window: int, ledger: PermitLedger, now_ms: float) -> float:
-        """Until permits are expected: soon where others may have some, else spread over the window's successor."""
+        """Return after how many milliseconds permits are expected to be available.
+
+        The delay is short if other members may have available permits. Otherwise it lasts into the next window, spread
+        randomly so that rejected requests do not all return at once.
+        """
         limit = tenant_limit.limit
         jitter = self._random.random()
         reported = [count for key, count in tenant_limit.peer_available.items() if key.window == window]
--- a/packages/quota/src/puffindeck_quota/allocation.py
+++ b/packages/quota/src/puffindeck_quota/allocation.py
@@ -1,4 +1,4 @@
-"""What the allocation that was chosen for an epoch gives this gateway in each window."""
+"""Divides the permits of each window by the allocation that was chosen for the epoch in which the window begins."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class QuotaAllocator:
-    """Allocates permits to this gateway's ledgers."""
+    """Adds this gateway's share of the permits to its ledgers."""
 
     def __init__(self, process: ProcessId, settings: QuotaSettings, paxos: Paxos, tenant_limits: TenantLimits) -> None:
         self._process = process
@@ -22,7 +22,7 @@
         self._tenant_limits = tenant_limits
 
     def ledger(self, tenant_limit: TenantLimit, window: int) -> PermitLedger:
-        """The ledger of a window, with this gateway's permits if the allocation is known by now."""
+        """Return the ledger of a window, with this gateway's permits allocated if the allocation is known."""
         ledger = tenant_limit.ledger(window)
         if not ledger.allocation_known:
             allocation = self._chosen(tenant_limit, window)
@@ -31,13 +31,13 @@
         return ledger
 
     def allocate(self) -> None:
-        """Allocate the permits of windows that have a ledger already, after an allocation was learned."""
+        """After an allocation was learned, allocate the permits of all windows that already have a ledger."""
         for tenant_limit in self._tenant_limits.all():
             for window in tenant_limit.ledgers:
                 self.ledger(tenant_limit, window)
 
     def reduce_allocations(self) -> None:
-        """Apply limits that were lowered, after the operator's file was read again."""
+        """After a reload, apply lowered limits to the current windows."""
         for tenant_limit in self._tenant_limits.all():
             for window, ledger in tenant_limit.ledgers.items():
                 allocation = self._chosen(tenant_limit, window)
@@ -45,12 +45,15 @@
                     ledger.reduce_allocation(self._share(tenant_limit, window, allocation))
 
     def _chosen(self, tenant_limit: TenantLimit, window: int) -> Allocation | None:
-        """The allocation of the epoch in which a window begins."""
+        """Return the allocation of the epoch in which a window begins, or None if it is unknown."""
         epoch = self._settings.epoch_at(window * tenant_limit.limit.window_ms)
         return self._paxos.chosen.get(epoch)
 
     def _share(self, tenant_limit: TenantLimit, window: int, allocation: Allocation) -> int:
-        """An equal part of the permits. The remainder goes to other members in each window."""
+        """Return this process's equal share of the permits.
+
+        The remainder of the division goes to different members in each window, rotated by a hash.
+        """
         limit = tenant_limit.limit
         processes = [
             ProcessId(member.name, member.process_incarnation)
@@ -60,7 +63,7 @@
         if self._process not in processes:
             return 0
         amount = min(limit.amount, allocation.amounts.get(limit.name, limit.amount))
-        part, remainder = divmod(amount, len(processes))
+        share, remainder = divmod(amount, len(processes))
         rotation = xxh32_intdigest(f"{tenant_limit.key}/{window}".encode()) % len(processes)
         position = (sorted(processes).index(self._process) + rotation) % len(processes)
-        return part + (position < remainder)
+        return share + (position < remainder)
--- a/packages/quota/src/puffindeck_quota/charge.py
+++ b/packages/quota/src/puffindeck_quota/charge.py
@@ -1,4 +1,4 @@
-"""What an admitted request has been charged, and the answer to one that was not admitted."""
+"""The results of admission: the charge of an admitted request, or a rejection."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True, eq=False)
 class ChargedPermits:
-    """The permits of one limit that a request holds, one for each of the windows."""
+    """Permits of one limit that a request has consumed: one permit in each of the windows."""
 
     tenant_limit: TenantLimit
     windows: set[int]
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Overdraft:
-    """A request admitted beyond the permits of a limit that is not strict."""
+    """Records that a request was admitted without a permit of a limit that is not strict."""
 
     tenant_limit: TenantLimit
     window: int
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True, eq=False)
 class Charge:
-    """What a request or a connection has been charged. Times in milliseconds."""
+    """The permits that a request or connection has consumed. Times are in milliseconds since 1970."""
 
     tenant: str
     requested_ms: float
@@ -35,7 +35,7 @@
     closed: bool = False
 
     def refund(self) -> None:
-        """Return all permits to their ledgers, as far as the windows are still recorded."""
+        """Return all permits to the ledgers of those windows that have not been discarded yet."""
         for permits in self.permits:
             permits.tenant_limit.refund(permits.windows)
         for overdraft in self.overdrafts:
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class Rejection:
-    """No permit is available now; some are expected after `retry_after_ms` milliseconds."""
+    """No permit is available; permits are expected to be available after `retry_after_ms` milliseconds."""
 
-    limit: str  # the name of the limit
+    limit: str  # the name of the exhausted limit
     retry_after_ms: float
--- a/packages/quota/src/puffindeck_quota/consensus.py
+++ b/packages/quota/src/puffindeck_quota/consensus.py
@@ -1,4 +1,4 @@
-"""Proposes an allocation for the next epoch, carries Paxos messages, and requests allocations that were missed."""
+"""Proposes the allocation of the next epoch, sends and receives Paxos messages, and requests missing allocations."""
 
 from __future__ import annotations
 
@@ -21,16 +21,20 @@
 from puffindeck_quota.peers import Peers
 from puffindeck_quota.tenant_limits import TenantLimits
 
-FIRST_PROPOSAL_FRACTION = 0.05  # of an epoch: when the first voter proposes
-NEXT_PROPOSER_FRACTION = 0.15  # of an epoch: how much later each next voter proposes
-RETRY_FRACTION = 0.2  # of an epoch: how long a proposal is given at least
-RETRY_JITTER_FRACTION = 0.1  # of an epoch: the most that chance adds to that
-MAX_PROPOSER_RANK = 4  # voters from this rank on propose at the same time
-LEARN_INTERVAL_MS = 500.0  # between two requests for allocations that were missed
+# Proposal times are fractions of an epoch.
+FIRST_PROPOSAL_FRACTION = 0.05  # time from the start of the epoch to the proposal of the first voter
+NEXT_PROPOSER_FRACTION = 0.15  # additional delay for each further voter
+RETRY_FRACTION = 0.2  # minimum time between two proposals of one voter for the same epoch
+RETRY_JITTER_FRACTION = 0.1  # maximum random addition to that time
+MAX_PROPOSER_RANK = 4  # voters of this rank and above use the same proposal time
+LEARN_INTERVAL_MS = 500.0  # interval between requests for missing allocations
 
 
 class AllocationConsensus:
-    """Drives `Paxos` over the network. Voters propose in the order of their names."""
+    """Runs `Paxos` over the network.
+
+    Voters propose in the order of their names; the delays between them avoid competing ballots.
+    """
 
     def __init__(
         self,
@@ -56,7 +60,10 @@
         self._learn_requested_ms = float("-inf")
 
     def propose_if_due(self, now_ms: float) -> None:
-        """Start a round for the next epoch where it is this voter's turn, later voters in case earlier ones fail."""
+        """Start a Paxos round for the next epoch if it has no allocation yet and this voter's proposal time has come.
+
+        Later voters propose only if the earlier ones have failed to get an allocation chosen.
+        """
         epoch = self._settings.epoch_at(now_ms) + 1
         if epoch in self._paxos.chosen or not self._may_propose(now_ms, epoch):
             return
@@ -65,9 +72,12 @@
         self._broadcast(now_ms, self._paxos.start_round(epoch, self._peers.propose_allocation()))
 
     def request_missing_if_due(self, now_ms: float) -> None:
-        """Ask random members for the allocations in use that are not known here."""
+        """Ask random members for allocations that are needed now and are not known here.
+
+        Reports `NoMajority` if the current epoch's allocation is missing during a partition.
+        """
         epoch = self._settings.epoch_at(now_ms)
-        missing = [needed for needed in self._epochs_in_demand(now_ms) if needed not in self._paxos.chosen]
+        missing = [needed for needed in self._epochs_needed(now_ms) if needed not in self._paxos.chosen]
         due = now_ms - self._learn_requested_ms >= LEARN_INTERVAL_MS
         if not missing or not due or not self._peers.regions:
             return
@@ -80,7 +90,7 @@
             self._outbox.report(now_ms, NoMajority("quota.voters", voters=voters, since_ms=since_ms))
 
     def on_message(self, now_ms: float, sender: str, message: PaxosMessage) -> None:
-        """Take a message of Paxos from another member, or from this one."""
+        """Handle a Paxos message from another member or from this one."""
         if isinstance(message, Promise):
             accept = self._paxos.on_promise(sender, message)
             if accept is not None:
@@ -135,8 +145,8 @@
         retry_fraction = RETRY_FRACTION + RETRY_JITTER_FRACTION * self._random.random()
         return now_ms - self._proposed_ms >= retry_fraction * epoch_ms
 
-    def _epochs_in_demand(self, now_ms: float) -> set[int]:
-        """The current epoch, and those in which the current windows of limits with demand began."""
+    def _epochs_needed(self, now_ms: float) -> set[int]:
+        """Return the current epoch and the epochs in which the current windows of limits with demand began."""
         starts_ms = (
             now_ms // tenant_limit.limit.window_ms * tenant_limit.limit.window_ms
             for tenant_limit in self._tenant_limits.active
--- a/packages/quota/src/puffindeck_quota/events.py
+++ b/packages/quota/src/puffindeck_quota/events.py
@@ -1,4 +1,4 @@
-"""Events that `Quota.handle` takes."""
+"""Events that are passed to `Quota.handle`."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 @dataclass(slots=True)
 class MembersChanged:
-    """The fleet as this member sees it now, this member left out."""
+    """The other live members as this member currently sees them, and how its clock and liveness compare with theirs."""
 
-    regions: dict[str, str]  # the region of each living member, by name
-    clock_offset_ms: float = 0.0  # this clock's distance from the median of the members' clocks
-    excluded_by_peers: bool = False  # do the others count this member as dead?
+    regions: dict[str, str]  # the region of each live member, by member name
+    clock_offset_ms: float = 0.0  # this clock minus the median of the members' clocks
+    excluded_by_peers: bool = False  # whether other members consider this member dead
 
 
 @dataclass(slots=True)
 class Tick:
-    """Time has passed."""
+    """Time has passed. Carries no data; `Quota.handle` performs the periodic work that is due."""
 
 
 @dataclass(slots=True)
 class LimitsChanged:
-    """The operator's file was read again."""
+    """The limits in the operator's configuration file were reloaded."""
 
     limits: tuple[Limit, ...]
 
--- a/packages/quota/src/puffindeck_quota/limits.py
+++ b/packages/quota/src/puffindeck_quota/limits.py
@@ -1,28 +1,28 @@
-"""Limits as an operator sets them, and the settings of the algorithm that enforces them."""
+"""Limits as operators configure them, and the settings of the algorithm that enforces them."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-ALL_TENANTS = "*"  # a limit for this name holds for each tenant on its own
+ALL_TENANTS = "*"  # a limit with this tenant name applies to each tenant separately
 
 
 class Unit(StrEnum):
-    """What a limit counts. The values are the keys of an operator's file."""
+    """What a limit counts. The values are the keys in the operator's configuration file."""
 
     OPENED_CONNECTIONS = "opens"  # connections admitted in a window
-    CONNECTION_SECONDS = "seconds"  # seconds of open connections in a window
-    CONCURRENT_CONNECTIONS = "standing"  # connections open at once
+    CONNECTION_SECONDS = "seconds"  # connection time in a window, in seconds summed over all connections
+    CONCURRENT_CONNECTIONS = "standing"  # connections that are open at the same time
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """One limit: `amount` permits for each window of `window_ms` milliseconds.
+    """A limit of `amount` permits per window of `window_ms` milliseconds.
 
-    Windows begin at whole multiples of `window_ms` since 1970. With `tenant` "*" each tenant has the limit for itself.
-    Only gateways of `region` allocate and enforce it; "" stands for all regions. A limit that is not `strict` may be
-    exceeded by a bounded amount while a majority of the voters is out of reach.
+    Windows begin at whole multiples of `window_ms` since 1970-01-01 UTC. If `tenant` is "*", the limit applies to each
+    tenant separately. Only the gateways of `region` are allocated permits and enforce the limit; "" means all regions.
+    A limit that is not `strict` may be exceeded by a bounded amount while a majority of the voters is unreachable.
     """
 
     tenant: str
@@ -34,37 +34,40 @@
 
     @property
     def name(self) -> str:
-        """The name that all members have for this limit, whatever amount their files give."""
+        """Identifies this limit at all members. It does not contain the amount, which may differ between members."""
         return f"{self.unit}/{self.window_ms}/{self.region}/{self.tenant}"
 
     def window_at(self, ms: float) -> int:
-        """The number of the window that contains a moment, in milliseconds since 1970."""
+        """Return the number of the window that contains the time `ms`, in milliseconds since 1970."""
         return int(ms // self.window_ms)
 
     def windows_between(self, first_ms: float, last_ms: float) -> range:
-        """The numbers of the windows from one moment to another, both included; milliseconds since 1970."""
+        """Return the numbers of the windows that overlap the given interval.
+
+        Both ends are inclusive, in milliseconds since 1970.
+        """
         return range(int(first_ms // self.window_ms), int(last_ms // self.window_ms) + 1)
 
     def applies_to(self, tenant: str, region: str) -> bool:
-        """Whether a gateway of that region enforces this limit on that tenant."""
+        """Return whether gateways in `region` enforce this limit on `tenant`."""
         return self.tenant in (ALL_TENANTS, tenant) and self.region in ("", region)
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSettings:
-    """How permits are allocated and moved. Times in milliseconds; docs/design/quota.md gives the reasons."""
-
-    skew_ms: float = 250.0  # the largest difference between two members' clocks
-    epoch_ms: int = 5000  # an allocation holds for the windows that begin in its epoch
-    request_interval_ms: float = 100.0  # the shortest interval between two requests for permits of a limit
-    max_request_interval_ms: float = 500.0  # the longest, reached while requests bring nothing
-    demand_memory_ms: float = 250.0  # time constant of the estimate of demand
-    prefetch_ms: float = 1500.0  # permits of the next window are requested this long before it begins
-    low_permits_ms: float = 300.0  # permits for less than this span of demand: others are asked at once
+    """Settings for allocating and transferring permits, in milliseconds. docs/design/quota.md gives the reasons."""
+
+    skew_ms: float = 250.0  # largest permitted difference between two members' clocks
+    epoch_ms: int = 5000  # length of an epoch; an allocation applies to the windows that begin in its epoch
+    request_interval_ms: float = 100.0  # shortest interval between requests for permits of one limit
+    max_request_interval_ms: float = 500.0  # longest such interval, reached while requests yield no permits
+    demand_time_constant_ms: float = 250.0  # time constant of the exponentially decaying demand estimate
+    prefetch_ms: float = 1500.0  # how long before a window begins its permits are requested
+    low_permits_ms: float = 300.0  # permits are requested immediately if fewer than this span of demand remain
     heartbeat_interval_ms: float = 1000.0
-    max_donors: int = 4  # members asked for permits at once
-    local_overdraft: bool = True  # may limits that are not strict be exceeded while partitioned?
+    max_donors: int = 4  # most members that one request for permits is sent to
+    local_overdraft: bool = True  # whether limits that are not strict may be exceeded during a partition
 
     def epoch_at(self, ms: float) -> int:
-        """The number of the epoch that contains a moment, in milliseconds since 1970."""
+        """Return the number of the epoch that contains the time `ms`, in milliseconds since 1970."""
         return int(ms // self.epoch_ms)
--- a/packages/quota/src/puffindeck_quota/messages.py
+++ b/packages/quota/src/puffindeck_quota/messages.py
@@ -1,7 +1,7 @@
-"""Messages between the quotas of two gateways, as MessagePack arrays.
+"""Quota messages between two gateways, encoded as MessagePack arrays.
 
-The order of the fields and the tags are the wire format. Fields may be added at the end. Times are in milliseconds;
-windows and epochs are numbered since 1970.
+The order of the fields and the tags define the wire format. New fields may only be added at the end. Times are in
+milliseconds; windows and epochs are numbered from 1970-01-01 UTC.
 """
 
 from __future__ import annotations
@@ -12,14 +12,18 @@
 
 
 class WindowConsumption(NamedTuple):
-    """Permits that a gateway has consumed in a window."""
+    """The number of permits that a gateway has consumed in a window."""
 
     window: int
     consumed: int
 
 
 class Heartbeat(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """A member's process, its view of voters and amounts, and its consumption by key of a tenant's limit."""
+    """Periodic state of a member.
+
+    Carries the member's process incarnation, its configured voters and epoch length, the configured amounts by the name
+    of a limit, and its consumption by the key of a tenant's limit.
+    """
 
     process_incarnation: int
     voters: str
@@ -28,19 +32,19 @@
 
 
 class TransferRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The sender needs more permits of a tenant's limit in a window."""
+    """Requests more permits of a tenant's limit in a window for the sender."""
 
     limit: str  # the key of the tenant's limit
     window: int
     available: int
-    rate: float  # demand at the sender, a second
+    rate: float  # demand at the sender, in requests per second
     process_incarnation: int
 
 
 class Transfer(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """The total that the sender has transferred to the receiver of a tenant's limit in a window.
+    """How many permits of a tenant's limit in a window the sender has transferred to the receiver in total.
 
-    As it is a total, a copy of this message or one that arrives late adds nothing.
+    Because the message carries a cumulative total, a duplicated, delayed or reordered copy has no further effect.
     """
 
     limit: str  # the key of the tenant's limit
@@ -48,11 +52,11 @@
     total: int
     receiver_incarnation: int
     process_incarnation: int
-    available: int  # what is left at the sender
+    available: int  # permits still available at the sender
 
 
 class AllocationMember(NamedTuple):
-    """A process that receives permits in an epoch."""
+    """A process that is allocated permits in an epoch."""
 
     name: str
     process_incarnation: int
@@ -60,21 +64,28 @@
 
 
 class Allocation(msgspec.Struct, array_like=True, frozen=True):
-    """Who receives permits in windows that begin in an epoch, and the amounts by the name of a limit."""
+    """The processes that are allocated permits in the windows that begin in an epoch.
+
+    `amounts` has the amount of each limit, by the name of the limit.
+    """
 
     members: list[AllocationMember]
     amounts: dict[str, int]
 
 
 class Prepare(msgspec.Struct, array_like=True, frozen=True, tag=4):
-    """Paxos phase 1a: asks for a promise to take part in no earlier ballot."""
+    """Paxos phase 1a: asks for a promise not to vote in any lower ballot."""
 
     epoch: int
     ballot: int
 
 
 class Promise(msgspec.Struct, array_like=True, frozen=True, tag=5):
-    """Paxos phase 1b: the promise, with what the sender accepted in its latest ballot (-1: nothing)."""
+    """Paxos phase 1b: promises not to vote in any lower ballot.
+
+    Carries the allocation that the sender accepted in its highest ballot so far. If it has accepted none,
+    `accepted_ballot` is -1 and `accepted_allocation` is None.
+    """
 
     epoch: int
     ballot: int
@@ -83,7 +94,7 @@
 
 
 class Accept(msgspec.Struct, array_like=True, frozen=True, tag=6):
-    """Paxos phase 2a: asks the voters to accept an allocation."""
+    """Paxos phase 2a: asks the voters to accept an allocation in a ballot."""
 
     epoch: int
     ballot: int
@@ -91,14 +102,14 @@
 
 
 class Accepted(msgspec.Struct, array_like=True, frozen=True, tag=7):
-    """Paxos phase 2b: the sender has accepted the allocation of that ballot."""
+    """Paxos phase 2b: the sender has accepted the allocation proposed in this ballot."""
 
     epoch: int
     ballot: int
 
 
 class Chosen(msgspec.Struct, array_like=True, frozen=True, tag=8):
-    """A majority has accepted this allocation."""
+    """Announces the allocation that a majority of the voters has accepted for an epoch."""
 
     epoch: int
     allocation: Allocation
--- a/packages/quota/src/puffindeck_quota/outbox.py
+++ b/packages/quota/src/puffindeck_quota/outbox.py
@@ -1,4 +1,4 @@
-"""The actions that one call of `Quota.handle` gathers."""
+"""Collects the actions that one call of `Quota.handle` returns."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class Outbox:
-    """Actions in the order in which they came up."""
+    """Pending actions, in the order in which they were added."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
         self._reports = ReportThrottle()
 
     def send(self, to: str, message: Message) -> None:
-        """Send a message to another member, by its name."""
+        """Add the sending of a message to the member named `to`."""
         self._actions.append(SendMessage(to, ENCODER.encode(message)))
 
     def report(self, now_ms: float, error: QuotaError) -> None:
-        """Report an error to the operators, once in an interval."""
+        """Add a report to operators, unless the same error was reported within the report interval."""
         self._actions += self._reports.reports(now_ms, error)
 
     def add(self, action: Action) -> None:
-        """Add an action of another kind."""
+        """Add any other action."""
         self._actions.append(action)
 
-    def take(self) -> list[Action]:
-        """The actions since the last call."""
+    def take_actions(self) -> list[Action]:
+        """Return the actions added since the last call, and clear them."""
         taken = self._actions
         self._actions = []
         return taken
--- a/packages/quota/src/puffindeck_quota/peers.py
+++ b/packages/quota/src/puffindeck_quota/peers.py
@@ -1,4 +1,4 @@
-"""The other members as this one sees them: which are alive, their heartbeats, and whether a majority is in reach."""
+"""Tracks the other members: which are alive, their last heartbeats, and whether a majority of voters is reachable."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from puffindeck_quota.tenant_limit import PeerWindow
 from puffindeck_quota.tenant_limits import TenantLimits
 
-REPORTED_LIMITS = 20  # tenants' limits whose consumption one heartbeat reports
+REPORTED_LIMITS = 20  # most tenants' limits whose consumption one heartbeat reports
 
 
 class Peers:
-    """Owns the list of living members and their last heartbeats."""
+    """Owns the set of live members and their last heartbeats."""
 
     def __init__(
         self,
@@ -27,8 +27,10 @@
         tenant_limits: TenantLimits,
         outbox: Outbox,
     ) -> None:
-        self.regions: dict[str, str] = {}  # the region of each living member, by name
-        self.clock_in_sync = True  # is the clock near the others', and do all heartbeats name the same voters?
+        self.regions: dict[str, str] = {}  # the region of each live member, by member name
+        # Strict limits can be enforced only if all clocks agree within the permitted skew and all members have the
+        # same voters and epoch length.
+        self.strict_admission_allowed = True
         self._process = process
         self._region = region
         self._settings = settings
@@ -36,21 +38,21 @@
         self._tenant_limits = tenant_limits
         self._outbox = outbox
         self._excluded_by_peers = False
-        self._heartbeats: dict[str, Heartbeat] = {}  # the last one of each member
+        self._heartbeats: dict[str, Heartbeat] = {}  # the last heartbeat of each member
         self._heartbeat_sent_ms = float("-inf")
 
     def on_members_changed(self, now_ms: float, event: MembersChanged) -> None:
-        """Take the members that are alive now, and check the clock and the voters against theirs."""
+        """Update the live members, and check that the clocks and the configured voters agree with theirs."""
         self.regions = dict(event.regions)
         self._excluded_by_peers = event.excluded_by_peers
-        for gone in [name for name in self._heartbeats if name not in self.regions]:
-            del self._heartbeats[gone]
-        clock_near = self._check_clock(now_ms, event.clock_offset_ms)
+        for dead in [name for name in self._heartbeats if name not in self.regions]:
+            del self._heartbeats[dead]
+        clocks_agree = self._check_clock(now_ms, event.clock_offset_ms)
         voters_agree = self._check_voters(now_ms)
-        self.clock_in_sync = clock_near and voters_agree
+        self.strict_admission_allowed = clocks_agree and voters_agree
 
     def on_heartbeat(self, now_ms: float, sender: str, heartbeat: Heartbeat) -> None:
-        """Take what another member's file has and what it has consumed."""
+        """Record another member's consumption, and report limits for which it is configured with another amount."""
         self._heartbeats[sender] = heartbeat
         for key, report in heartbeat.consumption.items():
             tenant_limit = self._tenant_limits.find(key)
@@ -63,7 +65,7 @@
                 self._outbox.report(now_ms, LimitUnknown(where, peer=sender, theirs=amount, ours=limit.amount))
 
     def send_heartbeat_if_due(self, now_ms: float) -> bool:
-        """Send a heartbeat to all living members, once in an interval; whether one was due."""
+        """Send a heartbeat to all live members if the interval has passed. Return whether one was due."""
         if now_ms - self._heartbeat_sent_ms < self._settings.heartbeat_interval_ms:
             return False
         self._heartbeat_sent_ms = now_ms
@@ -77,26 +79,32 @@
             self._outbox.send(name, heartbeat)
         return True
 
-    def send_heartbeat_soon(self) -> None:
-        """Make the next heartbeat due, as this member's file has changed."""
+    def make_heartbeat_due(self) -> None:
+        """Make the next heartbeat due immediately, because the limits it reports have changed."""
         self._heartbeat_sent_ms = float("-inf")
 
     def is_partitioned(self) -> bool:
-        """Whether too few voters are in reach for an allocation."""
+        """Return whether this member cannot take part in choosing allocations.
+
+        That is the case if no majority of the voters is reachable or if other members consider this one dead.
+        """
         reachable = sum(name in self.regions for name in self._paxos.voters if name != self._process.name)
         reachable += self._process.name in self._paxos.voters
         return reachable < self._paxos.majority or self._excluded_by_peers
 
     def reachable_voters(self) -> list[str]:
-        """The voters that are alive, this member included if it is one, by name."""
+        """Return the sorted names of the live voters, including this member if it is a voter."""
         return [name for name in self._paxos.voters if name == self._process.name or name in self.regions]
 
     def describe_voters(self) -> str:
-        """The voters and the length of an epoch, as members compare them."""
+        """Return the voters and the epoch length as text. Members compare it to detect different configurations."""
         return f"{','.join(self._paxos.voters)} every {self._settings.epoch_ms} ms"
 
     def propose_allocation(self) -> Allocation:
-        """All members that are alive, and for each limit the lowest amount that any of their files has."""
+        """Return an allocation to propose.
+
+        It has all live members whose process is known, and the lowest amount that any member reports for each limit.
+        """
         members = [AllocationMember(self._process.name, self._process.process_incarnation, self._region)]
         for name, heartbeat in self._heartbeats.items():
             if name in self.regions:
@@ -116,7 +124,7 @@
 
     def _check_voters(self, now_ms: float) -> bool:
         ours = self.describe_voters()
-        different = {name: beat.voters for name, beat in self._heartbeats.items() if beat.voters != ours}
+        different = {name: heartbeat.voters for name, heartbeat in self._heartbeats.items() if heartbeat.voters != ours}
         for name, theirs in different.items():
             self._outbox.report(now_ms, VotersDiffer("quota.voters", peer=name, theirs=theirs, ours=ours))
         return not different
--- a/packages/quota/src/puffindeck_quota/permit_ledger.py
+++ b/packages/quota/src/puffindeck_quota/permit_ledger.py
@@ -1,7 +1,8 @@
-"""Permits of one limit in one window, as one gateway has them: allocated, received, transferred, consumed.
+"""Accounts for one gateway's permits of one limit in one window: allocated, received, transferred and consumed.
 
-The totals that cross the network only grow, so copies and disorder of messages change nothing. A permit that was
-transferred is gone here before it can be consumed there, and a permit lost with a process is consumed by nobody.
+The totals sent over the network only increase, so duplicated and reordered messages have no effect. A transferred
+permit is deducted at the donor before the receiver can consume it, and the permits of a process that ends are lost,
+so no permit is consumed twice.
 """
 
 from __future__ import annotations
@@ -10,14 +11,14 @@
 
 
 class ProcessId(NamedTuple):
-    """One process of a member. A member that restarts is another process."""
+    """Identifies one process of a member. A restarted member has a new process incarnation."""
 
     name: str
     process_incarnation: int
 
 
 class PermitLedger:
-    """One tenant's limit in one window. All figures are numbers of permits."""
+    """One gateway's permits of a tenant's limit in a window. All values are numbers of permits."""
 
     __slots__ = (
         "allocated",
@@ -33,15 +34,15 @@
     def __init__(self) -> None:
         self.allocated = 0
         self.allocation_known = False
-        self.available = 0  # what may still be consumed, or transferred to others
+        self.available = 0  # permits that can still be consumed or transferred
         self.consumed = 0
         self.overdrawn = 0  # requests admitted without a permit
-        self.rejected = 0  # requests rejected for want of a permit
-        self.received: dict[ProcessId, int] = {}  # the total by donor
-        self.transferred: dict[ProcessId, int] = {}  # the total by receiver
+        self.rejected = 0  # requests rejected because no permit was available
+        self.received: dict[ProcessId, int] = {}  # cumulative total by donor
+        self.transferred: dict[ProcessId, int] = {}  # cumulative total by receiver
 
     def allocate(self, count: int) -> None:
-        """Add the permits that the epoch's allocation gives this gateway. Only the first call counts."""
+        """Add the permits that the epoch's allocation assigns to this gateway. Later calls have no effect."""
         if self.allocation_known:
             return
         self.allocation_known = True
@@ -49,16 +50,16 @@
         self.available += count
 
     def reduce_allocation(self, count: int) -> None:
-        """Apply a lower limit at once; a higher one holds from the next window on.
+        """Apply a lowered limit immediately. A raised limit takes effect in the next window, so it is ignored here.
 
-        `available` may fall below 0: nothing more is consumed or transferred then.
+        `available` may become negative; no more permits are consumed or transferred while it is.
         """
         if self.allocation_known and count < self.allocated:
             self.available -= self.allocated - count
             self.allocated = count
 
     def consume(self) -> bool:
-        """Consume one permit; False if none is available."""
+        """Consume one permit. Return False if none is available."""
         if self.available <= 0:
             return False
         self.available -= 1
@@ -71,7 +72,7 @@
         self.consumed -= 1
 
     def transfer(self, receiver: ProcessId, count: int) -> int:
-        """Transfer up to `count` permits; the new total that this receiver was given."""
+        """Transfer up to `count` permits. Return the new cumulative total transferred to this receiver."""
         granted = max(0, min(count, self.available))
         total = self.transferred.get(receiver, 0) + granted
         if granted:
@@ -80,7 +81,10 @@
         return total
 
     def receive(self, donor: ProcessId, total: int) -> int:
-        """Record the total that a donor has transferred to this gateway; how many of these permits are new."""
+        """Record the cumulative total that a donor has transferred to this gateway.
+
+        Return how many of these permits had not been received before.
+        """
         new = max(0, total - self.received.get(donor, 0))
         if new:
             self.received[donor] = total
--- a/packages/quota/src/puffindeck_quota/quota.py
+++ b/packages/quota/src/puffindeck_quota/quota.py
@@ -1,4 +1,4 @@
-"""The quotas of one gateway: admission from the permits available here, and the messages that move permits."""
+"""The quotas of one gateway: local admission of requests, and the messages that allocate and transfer permits."""
 
 from __future__ import annotations
 
@@ -26,14 +26,15 @@
 from puffindeck_quota.tenant_limits import TenantLimits
 from puffindeck_quota.transfers import PermitTransfers
 
-FORGOTTEN_EPOCHS = 4  # epochs older than the current one by more than this are dropped unless in use
+RETAINED_EPOCHS = 4  # number of past epochs whose state is retained even if no window uses them
 
 
 class Quota:
-    """Composes the parts of one gateway's quotas and hands them their events.
+    """Connects the components of one gateway's quotas and dispatches events to them.
 
-    `process_incarnation` is the process's own number in the fleet, `voters` the names of the members that choose
-    allocations, `region` this gateway's. All moments are in milliseconds since 1970; `seed` fixes every random choice.
+    `process_incarnation` distinguishes this process from earlier processes of the same member. `voters` are the names
+    of the members that choose allocations. `region` is the region of this gateway. `seed` makes all random choices
+    reproducible. All times are in milliseconds since 1970-01-01 UTC.
     """
 
     def __init__(
@@ -49,7 +50,7 @@
     ) -> None:
         self.name = name
         self.process_incarnation = process_incarnation
-        self.dropped = 0  # messages that could not be decoded
+        self.malformed_messages = 0  # messages that could not be decoded
         settings = settings or QuotaSettings()
         process = ProcessId(name, process_incarnation)
         random = Random(seed)
@@ -71,35 +72,35 @@
     # Requests
 
     def admit(self, tenant: str, now_ms: float, until_ms: float) -> Charge | Rejection:
-        """Charge a request that may be served up to `until_ms`; or reject it, with the limit that is exhausted."""
+        """Charge a request that may be established until `until_ms`, or reject it and name the exhausted limit."""
         return self._admission.admit(tenant, now_ms, until_ms)
 
     def on_established(self, charge: Charge, now_ms: float) -> None:
-        """The connection of an admitted request is established."""
+        """Handle that the connection of an admitted request is established."""
         self._admission.on_established(charge, now_ms)
 
     def on_ended(self, charge: Charge) -> None:
-        """The connection has ended, or the request may have been served unseen."""
+        """Handle that the connection has ended, or that the request has failed but a server may have served it."""
         self._admission.on_ended(charge)
 
     def refund(self, charge: Charge) -> None:
-        """The request was rejected for another reason, and no server can have served it."""
+        """Refund all permits of a request that was rejected for another reason. No server can have served it."""
         self._admission.refund(charge)
 
     # Events
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Take in events, do what is due at `now_ms`, and return the messages, revocations and reports."""
+        """Process events and the periodic work that is due at `now_ms`. Return the resulting actions."""
         self._paxos.start(self._settings.epoch_at(now_ms))
         for event in events:
             self._on_event(now_ms, event)
         if self._peers.send_heartbeat_if_due(now_ms):
-            self._forget_past(now_ms)
+            self._discard_past(now_ms)
         self._consensus.propose_if_due(now_ms)
         self._consensus.request_missing_if_due(now_ms)
         self._renewal.renew(now_ms)
         self._transfers.request_permits_if_due(now_ms)
-        return self._outbox.take()
+        return self._outbox.take_actions()
 
     def _on_event(self, now_ms: float, event: Event) -> None:
         if isinstance(event, MessageReceived):
@@ -115,7 +116,7 @@
         try:
             message = DECODER.decode(event.data)
         except msgspec.MsgspecError:
-            self.dropped += 1
+            self.malformed_messages += 1
             return
         self._on_message(now_ms, event.sender, message)
 
@@ -132,18 +133,18 @@
     def _on_limits_changed(self, event: LimitsChanged) -> None:
         self._limits.replace_limits(event.limits)
         self._allocator.reduce_allocations()
-        self._peers.send_heartbeat_soon()
+        self._peers.make_heartbeat_due()
 
-    def _forget_past(self, now_ms: float) -> None:
+    def _discard_past(self, now_ms: float) -> None:
         epoch = self._settings.epoch_at(now_ms)
         epochs_in_use = {epoch} | self._limits.epochs_in_use(now_ms)
-        self._limits.forget_past_windows(now_ms)
-        self._paxos.forget_before(epoch - FORGOTTEN_EPOCHS, epochs_in_use)
+        self._limits.discard_past_windows(now_ms)
+        self._paxos.discard_before(epoch - RETAINED_EPOCHS, epochs_in_use)
 
     # Operators
 
     def status(self, now_ms: float) -> list[dict[str, object]]:
-        """Each tenant's limit in its current window, as `GET /_quotas` shows it."""
+        """Return the rows of `GET /_quotas`: the state of each tenant's limit in its current window."""
         self._limits.create_for_named_tenants()
         by_key = sorted(self._limits.all(), key=lambda tenant_limit: tenant_limit.key)
         return [self._status_row(tenant_limit, now_ms) for tenant_limit in by_key]
--- a/packages/quota/src/puffindeck_quota/renewal.py
+++ b/packages/quota/src/puffindeck_quota/renewal.py
@@ -1,4 +1,4 @@
-"""Renews the permits of open connections, and revokes those that get none."""
+"""Renews the permits of open connections, and revokes connections whose permits cannot be renewed."""
 
 from __future__ import annotations
 
@@ -11,11 +11,13 @@
 from puffindeck_quota.tenant_limit import MS_PER_SECOND, TenantLimit
 from puffindeck_quota.tenant_limits import TenantLimits
 
-MIGRATION_MS = 300.0  # before the end of a window: connections without a permit in the next one are moved
+# A connection without a permit for the next window is revoked this long before the current window ends, in addition
+# to the permitted clock skew.
+MIGRATION_MS = 300.0
 
 
 class PermitRenewal:
-    """Charges open connections for their next window or second."""
+    """Charges open connections for the next window or the next second."""
 
     def __init__(
         self,
@@ -33,7 +35,7 @@
         self._seconds_renewed_ms = float("-inf")
 
     def renew(self, now_ms: float) -> None:
-        """Renew what is due; connections without a permit are revoked."""
+        """Renew the permits that are due, and revoke connections for which no permit is available."""
         for charge in list(self._admission.established):
             if not self._renew_permits(charge, now_ms):
                 self._revoke(charge)
@@ -59,7 +61,7 @@
         )
 
     def _renew_window_permit(self, permits: ChargedPermits, now_ms: float) -> bool:
-        """Charge the next window before it begins; False when the connection has to be moved."""
+        """Charge the next window before it begins. Return False if the connection has to be migrated now."""
         limit = permits.tenant_limit.limit
         current = limit.window_at(now_ms)
         permits.windows.difference_update([window for window in permits.windows if window < current - 1])
@@ -73,10 +75,10 @@
         return window_left_ms > self._settings.skew_ms + MIGRATION_MS
 
     def _renew_second_permit(self, charge: Charge, tenant_limit: TenantLimit, now_ms: float) -> bool:
-        """Charge one more second, from the connection's second one on; False if there is no permit."""
+        """Charge one more second, once the connection is a second old. Return False if no permit is available."""
         if now_ms - charge.established_ms < MS_PER_SECOND:
             return True
-        tenant_limit.record_demand(now_ms, self._settings.demand_memory_ms)
+        tenant_limit.record_demand(now_ms, self._settings.demand_time_constant_ms)
         self._tenant_limits.active.add(tenant_limit)
         window = tenant_limit.limit.window_at(now_ms + MS_PER_SECOND)
         ledger = self._allocator.ledger(tenant_limit, window)
--- a/packages/quota/src/puffindeck_quota/tenant_limits.py
+++ b/packages/quota/src/puffindeck_quota/tenant_limits.py
@@ -1,4 +1,4 @@
-"""The limits of the operator's file, and each of them for the tenants that have come up."""
+"""The configured limits, and the state of each limit for each known tenant."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class TenantLimits:
-    """Owns every `TenantLimit` of a gateway, and which of them have demand."""
+    """Owns every `TenantLimit` of a gateway, and the set of those with demand."""
 
     def __init__(self, limits: Iterable[Limit], region: str, settings: QuotaSettings) -> None:
         self.limits = {limit.name: limit for limit in limits}
-        self.active: set[TenantLimit] = set()  # those with recent demand
+        self.active: set[TenantLimit] = set()  # tenant limits with recent demand
         self._region = region
         self._settings = settings
         self._by_key: dict[str, TenantLimit] = {}
         self._by_tenant: dict[str, list[TenantLimit]] = {}
 
     def all(self) -> list[TenantLimit]:
-        """Every tenant's limit, in the order in which they came up."""
+        """Return all tenant limits, in order of creation."""
         return list(self._by_key.values())
 
     def sorted_active(self) -> list[TenantLimit]:
-        """Those with recent demand, by key."""
+        """Return the tenant limits with recent demand, sorted by key."""
         return sorted(self.active, key=lambda tenant_limit: tenant_limit.key)
 
     def for_tenant(self, tenant: str) -> list[TenantLimit]:
-        """The limits that hold for a tenant at this gateway."""
+        """Return the limits that this gateway enforces on a tenant."""
         found = self._by_tenant.get(tenant)
         if found is None:
             found = [
@@ -40,7 +40,10 @@
         return found
 
     def find(self, key: str) -> TenantLimit | None:
-        """The tenant's limit that another member names; None where this member's file has no such limit."""
+        """Return the tenant limit with a key received from another member, creating it if needed.
+
+        Return None if no such limit is configured here, or if it does not apply to the tenant in this region.
+        """
         name, _, tenant = key.partition("#")
         limit = self.limits.get(name)
         if limit is None or not limit.applies_to(tenant, self._region):
@@ -48,13 +51,13 @@
         return self._get_or_create(limit, tenant)
 
     def create_for_named_tenants(self) -> None:
-        """Create the limits of tenants that the file names, so that operators see them before any request."""
+        """Create the limits of tenants that are configured by name, so that they are shown before the first request."""
         for limit in self.limits.values():
             if limit.tenant != ALL_TENANTS:
                 self.find(f"{limit.name}#{limit.tenant}")
 
     def replace_limits(self, limits: Iterable[Limit]) -> None:
-        """Take the limits of a file that was read again. Those that it leaves out are dropped."""
+        """Replace the configured limits after a reload. Limits that are no longer configured are removed."""
         self.limits = {limit.name: limit for limit in limits}
         self._by_tenant.clear()
         for key, tenant_limit in list(self._by_key.items()):
@@ -66,7 +69,7 @@
                 tenant_limit.limit = limit
 
     def epochs_in_use(self, now_ms: float) -> set[int]:
-        """The epochs in which the present and the next window of each limit begin."""
+        """Return the epochs in which the current and the next window of each limit begin."""
         epochs: set[int] = set()
         for limit in self.limits.values():
             first = limit.window_at(now_ms - self._settings.skew_ms)
@@ -74,11 +77,11 @@
                 epochs.add(self._settings.epoch_at(window * limit.window_ms))
         return epochs
 
-    def forget_past_windows(self, now_ms: float) -> None:
-        """Drop windows that are over."""
+    def discard_past_windows(self, now_ms: float) -> None:
+        """Discard the state of windows that have ended."""
         for tenant_limit in self._by_key.values():
             current = tenant_limit.limit.window_at(now_ms - self._settings.skew_ms)
-            tenant_limit.forget_before(current - 1)
+            tenant_limit.discard_before(current - 1)
 
     def _get_or_create(self, limit: Limit, tenant: str) -> TenantLimit:
         key = f"{limit.name}#{tenant}"
--- a/packages/quota/tests/test_paxos.py
+++ b/packages/quota/tests/test_paxos.py
@@ -96,7 +96,7 @@
     assert voter.learn(Chosen(EPOCH, FIRST))
     assert not voter.learn(Chosen(EPOCH, SECOND))
     assert voter.on_prepare(Prepare(EPOCH, 9), EPOCH) == Chosen(EPOCH, FIRST)
-    voter.forget_before(EPOCH + 1, {EPOCH})
+    voter.discard_before(EPOCH + 1, {EPOCH})
     assert voter.chosen == {EPOCH: FIRST}
-    voter.forget_before(EPOCH + 1, set())
+    voter.discard_before(EPOCH + 1, set())
     assert voter.chosen == {}
--- a/packages/quota/tests/test_quota.py
+++ b/packages/quota/tests/test_quota.py
@@ -53,7 +53,7 @@
     quota = Quota("e1", process_incarnation=1, voters=NAMES, limits=LIMITS)
     for data in (b"", b"\xff", b"\x93\x01\x02", b"\x95\x63\x01\x01\x01\x01"):
         assert not [a for a in quota.handle(1e6, [MessageReceived("e2", data)]) if isinstance(a, Report)]
-    assert quota.dropped == 4
+    assert quota.malformed_messages == 4
 
 
 def test_status_shows_a_limit_before_the_first_request() -> None:
