--- a/packages/quota/tests/test_admission.py
+++ b/packages/quota/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: a limit is nearly used up and never exceeded, and what a charge refunds."""
+"""Admission: limits are almost fully used and never exceeded, and charges are refunded."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
     ],
     ids=["even", "nine tenths at one", "all at one"],
 )
-def test_nearly_all_of_a_limit_is_admitted_and_never_more(rates: dict[str, float]) -> None:
+def test_limit_is_almost_fully_admitted_and_never_exceeded(rates: dict[str, float]) -> None:
     fleet = Gateways(LIMITS)
     fleet.settle()
     first = fleet.window
     fleet.run(40, rates)
-    found = [fleet.admitted_in(first + i) for i in range(4)]
-    assert max(found) <= 200
-    assert min(found) >= 0.97 * 200, found
+    admitted = [fleet.admitted_in(first + i) for i in range(4)]
+    assert max(admitted) <= 200
+    assert min(admitted) >= 0.97 * 200, admitted
 
 
-def test_a_limit_that_is_not_strict_serves_on_and_its_excess_is_bounded() -> None:
+def test_non_strict_limit_admits_bounded_excess_during_partition() -> None:
     fleet = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 200, WINDOW_MS, strict=False),))
     fleet.settle()
     fleet.split({"e1"}, {"e2"}, {"e3"}, {"e4"}, {"e5"})
@@ -38,10 +38,10 @@
     connected = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 200, WINDOW_MS, strict=False),))
     connected.settle()
     connected.run(20, dict.fromkeys(NAMES, 30.0))
-    assert connected.max_admitted() <= 200  # no overdraft while all are connected
+    assert connected.max_admitted() <= 200  # no overdraft without a partition
 
 
-def test_a_clock_out_of_sync_rejects_strict_limits_and_is_reported() -> None:
+def test_gateway_with_skewed_clock_rejects_strict_limits_and_reports_it() -> None:
     fleet = Gateways(LIMITS)
     fleet.settle()
     fleet.clock_skews_ms = {"e1": 2000.0}
@@ -51,7 +51,7 @@
     assert {(type(r.error), r.error.where) for r in fleet.reports} == {(ClockTooFar, "quota.skew")}
 
 
-def test_each_tenant_has_a_limit_for_all_for_itself() -> None:
+def test_limit_for_all_tenants_applies_to_each_tenant_separately() -> None:
     fleet = Gateways((Limit("*", Unit.OPENED_CONNECTIONS, 20, WINDOW_MS),))
     fleet.settle()
     for tenant in ("one", "two"):
@@ -61,7 +61,7 @@
     assert min(fleet.admitted.values()) >= 18
 
 
-def test_a_request_rejected_elsewhere_refunds_its_permit_once() -> None:
+def test_permit_of_request_rejected_for_another_reason_is_refunded_once() -> None:
     fleet = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 5, WINDOW_MS),), names=("e1",))
     fleet.settle()
     quota = fleet.gateways["e1"]
--- a/packages/quota/tests/test_allocation.py
+++ b/packages/quota/tests/test_allocation.py
@@ -1,4 +1,4 @@
-"""Allocation of permits: members that fail, minorities, and limits that are changed."""
+"""Allocation of permits when members fail, when the fleet is partitioned and when limits change."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 LIMITS = (Limit("acme", Unit.OPENED_CONNECTIONS, 200, WINDOW_MS),)
 
 
-def test_with_one_of_five_killed_nearly_all_of_the_next_window_is_admitted() -> None:
+def test_limit_is_almost_fully_admitted_after_one_of_five_gateways_is_killed() -> None:
     fleet = Gateways(LIMITS)
     fleet.settle()
     fleet.run(5, dict.fromkeys(NAMES, 8.0))
@@ -20,7 +20,7 @@
     assert fleet.max_admitted() <= 200
 
 
-def test_a_minority_admits_what_it_has_available_and_then_nothing_strict() -> None:
+def test_minority_admits_only_its_available_permits_until_partition_ends() -> None:
     fleet = Gateways(LIMITS)
     fleet.settle()
     fleet.split({"e1", "e2"}, {"e3", "e4", "e5"})
@@ -35,7 +35,7 @@
     assert fleet.admitted_by["e1"] > before
 
 
-def test_a_lower_limit_counts_at_once_and_a_higher_one_from_the_next_window() -> None:
+def test_lowered_limit_applies_immediately() -> None:
     fleet = Gateways(LIMITS)
     fleet.settle()
     fleet.run(1, dict.fromkeys(NAMES, 4.0))
@@ -50,7 +50,7 @@
     assert 45 <= fleet.admitted_in(window + 1) <= 50
 
 
-def test_two_versions_of_the_file_keep_to_the_lower_limit() -> None:
+def test_lower_amount_applies_and_is_reported_when_configurations_differ() -> None:
     fleet = Gateways(LIMITS)
     fleet.settle()
     e1 = fleet.gateways["e1"]
--- a/packages/quota/tests/test_paxos.py
+++ b/packages/quota/tests/test_paxos.py
@@ -1,4 +1,4 @@
-"""Paxos without a network: at most one allocation for an epoch, and none from a voter that may have voted before."""
+"""Paxos without a network: at most one allocation per epoch, and no second vote by a restarted voter."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 @pytest.fixture
 def voters() -> dict[str, Paxos]:
-    made = {name: Paxos(name, VOTERS) for name in VOTERS}
-    for voter in made.values():
+    paxos_by_name = {name: Paxos(name, VOTERS) for name in VOTERS}
+    for voter in paxos_by_name.values():
         voter.start(STARTED_EPOCH)
-    return made
+    return paxos_by_name
 
 
 def promise(voter: Paxos, prepare: Prepare) -> Promise:
@@ -35,7 +35,7 @@
 
 
 def choose(voters: dict[str, Paxos], leader: str, acceptors: tuple[str, str], proposal: Allocation) -> Chosen:
-    """A whole round with two of the three voters."""
+    """Run both phases of a round with two of the three voters."""
     prepare = voters[leader].start_round(EPOCH, proposal)
     accepts = [voters[leader].on_promise(name, promise(voters[name], prepare)) for name in acceptors]
     assert accepts[0] is None
@@ -47,17 +47,17 @@
     return chosen[1]
 
 
-def test_a_majority_chooses_the_proposal(voters: dict[str, Paxos]) -> None:
+def test_majority_chooses_the_proposal(voters: dict[str, Paxos]) -> None:
     assert choose(voters, "e1", ("e1", "e2"), FIRST) == Chosen(EPOCH, FIRST)
     assert voters["e1"].chosen == {EPOCH: FIRST}
 
 
-def test_a_later_round_chooses_what_a_majority_has_accepted_before(voters: dict[str, Paxos]) -> None:
+def test_later_round_chooses_the_allocation_accepted_by_an_earlier_majority(voters: dict[str, Paxos]) -> None:
     choose(voters, "e1", ("e1", "e2"), FIRST)
     assert choose(voters, "e3", ("e3", "e2"), SECOND) == Chosen(EPOCH, FIRST)
 
 
-def test_a_promise_shuts_out_lower_ballots(voters: dict[str, Paxos]) -> None:
+def test_acceptor_rejects_ballots_lower_than_its_promise(voters: dict[str, Paxos]) -> None:
     low = voters["e1"].start_round(EPOCH, FIRST)
     high = voters["e3"].start_round(EPOCH, SECOND)
     assert low.ballot < high.ballot
@@ -66,7 +66,7 @@
     assert voters["e2"].on_accept(Accept(EPOCH, low.ballot, FIRST), EPOCH) is None
 
 
-def test_copies_of_one_answer_are_no_majority(voters: dict[str, Paxos]) -> None:
+def test_duplicated_answers_do_not_form_a_majority(voters: dict[str, Paxos]) -> None:
     leader = voters["e1"]
     prepare = leader.start_round(EPOCH, FIRST)
     answer = promise(voters["e2"], prepare)
@@ -77,21 +77,21 @@
     vote = accepted(voters["e2"], accept)
     assert leader.on_accepted("e2", vote) is None
     assert leader.on_accepted("e2", vote) is None
-    assert leader.on_accepted("x9", vote) is None  # no voter
+    assert leader.on_accepted("x9", vote) is None  # x9 is not a voter
     assert leader.chosen == {}
 
 
-def test_a_voter_abstains_from_epochs_that_its_earlier_process_may_have_voted_on() -> None:
+def test_restarted_voter_abstains_in_epochs_its_earlier_process_may_have_voted_on() -> None:
     voter = Paxos("e1", VOTERS)
     voter.start(EPOCH - 1)
-    voter.start(STARTED_EPOCH)  # only the first start counts
+    voter.start(STARTED_EPOCH)  # has no effect
     assert voter.on_prepare(Prepare(EPOCH, 4), EPOCH) is None
     assert voter.on_prepare(Prepare(EPOCH + 1, 4), EPOCH) is None
     assert voter.on_prepare(Prepare(EPOCH + 2, 4), EPOCH) is not None
     assert voter.on_prepare(Prepare(EPOCH + 3, 4), EPOCH) is None  # too far ahead
 
 
-def test_a_chosen_allocation_is_answered_and_dropped_once_unused(voters: dict[str, Paxos]) -> None:
+def test_chosen_allocation_answers_prepare_and_is_discarded_when_unused(voters: dict[str, Paxos]) -> None:
     voter = voters["e2"]
     assert voter.learn(Chosen(EPOCH, FIRST))
     assert not voter.learn(Chosen(EPOCH, SECOND))
--- a/packages/quota/tests/test_permit_ledger.py
+++ b/packages/quota/tests/test_permit_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of one window: each permit is consumed or transferred once at most."""
+"""The ledger of one window: each permit is consumed or transferred at most once."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 PEER = ProcessId("e2", 7)
 
 
-def test_only_the_first_allocation_counts() -> None:
+def test_only_first_allocation_is_applied() -> None:
     ledger = PermitLedger()
     ledger.allocate(3)
     ledger.allocate(5)
@@ -22,7 +22,7 @@
     assert (ledger.available, ledger.consumed) == (1, 1)
 
 
-def test_transferred_permits_are_gone_at_the_donor() -> None:
+def test_donor_cannot_consume_transferred_permits() -> None:
     ledger = PermitLedger()
     ledger.allocate(5)
     assert ledger.transfer(PEER, 3) == 3
@@ -31,14 +31,14 @@
     assert not ledger.consume()
 
 
-def test_totals_that_arrive_twice_or_late_add_nothing() -> None:
+def test_duplicated_and_late_totals_add_no_permits() -> None:
     ledger = PermitLedger()
     assert [ledger.receive(PEER, total) for total in (2, 5, 5, 2)] == [2, 3, 0, 0]
     assert ledger.receive(ProcessId("e2", 8), 1) == 1  # a later process of the same member
     assert ledger.available == 6
 
 
-def test_a_lower_limit_counts_at_once_and_may_leave_less_than_nothing() -> None:
+def test_lowered_limit_applies_immediately_and_may_make_available_negative() -> None:
     ledger = PermitLedger()
     ledger.reduce_allocation(1)
     assert not ledger.allocation_known
--- a/packages/quota/tests/test_quota.py
+++ b/packages/quota/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Quotas under faults, many gateways on virtual time: a strict limit holds whatever is cut, lost or killed."""
+"""Simulated gateways on virtual time: no fault makes them exceed a strict limit."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize(
     "fault", ["loss", "duplication", "split", "one way", "pause", "kill", "restart", "skew", "join"]
 )
-def test_a_strict_limit_holds_through_each_fault(fault: str) -> None:
+def test_strict_limit_is_not_exceeded_under_fault(fault: str) -> None:
     for seed in range(1, 4):
         loss = 0.3 if fault == "loss" else 0.0
         duplication = 0.5 if fault == "duplication" else 0.0
@@ -49,14 +49,14 @@
         assert fleet.admitted_by["e1"] + fleet.admitted_by["e5"] > 0
 
 
-def test_messages_that_cannot_be_decoded_are_dropped_and_counted() -> None:
+def test_malformed_messages_are_dropped_and_counted() -> None:
     quota = Quota("e1", process_incarnation=1, voters=NAMES, limits=LIMITS)
     for data in (b"", b"\xff", b"\x93\x01\x02", b"\x95\x63\x01\x01\x01\x01"):
         assert not [a for a in quota.handle(1e6, [MessageReceived("e2", data)]) if isinstance(a, Report)]
     assert quota.malformed_messages == 4
 
 
-def test_status_shows_a_limit_before_the_first_request() -> None:
+def test_status_shows_limits_of_named_tenants_before_the_first_request() -> None:
     limits = (
         *LIMITS,
         Limit("*", Unit.OPENED_CONNECTIONS, 5, WINDOW_MS),
--- a/packages/quota/tests/test_quota_state_machine.py
+++ b/packages/quota/tests/test_quota_state_machine.py
@@ -1,4 +1,4 @@
-"""Quotas through arbitrary schedules of faults: no window admits more than the limit."""
+"""Property test: under arbitrary sequences of faults no window admits more than the limit."""
 
 from __future__ import annotations
 
--- a/packages/quota/tests/test_renewal.py
+++ b/packages/quota/tests/test_renewal.py
@@ -6,7 +6,7 @@
 from puffindeck_testing.gateways import WINDOW_MS, Gateways
 
 
-def test_concurrent_connections_are_bounded_and_their_permits_are_reused() -> None:
+def test_concurrent_connections_stay_within_limit_and_ended_ones_free_permits() -> None:
     fleet = Gateways((Limit("acme", Unit.CONCURRENT_CONNECTIONS, 50, WINDOW_MS),))
     fleet.settle()
     charges = []
@@ -18,16 +18,16 @@
             if isinstance(charge, Charge):
                 quota.on_established(charge, fleet.now_ms)
                 charges.append((quota, charge))
-        open_now = [c for _, c in charges if not c.closed]
-        assert len(open_now) <= 50
-        if len(open_now) >= 48 and fleet.random.random() < 0.05:
+        open_charges = [issued for _, issued in charges if not issued.closed]
+        assert len(open_charges) <= 50
+        if len(open_charges) >= 48 and fleet.random.random() < 0.05:
             quota, charge = fleet.random.choice([pair for pair in charges if not pair[1].closed])
             quota.on_ended(charge)
-    assert len([c for _, c in charges if not c.closed]) >= 45
-    assert len(charges) > 60  # permits are used again
+    assert len([issued for _, issued in charges if not issued.closed]) >= 45
+    assert len(charges) > 60  # permits of ended connections are reused
 
 
-def test_connections_are_revoked_when_their_seconds_run_out() -> None:
+def test_connections_are_revoked_when_connection_seconds_are_exhausted() -> None:
     fleet = Gateways((Limit("acme", Unit.CONNECTION_SECONDS, 60, WINDOW_MS),), names=("e1", "e2", "e3"))
     fleet.settle()
     quota = fleet.gateways["e1"]
--- a/packages/quota/tests/test_transfers.py
+++ b/packages/quota/tests/test_transfers.py
@@ -1,4 +1,4 @@
-"""Transfers: permits follow demand, and belong to the process that they were transferred to."""
+"""Transfers: permits move to the gateway with demand, and only the receiving process can use them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from puffindeck_testing.gateways import WINDOW_MS, Gateways
 
 
-def test_permits_follow_a_tenant_to_its_new_gateway_within_a_second() -> None:
+def test_permits_move_to_the_gateway_with_demand_within_one_second() -> None:
     fleet = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 2000, WINDOW_MS),))
     fleet.settle()
     fleet.run(2, {"e1": 100.0})
@@ -21,7 +21,7 @@
     assert available["e4"] >= 0.9 * sum(available.values()), available
 
 
-def test_permits_transferred_to_an_earlier_process_are_not_the_later_ones() -> None:
+def test_restarted_gateway_does_not_receive_permits_transferred_to_its_earlier_process() -> None:
     fleet = Gateways((Limit("acme", Unit.OPENED_CONNECTIONS, 30, WINDOW_MS),), names=("e1", "e2", "e3"))
     fleet.settle()
     donor = fleet.gateways["e2"]
@@ -30,8 +30,8 @@
     transfers = [a for a in donor.handle(fleet.now_ms, [MessageReceived("e1", request)]) if isinstance(a, SendMessage)]
     fleet.kill("e1")
     fleet.start("e1")
-    later = fleet.gateways["e1"]
-    later.handle(fleet.now_ms, [MessageReceived("e2", message.data) for message in transfers if message.to == "e1"])
-    answer = later.admit("acme", fleet.now_ms, fleet.now_ms + 100)
+    restarted = fleet.gateways["e1"]
+    restarted.handle(fleet.now_ms, [MessageReceived("e2", message.data) for message in transfers if message.to == "e1"])
+    answer = restarted.admit("acme", fleet.now_ms, fleet.now_ms + 100)
     assert isinstance(answer, Rejection)
     assert len(transfers) > 0
