--- a/packages/residency/src/puffindeck_residency/__init__.py
+++ b/packages/residency/src/puffindeck_residency/__init__.py
@@ -1,4 +1,4 @@
-"""Services that may be served only in certain regions. docs/design/residency.md compares the designs."""
+"""Restricts services to the regions that may serve them. docs/design/residency.md compares the designs."""
 
 from puffindeck_residency.errors import BooksDiffer, BookUnreadable, ResidencyError
 from puffindeck_residency.regional import RegionalBalancer
--- a/packages/residency/src/puffindeck_residency/errors.py
+++ b/packages/residency/src/puffindeck_residency/errors.py
@@ -1,16 +1,16 @@
-"""Errors about rulesets that operators are told of. Pages list the class names."""
+"""Errors about rulesets that are reported to operators. docs/fleet-errors.md lists them."""
 
 from puffindeck_errors import OperatorError
 
 
 class ResidencyError(OperatorError):
-    """The base of this package's errors."""
+    """Base class of this package's errors."""
 
     message_template = "the rulesets can't be kept"
 
 
 class BooksDiffer(ResidencyError):
-    """Two rulesets of one version have different content. `peer` is the member that sent the other one."""
+    """Two rulesets with the same version have different content. `peer` is the member that sent the other one."""
 
     message_template = (
         "{peer} has another book of version {version}; until one is replaced only what both allow is served."
@@ -22,7 +22,7 @@
 
 
 class BookUnreadable(ResidencyError):
-    """A ruleset that the member `peer` has sent can't be parsed here."""
+    """A ruleset received from the member `peer` cannot be parsed."""
 
     message_template = (
         "the book of version {version} that {peer} has can't be read here: {reason}; ruled services are refused."
--- a/packages/residency/src/puffindeck_residency/messages.py
+++ b/packages/residency/src/puffindeck_residency/messages.py
@@ -1,6 +1,6 @@
-"""Messages between gateways about rulesets, and their encoding (MessagePack arrays).
+"""Messages by which gateways exchange rulesets, encoded as MessagePack arrays.
 
-The order of the fields and the tags are the wire form. Fields may be added at the end.
+The order of the fields and the tags define the wire format. New fields may only be added at the end.
 """
 
 from __future__ import annotations
@@ -9,21 +9,21 @@
 
 
 class RulesetAdvertisement(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """The current ruleset of the sender."""
+    """Announces the version and digest of the sender's current ruleset."""
 
     version: int
     digest: str
 
 
 class RulesetRequest(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """The sender asks for this ruleset."""
+    """Requests the ruleset with this version and digest."""
 
     version: int
     digest: str
 
 
 class RulesetChunk(msgspec.Struct, array_like=True, frozen=True, tag=3):
-    """One of the `count` chunks of a ruleset's text; `index` counts from 0."""
+    """One of the `count` chunks of a ruleset's text. `index` starts at 0."""
 
     version: int
     digest: str
--- a/packages/residency/src/puffindeck_residency/regional.py
+++ b/packages/residency/src/puffindeck_residency/regional.py
@@ -1,4 +1,4 @@
-"""Placement within regions: a constrained request goes to the first allowed region that can serve it."""
+"""Placement within regions: a constrained request is sent to the first allowed region that can serve it."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class RegionConstraints(LifecycleListener):
-    """The allowed regions of constrained requests, and which endpoints are in them.
+    """Holds the allowed regions of constrained requests, and restricts placement to one region at a time.
 
-    An EndpointFilter, a PlacementScope and a PlacementGate. While `region` is set, only endpoints in that
-    region are eligible and count for the mean load.
+    Implements EndpointFilter, PlacementScope and PlacementGate. While `region` is set, only endpoints in that region
+    are eligible and count towards the mean load.
     """
 
     def __init__(self, state: GatewayState, allowed_regions: dict[int, tuple[str, ...]], region_of: RegionOf) -> None:
@@ -26,65 +26,67 @@
         self._capacities = state.capacities
         self.allowed_regions = allowed_regions
         self.region_of = region_of
-        self.region: str | None = None  # that is being looked at
+        self.region: str | None = None  # the region that placement is restricted to
 
     def endpoints_in(self, region: str) -> list[Endpoint]:
-        """The ready endpoints of a region."""
+        """Return the ready endpoints in a region."""
         return [e for e in self._registry.ready.values() if self.region_of(e.zone) == region]
 
-    def candidates(self, order: tuple[str, ...]) -> list[str]:
-        """The regions to look at, in their order: up to the first that has a healthy, warm endpoint.
+    def candidates(self, allowed: tuple[str, ...]) -> list[str]:
+        """Return the regions to try, in order: those with a healthy endpoint, up to the first with a warm one.
 
-        One whose endpoints are all in slow start is recovering: what its budget does not take goes on.
+        A region whose healthy endpoints are all in slow start is recovering. It does not end the list, so that requests
+        beyond its slow start budget can go to the next region. If no region has a healthy endpoint, return all regions
+        with a ready one.
         """
-        found = []
-        for region in order:
+        regions = []
+        for region in allowed:
             healthy = [e for e in self.endpoints_in(region) if not e.consecutive_failures]
             if healthy:
-                found.append(region)
+                regions.append(region)
                 if any(self._capacities.warmth(endpoint) >= 1.0 for endpoint in healthy):
-                    return found
-        return found or [region for region in order if self.endpoints_in(region)]
+                    return regions
+        return regions or [region for region in allowed if self.endpoints_in(region)]
 
     def allows(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether an endpoint is in the region that is being looked at."""
+        """Return whether an endpoint is in the region that placement is restricted to."""
         return self.region is None or self.region_of(endpoint.zone) == self.region
 
     def endpoints(self) -> list[Endpoint] | None:
-        """The ready endpoints of the region that is being looked at; None: no region is."""
+        """Return the ready endpoints in the region that placement is restricted to, or None if it is not restricted."""
         return None if self.region is None else self.endpoints_in(self.region)
 
     def review(self, request: Request) -> Verdict:
-        """Answer at once where all allowed regions are down: the request may go nowhere else."""
-        order = self.allowed_regions.get(request.id)
-        if order is not None and not any(self.endpoints_in(region) for region in order):
+        """Answer a constrained request immediately if no allowed region has a ready endpoint."""
+        allowed = self.allowed_regions.get(request.id)
+        if allowed is not None and not any(self.endpoints_in(region) for region in allowed):
             return Verdict.ANSWER
         return Verdict.PLACE
 
     def release(self, request: Request) -> None:
-        """Never called: nothing is released."""
+        """Never called, because `review` never returns `Verdict.RELEASE`."""
 
     def request_removed(self, request: Request) -> None:
-        """Forget the regions of a request that is over."""
+        """Discard the allowed regions of a request that has ended."""
         self.allowed_regions.pop(request.id, None)
 
 
 class RegionalPlacement:
-    """Looks for an endpoint in one allowed region after the other. An EndpointChooser."""
+    """EndpointChooser that tries the allowed regions of a constrained request in order."""
 
-    def __init__(self, constraints: RegionConstraints, otherwise: EndpointChooser) -> None:
+    def __init__(self, constraints: RegionConstraints, fallback: EndpointChooser) -> None:
         self._constraints = constraints
-        self._otherwise = otherwise
+        self._fallback = fallback
 
     def choose(self, request: Request) -> Choice:
-        """The endpoint for a request."""
-        order = self._constraints.allowed_regions.get(request.id)
-        if order is None:
-            return self._otherwise.choose(request)
-        for region in self._constraints.candidates(order):
+        """Return the endpoint for a request."""
+        allowed = self._constraints.allowed_regions.get(request.id)
+        if allowed is None:
+            return self._fallback.choose(request)
+        for region in self._constraints.candidates(allowed):
             self._constraints.region = region
             try:
-                choice = self._otherwise.choose(request)
+                choice = self._fallback.choose(request)
             finally:
                 self._constraints.region = None
             if choice.endpoint is not None:
@@ -93,14 +95,14 @@
 
 
 class RegionalBalancer(Balancer):
-    """Attempts, retries, slow start and migration all choose within the allowed regions.
+    """Decision module whose attempts, retries, slow start and migrations stay within the allowed regions.
 
-    `allowed_regions` has the allowed regions of each constrained request, the preferred one first; whoever hands in a
-    request's arrival sets them before.
+    `allowed_regions` has the allowed regions of each constrained request in order of preference. The caller sets them
+    before it passes in the arrival of the request.
     """
 
     def __init__(self, settings: Settings, seed: int, region_of: RegionOf) -> None:
-        """`region_of` says which region a zone is in now, "" for none."""
+        """`region_of` returns the region that a zone is in now, or "" if it is in none."""
         self.allowed_regions: dict[int, tuple[str, ...]] = {}
         self._region_of = region_of
         super().__init__(settings, seed, self._strategies)
@@ -121,12 +123,12 @@
         return RegionalPlacement(self._constraints, otherwise)
 
     def connections_outside_regions(self) -> list[int]:
-        """Established connections whose endpoint is in none of their allowed regions now."""
-        found = []
-        for number, order in self.allowed_regions.items():
-            request = self.requests.get(number)
+        """Return the requests whose established connection is at an endpoint outside their allowed regions."""
+        outside = []
+        for request_id, allowed in self.allowed_regions.items():
+            request = self.requests.get(request_id)
             if request is None or not request.established or request.answered or request.endpoint is None:
                 continue
-            if self._region_of(request.endpoint.zone) not in order:
-                found.append(number)
-        return found
+            if self._region_of(request.endpoint.zone) not in allowed:
+                outside.append(request_id)
+        return outside
--- a/packages/residency/src/puffindeck_residency/ruleset.py
+++ b/packages/residency/src/puffindeck_residency/ruleset.py
@@ -1,4 +1,4 @@
-"""Rulesets: which regions may serve a service, and what several rulesets demand together."""
+"""Rulesets: the regions that may serve each service, and the evaluation of several rulesets for one request."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 @dataclass(frozen=True)
 class ServiceRule:
-    """The rule of one service.
+    """The regions of one service.
 
-    `matches` is given a request as a front describes it (`puffindeck.routing.View`) and says whether the request
-    belongs to the service.
+    `matches` returns whether a request belongs to the service. Its argument is the front's description of the request
+    (`puffindeck.routing.View`).
     """
 
     name: str
     matches: Callable[[Any], bool]
-    allowed: tuple[str, ...]  # regions, the preferred one first
-    transit: frozenset[str] = frozenset()  # regions whose gateways may forward the service; empty: all
-    allow_existing: bool = False  # may connections that a new rule forbids stay open until they end?
+    allowed: tuple[str, ...]  # regions that may serve the service, in order of preference
+    transit: frozenset[str] = frozenset()  # regions whose gateways may forward the service; all if empty
+    allow_existing: bool = False  # whether connections that a new rule forbids may stay open until they end
 
 
 @dataclass(frozen=True)
 class Ruleset:
-    """One version of the rules. `text` is its complete JSON, as gateways send it to each other."""
+    """One version of the rules. `text` is its complete JSON, as exchanged between gateways."""
 
     version: int
     text: bytes
@@ -35,24 +35,24 @@
 
     @property
     def digest(self) -> str:
-        """The hash of `text` in hexadecimal (XXH64). Two rulesets with the same digest are the same."""
+        """The XXH64 hash of `text` in hexadecimal. Rulesets with the same digest are treated as identical."""
         return xxh64_hexdigest(self.text)
 
 
 @dataclass(frozen=True)
 class RegionConstraint:
-    """Where one request may go, by all rules that match it together."""
+    """The combined constraint of all rules that match one request."""
 
-    allowed: tuple[str, ...]  # regions, the preferred one first; empty: the rules contradict each other
-    transit_allowed: bool  # may this gateway forward the request?
-    allow_existing: bool  # may its connection stay open when new rules forbid it?
+    allowed: tuple[str, ...]  # regions in order of preference; empty if no region satisfies all rules
+    transit_allowed: bool  # whether this gateway may forward the request
+    allow_existing: bool  # whether its connection may stay open when new rules forbid it
     service_names: tuple[str, ...]
 
 
 def evaluate(rulesets: Iterable[Ruleset], request: Any, gateway_region: str) -> RegionConstraint | None:
-    """What the rulesets demand together of a request at a gateway of this region; None where no rule matches.
+    """Return the combined constraint of the rulesets for a request at a gateway in `gateway_region`.
 
-    The order of the allowed regions is that of the first rule that matches.
+    Return None if no rule matches. The allowed regions are in the order of the first matching rule.
     """
     rules = [rule for ruleset in rulesets for rule in ruleset.services if rule.matches(request)]
     if not rules:
--- a/packages/residency/src/puffindeck_residency/ruleset_chunks.py
+++ b/packages/residency/src/puffindeck_residency/ruleset_chunks.py
@@ -1,4 +1,4 @@
-"""A ruleset's text as chunks that fit into datagrams, and back."""
+"""Splits a ruleset's text into chunks that fit into datagrams, and reassembles it."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from puffindeck_residency.messages import RulesetChunk
 from puffindeck_residency.ruleset import Ruleset
 
-CHUNK_BYTES = 900  # of a ruleset's text in one message
+CHUNK_BYTES = 900  # most bytes of a ruleset's text in one message
 
 
 def split_into_chunks(ruleset: Ruleset) -> Iterator[RulesetChunk]:
-    """The chunks of a ruleset, in their order."""
+    """Yield the chunks of a ruleset, in order of their index."""
     count = -(-len(ruleset.text) // CHUNK_BYTES)
     for index in range(count):
         data = ruleset.text[index * CHUNK_BYTES : (index + 1) * CHUNK_BYTES]
@@ -19,13 +19,16 @@
 
 
 class ChunkAssembler:
-    """Joins the chunks that other members send; each sender's are collected apart."""
+    """Reassembles rulesets from chunks. The chunks of each sender are collected separately."""
 
     def __init__(self) -> None:
         self._incomplete: dict[tuple[str, str], dict[int, bytes]] = {}  # by sender and digest, then by index
 
     def add(self, sender: str, chunk: RulesetChunk) -> bytes | None:
-        """Add a chunk, in any order. Returns the text once it is complete, and forgets its chunks."""
+        """Add a chunk; chunks may arrive in any order.
+
+        Return the text and discard its chunks once all have been received, else return None.
+        """
         key = (sender, chunk.digest)
         received = self._incomplete.setdefault(key, {})
         received[chunk.index] = chunk.data
--- a/packages/residency/src/puffindeck_residency/ruleset_store.py
+++ b/packages/residency/src/puffindeck_residency/ruleset_store.py
@@ -1,8 +1,8 @@
-"""The rulesets of one gateway, and how they spread by version.
+"""The rulesets of one gateway, and their distribution between gateways by version.
 
-The current ruleset applies from the moment that it is received. The one before it applies too until every live
-member has the current one. So a restriction applies at once, and a relaxation only when no member is left that
-does not know it.
+A new ruleset applies as soon as it is received. The rulesets that it supersedes apply as well until every live member
+has the new one; while several rulesets apply, only what all of them allow is served. A restriction therefore takes
+effect immediately, and a relaxation once every live member has it.
 """
 
 from __future__ import annotations
@@ -25,12 +25,12 @@
 from puffindeck_residency.ruleset import Ruleset
 from puffindeck_residency.ruleset_chunks import ChunkAssembler, split_into_chunks
 
-ADVERTISEMENT_INTERVAL_MS = 500.0  # milliseconds between two advertisements of the current ruleset
+ADVERTISEMENT_INTERVAL_MS = 500.0  # interval between advertisements of the current ruleset
 
 
 @dataclass(slots=True)
 class LiveMembersUpdated:
-    """Event: the members that are neither dead nor have left, without this one."""
+    """Event: the set of live members has changed. It excludes this member, and members that are dead or have left."""
 
     live: frozenset[str]
 
@@ -44,12 +44,12 @@
 
 
 class RulesetStore:
-    """Owns the rulesets of one gateway; it performs no I/O and reads no clock.
+    """Owns the rulesets of one gateway. Performs no I/O and reads no clock; times are in milliseconds.
 
-    `parse` makes a ruleset of a text that another member sent; it raises ValueError with the reason if it can't.
-    `voters` are the members of which a majority must have sent an advertisement within `stale_after_ms`
-    milliseconds; without it the current ruleset may be outdated, and with `refuse_when_stale` no service that has
-    a rule is served.
+    `parse` converts the text of a ruleset received from another member, and raises ValueError with the reason if the
+    text is invalid. The current ruleset may be stale unless a majority of the `voters`, including this member if it is
+    one, has sent an advertisement within `stale_after_ms`. If `refuse_when_stale` is set, services that have a rule are
+    not served while it may be stale.
     """
 
     def __init__(
@@ -66,10 +66,10 @@
         self.stale_after_ms = stale_after_ms
         self.refuse_when_stale = refuse_when_stale
         self.current = initial
-        self.superseded: list[Ruleset] = []  # older ones that apply until all members have the current one
-        self.conflicting: list[Ruleset] = []  # of the current one's version, with other content
-        self.unreadable_digest = ""  # of a newer ruleset that can't be parsed here
-        self.generation = 0  # grows with each change of the rulesets that apply
+        self.superseded: list[Ruleset] = []  # older rulesets, which apply until all live members have the current one
+        self.conflicting: list[Ruleset] = []  # rulesets with the current version but different content
+        self.unreadable_digest = ""  # digest of a newer ruleset that cannot be parsed; empty if there is none
+        self.generation = 0  # increases with each change of the active rulesets
         self.malformed_messages = 0
         self._parse = parse
         self._advertisements: dict[str, ReceivedAdvertisement] = {}
@@ -81,19 +81,22 @@
         self._actions: list[SendMessage | Report] = []
 
     def active(self) -> tuple[Ruleset, ...]:
-        """All rulesets that apply now, the current one first."""
+        """Return all rulesets that apply now, the current one first."""
         return (self.current, *self.conflicting, *self.superseded)
 
     def has_quorum_contact(self, now_ms: float) -> bool:
-        """Has a majority of the voters sent an advertisement lately, so that no newer ruleset can be unknown here?"""
+        """Return whether a majority of the voters has sent an advertisement recently.
+
+        If so, this gateway cannot have missed a newer ruleset. Return False while a newer ruleset is unreadable here.
+        """
         if self.unreadable_digest:
             return False
         others = [name for name in self.voters if name != self.name]
-        in_contact = sum(self._heard_lately(name, now_ms) for name in others)
+        in_contact = sum(self._is_in_contact(name, now_ms) for name in others)
         return 2 * (in_contact + (self.name in self.voters)) > len(self.voters)
 
     def may_serve(self, now_ms: float) -> bool:
-        """May services that have a rule be served at all?"""
+        """Return whether services that have a rule may be served at all."""
         if self.unreadable_digest:
             return False
         return not self.refuse_when_stale or self.has_quorum_contact(now_ms)
@@ -101,7 +104,7 @@
     def handle(
         self, now_ms: float, events: Iterable[MessageReceived | LiveMembersUpdated]
     ) -> list[SendMessage | Report]:
-        """Process events. Returns the messages to send and the errors to report to operators."""
+        """Process events. Return the messages to send and the errors to report to operators."""
         self._now_ms = now_ms
         self._actions = []
         for event in events:
@@ -115,10 +118,10 @@
         return self._actions
 
     def reload(self, ruleset: Ruleset) -> None:
-        """Take the ruleset of a file that was read again. One older than the current one changes nothing."""
+        """Apply the ruleset of a reloaded configuration file. A ruleset older than the current one has no effect."""
         self._adopt(ruleset, self.name)
 
-    def _heard_lately(self, name: str, now_ms: float) -> bool:
+    def _is_in_contact(self, name: str, now_ms: float) -> bool:
         advertisement = self._advertisements.get(name)
         return advertisement is not None and now_ms - advertisement.received_ms <= self.stale_after_ms
 
@@ -166,7 +169,7 @@
         try:
             ruleset = self._parse(text)
             if ruleset.digest != chunk.digest or ruleset.version != chunk.version:
-                raise ValueError("its version or digest is not the advertised one")
+                raise ValueError("its version or digest differs from the advertised one")
         except ValueError as error:
             self._on_unreadable(sender, chunk, error)
             return
@@ -179,7 +182,7 @@
         self._report(BookUnreadable("residency", version=chunk.version, peer=sender, reason=reason))
 
     def _adopt(self, ruleset: Ruleset, sender: str) -> None:
-        """Apply a ruleset that is newer, or a different one of the current one's version."""
+        """Apply a ruleset if it is newer than the current one or conflicts with it. `sender` is named in reports."""
         known = {active.digest for active in self.active()}
         if ruleset.digest in known or ruleset.version < self.current.version:
             return
@@ -194,7 +197,10 @@
         self.unreadable_digest = ""
 
     def _retire_superseded(self) -> None:
-        """Once all live members have the current ruleset, those before it apply no more."""
+        """Deactivate the superseded rulesets once all live members have the current one.
+
+        This requires contact with a majority of the voters and no conflicting ruleset.
+        """
         if not self.superseded or not self._live or self.conflicting:
             return
         if self._all_members_have_current() and self.has_quorum_contact(self._now_ms):
--- a/packages/residency/tests/test_ruleset.py
+++ b/packages/residency/tests/test_ruleset.py
@@ -1,12 +1,12 @@
-"""What several rules demand together of one request."""
+"""Evaluation of several rules for one request."""
 
 from __future__ import annotations
 
 from puffindeck_residency import Ruleset, ServiceRule, evaluate
 
 
-def test_a_request_that_fits_two_services_obeys_both() -> None:
-    both = Ruleset(
+def test_request_matching_two_services_satisfies_both_rules() -> None:
+    ruleset = Ruleset(
         1,
         b"",
         (
@@ -15,10 +15,10 @@
         ),
         {},
     )
-    constraint = evaluate([both], "b", "north")
-    assert constraint is not None
-    assert (constraint.allowed, constraint.transit_allowed, constraint.service_names) == (("south",), False, ("a", "b"))
-    alone = evaluate([both], "a", "north")
-    assert alone is not None
-    assert (alone.allowed, alone.transit_allowed) == (("north", "south"), True)
+    combined = evaluate([ruleset], "b", "north")
+    assert combined is not None
+    assert (combined.allowed, combined.transit_allowed, combined.service_names) == (("south",), False, ("a", "b"))
+    single = evaluate([ruleset], "a", "north")
+    assert single is not None
+    assert (single.allowed, single.transit_allowed) == (("north", "south"), True)
     assert evaluate([Ruleset(1, b"", (), {})], "a", "north") is None
