--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -1,7 +1,7 @@
-"""A minute of five real processes with faults of all kinds, compared with a minute without any.
+"""Runs five gateway processes for a minute with faults of many kinds, and for a minute without faults.
 
-`python -m benchmarks.fleet_day`: hosts in three regions, four tenants, relays between all gateways. What is
-counted is what hosts and clients saw.
+`python -m benchmarks.fleet_day` uses hosts in three regions, four groups of clients, and relays between all
+gateways that inject faults. All results are counted from what hosts and clients observed.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 REGIONS = {"e1": "north", "e2": "north", "e3": "south", "e4": "south", "e5": "east"}
 ZONES = {"atlanta": 2, "memphis": 2, "birmingham": 2}
 TENANTS = {"acme": "a1", "birch": "b2", "cedar": "c3"}
-ALLOWED_ZONES = {"c3": {"atlanta"}}  # by group
-LIMITS = {"acme": 80, "birch": 40}  # connections in a window, by tenant
+ALLOWED_ZONES = {"c3": {"atlanta"}}  # allowed zones by group
+LIMITS = {"acme": 80, "birch": 40}  # connections per window, by tenant
 WINDOW_S = 4
-RATES = {"a1": 9.0, "b2": 3.0, "c3": 3.0, "0": 4.0}  # clients a second at each gateway, by group
-DAY_S = 60.0
-STEP_S = 0.02  # between two decisions whether clients arrive
-CONNECTION_S = 0.2  # how long a client stays connected
-FIRST_ALLOCATION_S = 8.0  # until quotas have been allocated
-LAST_ANSWERS_S = 3.0  # until all clients have their answer
+RATES = {"a1": 9.0, "b2": 3.0, "c3": 3.0, "0": 4.0}  # clients per second at each gateway, by group
+RUN_S = 60.0
+STEP_S = 0.02  # interval between two random decisions whether clients arrive
+CONNECTION_S = 0.2  # duration of a client's connection
+FIRST_ALLOCATION_S = 8.0  # time until quotas have been allocated
+LAST_ANSWERS_S = 3.0  # time until the last clients have received their answers
 
 
 def tables() -> dict[str, Any]:
-    """The tables `[quota]` and `[residency]` of all gateways."""
+    """Return the configuration tables `[quota]` and `[residency]` of all gateways."""
 
     def group(name: str) -> list[list[dict[str, Any]]]:
         return [[{"on": "group", "is": [TENANTS[name]]}]]
@@ -57,66 +57,66 @@
 
 
 def inject_faults(world: World, start_s: float) -> None:
-    """Inject all faults at their seconds after the start (time.monotonic)."""
+    """Inject all faults on a fixed schedule, in seconds after `start_s` (by time.monotonic)."""
 
-    def at(second: float) -> None:
+    def wait_until(second: float) -> None:
         time.sleep(max(0.0, start_s + second - time.monotonic()))
 
-    at(5)
+    wait_until(5)
     for one, other in world.relays:
         world.set_faults(one, other, loss=0.3, copies=0.2, delay_s=(0.0, 0.2))
-    at(13)
+    wait_until(13)
     for one, other in world.relays:
         world.set_faults(one, other, loss=0.0, copies=0.0, delay_s=(0.0, 0.0))
     world.partition({"e1", "e2"}, {"e3", "e4", "e5"})
-    at(22)
+    wait_until(22)
     world.partition({"e1", "e2"}, {"e3", "e4", "e5"}, cut=False)
-    at(26)
+    wait_until(26)
     world.send_signal("e3", signal.SIGKILL)
-    at(30)
+    wait_until(30)
     world.start("e3", wait=False)
-    at(34)
+    wait_until(34)
     world.send_signal("e4", signal.SIGSTOP)
-    at(38)
+    wait_until(38)
     world.send_signal("e4", signal.SIGCONT)
-    at(42)
+    wait_until(42)
     world.set_faults("e1", "e5", cut=True)
-    at(48)
+    wait_until(48)
     world.set_faults("e1", "e5", cut=False)
     world.send_signal("e2", signal.SIGTERM)
     world.processes["e2"].wait(10)
     world.start("e2", wait=False)
 
 
-def run_day(with_faults: bool) -> list[object]:
-    """Run one day and return its row of the table."""
+def run_fleet(with_faults: bool) -> list[object]:
+    """Run the fleet for one minute and return the table row of the run."""
     world = World(Path(tempfile.mkdtemp(prefix="fleet-day-")), REGIONS, ZONES, seed=3, **tables())
     try:
         for name in REGIONS:
             world.start(name, wait=False)
-        world.wait_until(world.all_alive, "all to know each other", 30)
+        world.wait_until(world.all_alive, "all gateways to know each other", 30)
         time.sleep(FIRST_ALLOCATION_S)
         random = Random(5)
         start_s = time.monotonic()
         first_client = len(world.results)
         with ThreadPoolExecutor() as pool:
-            script = pool.submit(inject_faults, world, start_s) if with_faults else None
-            while (elapsed_s := time.monotonic() - start_s) < DAY_S:
+            injection = pool.submit(inject_faults, world, start_s) if with_faults else None
+            while (elapsed_s := time.monotonic() - start_s) < RUN_S:
                 for name in REGIONS:
                     for group, rate in RATES.items():
                         if random.random() < rate * STEP_S:
                             world.begin_client(name, group, hold_s=CONNECTION_S)
                 time.sleep(max(0.0, start_s + elapsed_s + STEP_S - time.monotonic()))
-            if script is not None:
-                script.result()
+            if injection is not None:
+                injection.result()
         time.sleep(LAST_ANSWERS_S)
-        return day_row(with_faults, world, world.results[first_client:])
+        return result_row(with_faults, world, world.results[first_client:])
     finally:
         world.close()
 
 
-def day_row(with_faults: bool, world: World, clients: list[ClientResult]) -> list[object]:
-    """The figures of a day, by what hosts and clients saw."""
+def result_row(with_faults: bool, world: World, clients: list[ClientResult]) -> list[object]:
+    """Return the table row of a run, from what hosts and clients observed."""
     served = sum(has_served(client) for client in clients)
     excess = max(
         max(connections_per_window(world.connections, TENANTS[name], WINDOW_S).values()) - limit
@@ -133,7 +133,7 @@
         if client.answers[:1] != ["closed"] or client.gateway != "e3"
     ]
     return [
-        "faults" if with_faults else "none",
+        "with faults" if with_faults else "without faults",
         len(clients),
         served,
         f"{served / len(clients):.3f}",
@@ -145,25 +145,25 @@
 
 
 def has_served(client: ClientResult) -> bool:
-    """Whether a host has accepted the client."""
+    """Return whether a host has served the client."""
     return client.answers[:1] != [] and client.answers[0].startswith("UP")
 
 
 def main() -> None:
-    """Run a day without faults and one with faults at the same time, and print the table."""
+    """Run a fleet without faults and one with faults concurrently, and print the table."""
     with ThreadPoolExecutor() as pool:
-        rows = list(pool.map(run_day, [False, True]))
+        rows = list(pool.map(run_fleet, [False, True]))
     print(
         table(
             [
-                "day",
+                "run",
                 "clients",
                 "served",
-                "part",
-                "outside a region",
-                "strict excess",
+                "served fraction",
+                "outside allowed regions",
+                "excess over strict limits",
                 "without one final answer",
-                "cut off by the SIGKILL",
+                "disconnected by SIGKILL",
             ],
             rows,
         )
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -1,7 +1,8 @@
-"""How soon a death is known to all members, which living ones are declared dead, and the protocol's cost.
+"""Measures the time until all members know of a failure, false positives, and network traffic.
 
-`python -m benchmarks.membership` runs on virtual time with seeds, and compares with heartbeats to all and
-with SWIM without suspicions on the same network. `--quick` runs fewer seeds and shorter.
+`python -m benchmarks.membership` runs on virtual time with fixed seeds. It compares the membership protocol
+with heartbeats to all members and with SWIM without suspicions on the same network. `--quick` runs fewer
+seeds for a shorter time.
 """
 
 from __future__ import annotations
@@ -21,18 +22,18 @@
 HEARTBEATS = "heartbeats to all"
 SWIM = "SWIM without suspicions"
 PROTOCOLS = (MEMBERSHIP, HEARTBEATS, SWIM)
-SCENARIOS = ("killed", "vanished", "troubled")
+SCENARIOS = ("killed", "host down", "faults")
 FLEET_SIZES = (5, 40, 200, 1000)
-MAX_HEARTBEAT_MEMBERS = 200  # at 1,000 they would send a million datagrams a second
+MAX_HEARTBEAT_MEMBERS = 200  # 1,000 members would send a million datagrams per second
 SETTLE_MS = 4000.0
-FAULT_INTERVAL_MS = 600000.0  # mean time between two pauses, and between two cuts, of one member
+FAULT_INTERVAL_MS = 600000.0  # mean time between two pauses of one member, and between two cut links of it
 PAUSE_MS = 4000.0
 CUT_MS = 60000.0
-FALSE_DEATH_BUCKET_MS = 10000  # declarations about one member within it count once
+FALSE_DEATH_BUCKET_MS = 10000  # declarations about one member within one bucket count once
 
 
 class Case(NamedTuple):
-    """One run."""
+    """The parameters of one run."""
 
     protocol: str
     members: int
@@ -42,18 +43,18 @@
 
 
 class Result(NamedTuple):
-    """The figures of one run."""
+    """The measurements of one run."""
 
     case: Case
-    known_s: float  # until all members know of the death; infinite if some never do
-    false_deaths: int  # living members that were declared dead
-    datagrams: float  # a member a second
-    octets: float  # a member a second
+    known_s: float  # time until all members know of the failure; infinite if some never do
+    false_deaths: int  # live members that were declared dead
+    datagrams: float  # sent per member and second
+    octets: float  # sent per member and second
 
 
 def network(case: Case) -> VirtualNetwork:
-    """The members of a case, which know each other."""
-    net = VirtualNetwork(case.seed, Link(loss=0.3) if case.scenario == "troubled" else None)
+    """Return a network of the members of a case. The members know each other from the start."""
+    net = VirtualNetwork(case.seed, Link(loss=0.3) if case.scenario == "faults" else None)
     addresses = {f"m{i}": f"10.{i >> 8}.{i & 255}.1:7000" for i in range(case.members)}
     updates = [MemberUpdate(name, Phase.ALIVE, 1, 1, at, "") for name, at in addresses.items()]
     for i, (name, at) in enumerate(addresses.items()):
@@ -70,7 +71,11 @@
 
 
 def schedule_faults(net: VirtualNetwork, random: Random, until_ms: float) -> None:
-    """Schedule pauses of 4 s, one a member in ten minutes, and as many one-sided cuts of a minute."""
+    """Schedule pauses and one-way link cuts at random times.
+
+    Each member is paused for 4 s once per ten minutes on average. As many links are cut in one direction
+    for a minute.
+    """
     names = list(net.hosts)
     faults_per_ms = len(names) / FAULT_INTERVAL_MS
     at_ms = net.now
@@ -80,32 +85,32 @@
     at_ms = net.now
     while at_ms < until_ms:
         at_ms += random.expovariate(faults_per_ms)
-        one, other = random.sample(names, 2)
-        net.at(at_ms, net.cut, one, other)
-        net.at(at_ms + CUT_MS, net.cut, one, other, False)
+        sender, receiver = random.sample(names, 2)
+        net.at(at_ms, net.cut, sender, receiver)
+        net.at(at_ms + CUT_MS, net.cut, sender, receiver, False)
 
 
 def run_case(case: Case) -> Result:
-    """Run one case."""
+    """Run one case and return its result."""
     net = network(case)
     net.run(SETTLE_MS)
     for host in net.hosts.values():
         host.sent = host.octets = 0
     random = Random(case.seed)
     victim = ""
-    if case.scenario == "troubled":
+    if case.scenario == "faults":
         schedule_faults(net, random, net.now + case.seconds * 1000)
     else:
         victim = random.choice(list(net.hosts))
-        net.kill(victim, machine=case.scenario == "vanished")
+        net.kill(victim, machine=case.scenario == "host down")
     begin_ms = net.now
     net.run(begin_ms + case.seconds * 1000)
     return result(case, net, victim, begin_ms)
 
 
 def result(case: Case, net: VirtualNetwork, victim: str, begin_ms: float) -> Result:
-    """The figures of a run that is over. `victim` is empty if no member was killed."""
-    known_ms: dict[str, float] = {}  # by the member that knows of the victim's death
+    """Return the measurements of a completed run. `victim` is empty if no member was killed."""
+    known_ms: dict[str, float] = {}  # when each member learned of the victim's failure, by member name
     false_deaths = set()
     for when_ms, observer, change in net.changes:
         if change.update.phase != Phase.DEAD:
@@ -125,38 +130,38 @@
 
 
 def quantile(values: list[float], fraction: float) -> float:
-    """The value below which that fraction of all values lies."""
+    """Return the value below which the given fraction of all values lies."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 def cases(quick: bool) -> list[Case]:
-    """All cases, the longest first."""
+    """Return all cases, the most expensive first."""
     seeds = range(1, 5 if quick else 21)
     few_seeds = range(1, 3 if quick else 9)
-    found = []
+    all_cases = []
     for protocol in PROTOCOLS:
         for members in FLEET_SIZES:
             if protocol == HEARTBEATS and members > MAX_HEARTBEAT_MEMBERS:
                 continue
             killed_seeds = seeds if members < 1000 else few_seeds
-            found += [Case(protocol, members, seed, "killed", 10.0) for seed in killed_seeds]
+            all_cases += [Case(protocol, members, seed, "killed", 10.0) for seed in killed_seeds]
             if members in (5, 40):
-                found += [Case(protocol, members, seed, "vanished", 20.0) for seed in seeds]
+                all_cases += [Case(protocol, members, seed, "host down", 20.0) for seed in seeds]
     long_s = 300.0 if quick else 3600.0
-    found += [Case(MEMBERSHIP, 40, seed, "troubled", long_s) for seed in few_seeds]
-    found += [Case(MEMBERSHIP, 1000, seed, "troubled", 30.0) for seed in range(1, 3)]
-    found += [
-        Case(protocol, 40, seed, "troubled", 120.0) for protocol in PROTOCOLS[1:] for seed in range(1, 3)
+    all_cases += [Case(MEMBERSHIP, 40, seed, "faults", long_s) for seed in few_seeds]
+    all_cases += [Case(MEMBERSHIP, 1000, seed, "faults", 30.0) for seed in range(1, 3)]
+    all_cases += [
+        Case(protocol, 40, seed, "faults", 120.0) for protocol in PROTOCOLS[1:] for seed in range(1, 3)
     ]
-    return sorted(found, key=lambda case: -case.members * case.seconds)
+    return sorted(all_cases, key=lambda case: -case.members * case.seconds)
 
 
 def row(results: list[Result]) -> list[object]:
-    """The table row of the results of one scenario, protocol and fleet size."""
+    """Return the table row for the results of one scenario, protocol and fleet size."""
     case = results[0].case
-    times = [found.known_s for found in results]
-    has_victim = case.scenario != "troubled"
+    times = [one_run.known_s for one_run in results]
+    has_victim = case.scenario != "faults"
     return [
         case.scenario,
         case.protocol,
@@ -164,19 +169,19 @@
         len(results),
         f"{quantile(times, 0.5):.2f}" if has_victim else "",
         f"{quantile(times, 0.99):.2f}" if has_victim else "",
-        sum(found.false_deaths for found in results),
-        f"{sum(found.case.seconds for found in results) / 3600:.2f}",
-        f"{sum(found.datagrams for found in results) / len(results):.1f}",
-        f"{sum(found.octets for found in results) / len(results):.0f}",
+        sum(one_run.false_deaths for one_run in results),
+        f"{sum(one_run.case.seconds for one_run in results) / 3600:.2f}",
+        f"{sum(one_run.datagrams for one_run in results) / len(results):.1f}",
+        f"{sum(one_run.octets for one_run in results) / len(results):.0f}",
     ]
 
 
 def rows(results: Iterable[Result]) -> list[list[object]]:
-    """The table rows of all results."""
+    """Return the table rows for all results, grouped by scenario, protocol and fleet size."""
     grouped: dict[tuple[str, str, int], list[Result]] = {}
-    for found in results:
-        key = found.case.scenario, found.case.protocol, found.case.members
-        grouped.setdefault(key, []).append(found)
+    for one_run in results:
+        key = one_run.case.scenario, one_run.case.protocol, one_run.case.members
+        grouped.setdefault(key, []).append(one_run)
     keys = [
         (scenario, protocol, members)
         for scenario in SCENARIOS
@@ -186,14 +191,14 @@
     return [row(grouped[key]) for key in keys if key in grouped]
 
 
-HEAD = [
+HEADINGS = [
     "scenario",
     "protocol",
     "members",
     "runs",
-    "known p50 s",
+    "detection p50 s",
     "p99 s",
-    "living declared dead",
+    "live members declared dead",
     "hours",
     "datagrams/s",
     "octets/s",
@@ -204,7 +209,7 @@
     """Run all cases and print the table."""
     with ProcessPoolExecutor() as pool:
         results = list(pool.map(run_case, cases("--quick" in sys.argv)))
-    print(table(HEAD, rows(results)))
+    print(table(HEADINGS, rows(results)))
 
 
 if __name__ == "__main__":
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -1,7 +1,8 @@
-"""What is admitted of a limit, and what beyond it: `python -m benchmarks.quota`.
+"""Measures how much of a limit is admitted, and the excess over it, with and without faults.
 
-Five gateways on virtual time, demand twice the limit, seeded; beside equal parts, a central counter and
-gossiped counts on the same network in the same run.
+`python -m benchmarks.quota` simulates five gateways on virtual time with fixed seeds; demand is twice the
+limit. For comparison, the same run simulates equal shares, a central counter and gossiped counts on the same
+network. It also measures the processing time of one admission.
 """
 
 from __future__ import annotations
@@ -18,20 +19,20 @@
 from puffindeck_testing.gateways import NAMES, WINDOW_MS, Gateways
 
 LIMIT = Limit("acme", Unit.OPENED_CONNECTIONS, 400, WINDOW_MS)
-DEMAND = 2 * LIMIT.amount / (WINDOW_MS / 1000)  # a second, all gateways together
-ALGORITHMS = ("permits", "equal parts", "central counter", "gossiped counts")
-DEMANDS = ("even", "skewed", "wandering")
+DEMAND = 2 * LIMIT.amount / (WINDOW_MS / 1000)  # requests per second, at all gateways together
+ALGORITHMS = ("permits", "equal shares", "central counter", "gossiped counts")
+DEMANDS = ("even", "skewed", "moving")
 FAULTS = ("none", "loss", "split", "pause", "kill", "restart", "skew")
 SEEDS = range(1, 6)
-FAULT_S = 5  # when the fault begins, in seconds
-REPAIR_S = 15  # when links and pauses end
+FAULT_S = 5  # simulated second in which the fault is injected
+REPAIR_S = 15  # simulated second in which cut links and pauses end
 RUN_S = 40
 GOSSIP_INTERVAL_MS = 200
-ADMISSIONS = 100000  # whose cost is measured
+ADMISSIONS = 100000  # number of admissions that the cost is measured over
 
 
 class CounterBase:
-    """What the simpler algorithms share: a count for each window."""
+    """Base class of the algorithms for comparison: counts admitted requests by window."""
 
     def __init__(self, name: str, **options: Any) -> None:
         self.name = name
@@ -39,11 +40,11 @@
         self.consumed: Counter[int] = Counter()
 
     def has_permit(self, window: int) -> bool:
-        """Whether one more request may be admitted in a window."""
+        """Return whether one more request may be admitted in a window."""
         raise NotImplementedError
 
     def admit(self, tenant: str, now: float, until: float) -> Charge | Rejection:
-        """As `Quota.admit`."""
+        """Admit or reject a request, as `Quota.admit` does."""
         window = int(now // WINDOW_MS)
         if not self.has_permit(window):
             return Rejection("opens", 100.0)
@@ -51,60 +52,63 @@
         return Charge(tenant, now)
 
     def on_established(self, charge: Charge, now: float) -> None:
-        """The request is counted from its admission on."""
+        """Do nothing: the request was counted when it was admitted."""
 
     def handle(self, now: float, events: Any) -> list[Any]:
-        """As `Quota.handle`; nothing is sent."""
+        """Process events, as `Quota.handle` does. This base class ignores them and returns no actions."""
         return []
 
 
-class EqualParts(CounterBase):
-    """Each gateway has an equal part, whatever the demand."""
+class EqualShares(CounterBase):
+    """Each gateway has an equal, fixed share of the limit, regardless of demand."""
 
     def has_permit(self, window: int) -> bool:
-        """Whether this gateway's part is not used up."""
+        """Return whether this gateway's share is not used up."""
         return self.consumed[window] < LIMIT.amount // len(self.voters)
 
 
-class Central(CounterBase):
-    """The first gateway counts for all; those that can't reach it admit nothing. Its answer takes no time."""
+class CentralCounter(CounterBase):
+    """The first gateway counts the requests of all; a gateway that cannot reach it admits nothing.
+
+    Answers of the first gateway arrive without delay.
+    """
 
     fleet: Gateways
 
     def has_permit(self, window: int) -> bool:
-        """Ask the first gateway, which counts the request at once."""
-        centre = self.fleet.gateways.get("e1")
-        if centre is None or "e1" in self.fleet.paused or (self.name, "e1") in self.fleet.cut_links:
+        """Ask the first gateway, which counts the request immediately."""
+        counter = self.fleet.gateways.get("e1")
+        if counter is None or "e1" in self.fleet.paused or (self.name, "e1") in self.fleet.cut_links:
             return False
         if self.name != "e1":
             lost = self.fleet.random.random() < 1 - (1 - self.fleet.loss) ** 2
-            if lost or centre.consumed[window] >= LIMIT.amount:
+            if lost or counter.consumed[window] >= LIMIT.amount:
                 return False
-            centre.consumed[window] += 1
+            counter.consumed[window] += 1
             return True
         return self.consumed[window] < LIMIT.amount
 
 
-class Gossiped(CounterBase):
-    """Each sends the others its count, five times a second, and adds up what it has received."""
+class GossipedCounts(CounterBase):
+    """Each gateway sends its count to the others five times per second, and sums the counts it receives."""
 
     def __init__(self, name: str, **options: Any) -> None:
         super().__init__(name, **options)
-        self.others: dict[PeerWindow, int] = {}
+        self.peer_counts: dict[PeerWindow, int] = {}
         self.sent_ms = 0.0
 
     def has_permit(self, window: int) -> bool:
-        """Whether the known counts are below the limit."""
-        elsewhere = sum(count for key, count in self.others.items() if key.window == window)
-        return self.consumed[window] + elsewhere < LIMIT.amount
+        """Return whether the sum of the known counts is below the limit."""
+        consumed_by_peers = sum(count for key, count in self.peer_counts.items() if key.window == window)
+        return self.consumed[window] + consumed_by_peers < LIMIT.amount
 
     def handle(self, now: float, events: Any) -> list[Any]:
-        """Take the others' counts, and send this gateway's."""
+        """Record the counts of other gateways, and send this gateway's count if the interval has passed."""
         for event in events:
             if hasattr(event, "data"):
                 window, count = map(int, event.data.split())
                 key = PeerWindow(window, event.sender)
-                self.others[key] = max(count, self.others.get(key, 0))
+                self.peer_counts[key] = max(count, self.peer_counts.get(key, 0))
         if now - self.sent_ms < GOSSIP_INTERVAL_MS:
             return []
         self.sent_ms = now
@@ -114,7 +118,7 @@
 
 
 class Case(NamedTuple):
-    """One simulation."""
+    """The parameters of one simulation."""
 
     algorithm: str
     demand: str
@@ -123,7 +127,7 @@
 
 
 class Result(NamedTuple):
-    """The most that a window admitted beyond the limit, and the mean fraction of it that was admitted."""
+    """The largest excess over the limit in a window, and the mean fraction of the limit that was admitted."""
 
     case: Case
     excess: int
@@ -131,15 +135,15 @@
 
 
 def rates(case: Case, second: int) -> dict[str, float]:
-    """Requests a second at each gateway, in a second of the simulation."""
+    """Return the request rate at each gateway in requests per second, in the given simulated second."""
     if case.demand == "even":
         return dict.fromkeys(NAMES, DEMAND / 5)
-    busiest = NAMES[1 + (second // 5) % 4] if case.demand == "wandering" else "e2"
+    busiest = NAMES[1 + (second // 5) % 4] if case.demand == "moving" else "e2"
     return {name: DEMAND * (0.9 if name == busiest else 0.025) for name in NAMES}
 
 
 def inject(fault: str, fleet: Gateways) -> None:
-    """Begin a fault. Loss is set from the start instead."""
+    """Inject a fault. Message loss is set from the start of the simulation instead."""
     if fault == "split":
         fleet.split({"e1", "e2"}, {"e3", "e4", "e5"})
     elif fault == "pause":
@@ -153,15 +157,15 @@
 
 
 def simulate(case: Case) -> Result:
-    """Simulate one case."""
+    """Run one simulation and return its result."""
     factory = {
         "permits": Quota,
-        "equal parts": EqualParts,
-        "central counter": Central,
-        "gossiped counts": Gossiped,
+        "equal shares": EqualShares,
+        "central counter": CentralCounter,
+        "gossiped counts": GossipedCounts,
     }[case.algorithm]
     fleet = Gateways((LIMIT,), case.seed, factory=factory, loss=0.3 if case.fault == "loss" else 0.0)
-    Central.fleet = fleet
+    CentralCounter.fleet = fleet
     fleet.settle()
     first = fleet.window
     for second in range(RUN_S):
@@ -172,12 +176,14 @@
             fleet.paused = set()
         fleet.run(1, rates(case, second))
     windows = [fleet.admitted_in(first + i) for i in range(4)]
-    after = windows[1:]  # from the window after the fault's on
-    return Result(case, max(0, max(windows) - LIMIT.amount), sum(after) / len(after) / LIMIT.amount)
+    later_windows = windows[1:]  # windows after the one in which the fault is injected
+    return Result(
+        case, max(0, max(windows) - LIMIT.amount), sum(later_windows) / len(later_windows) / LIMIT.amount
+    )
 
 
 def admission_cost_us() -> float:
-    """The time that one admission takes, in microseconds."""
+    """Return the mean time that one admission takes, in microseconds."""
     quota = Quota(
         "e1",
         process_incarnation=1,
@@ -199,7 +205,7 @@
 
 
 def main() -> None:
-    """Print the table and the cost of an admission."""
+    """Run all simulations, and print the result table and the time per admission."""
     cases = [
         Case(algorithm, demand, fault, seed)
         for algorithm in ALGORITHMS
@@ -222,7 +228,7 @@
             rows.append(row)
     headings = [heading for demand in DEMANDS for heading in (f"{demand}: excess", "admitted")]
     print(table(["algorithm", "fault", *headings], rows))
-    print(f"\nan admission: {admission_cost_us():.2f} microseconds")
+    print(f"\ntime per admission: {admission_cost_us():.2f} microseconds")
 
 
 if __name__ == "__main__":
