--- a/packages/quota/src/puffindeck_quota/admission.py
+++ b/packages/quota/src/puffindeck_quota/admission.py
@@ -1,4 +1,4 @@
-"""Admits requests by the permits available at this gateway, without communication with other gateways."""
+"""Admits requests by the permits available at this gateway, without asking other gateways."""
 
 from __future__ import annotations
 
@@ -61,9 +61,9 @@
         return charge
 
     def overdraw(self, charge: Charge, tenant_limit: TenantLimit, window: int) -> bool:
-        """Admit a request without a permit, if the limit is not strict and no majority of the voters is reachable.
+        """Admit a request, or one more second of a connection, without a permit.
 
-        Each gateway may do so for the limit's amount divided by the number of voters, rounded up. Return False if that
+        This is possible only if the limit is not strict and this gateway is partitioned from the voters. Each gateway may do so for the limit's amount divided by the number of voters, rounded up. Return False if that
         is used up or an overdraft is not allowed.
         """
         limit = tenant_limit.limit
@@ -91,7 +91,7 @@
                 self.established.add(charge)
 
     def refund(self, charge: Charge) -> None:
-        """Refund all permits of a request that was rejected for another reason. No server can have served it."""
+        """Refund all permits of a rejected request. No server can have served it."""
         if charge.closed:
             return
         charge.closed = True
--- a/packages/quota/src/puffindeck_quota/allocation.py
+++ b/packages/quota/src/puffindeck_quota/allocation.py
@@ -1,4 +1,4 @@
-"""Divides the permits of each window by the allocation that was chosen for the epoch in which the window begins."""
+"""Divides the permits of each window among the members of the allocation that was chosen for its epoch."""
 
 from __future__ import annotations
 
--- a/packages/quota/src/puffindeck_quota/limits.py
+++ b/packages/quota/src/puffindeck_quota/limits.py
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QuotaSettings:
-    """Settings for allocating and transferring permits, in milliseconds. docs/design/quota.md gives the reasons."""
+    """Settings for allocating and transferring permits. docs/design/quota.md gives the reasons."""
 
     skew_ms: float = 250.0  # largest permitted difference between two members' clocks
     epoch_ms: int = 5000  # length of an epoch; an allocation applies to the windows that begin in its epoch
--- a/packages/quota/src/puffindeck_quota/quota.py
+++ b/packages/quota/src/puffindeck_quota/quota.py
@@ -84,7 +84,7 @@
         self._admission.on_ended(charge)
 
     def refund(self, charge: Charge) -> None:
-        """Refund all permits of a request that was rejected for another reason. No server can have served it."""
+        """Refund all permits of an admitted request that was rejected later. No server can have served it."""
         self._admission.refund(charge)
 
     # Events
