--- a/packages/quota/src/puffindeck_quota/admission.py
+++ b/packages/quota/src/puffindeck_quota/admission.py
@@ -63,8 +63,9 @@
     def overdraw(self, charge: Charge, tenant_limit: TenantLimit, window: int) -> bool:
         """Admit a request, or one more second of a connection, without a permit.
 
-        This is possible only if the limit is not strict and this gateway is partitioned from the voters. Each gateway may do so for the limit's amount divided by the number of voters, rounded up. Return False if that
-        is used up or an overdraft is not allowed.
+        This is possible only if the limit is not strict and this gateway is partitioned from the voters. Each gateway
+        may overdraw a window by the limit's amount divided by the number of voters, rounded up. Return False if that is
+        used up or an overdraft is not possible.
         """
         limit = tenant_limit.limit
         if limit.strict or not self._settings.local_overdraft or not self._peers.is_partitioned():
