--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -10,11 +10,11 @@
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.service_discovery.watch import ANSWER_TIMEOUT
-from tests.support.crossing_story import ASK, CrossingStory
-from tests.support.node_story import Story
+from tests.support.node_test_case import NodeTestCase
+from tests.support.raw_client_test_case import ASK, RawClientTestCase
 
 
-class CloseStories(CrossingStory):
+class CloseStories(RawClientTestCase):
     """The node ends a connection that has asked nothing, and its client asks in that moment."""
 
     async def test_a_request_that_has_come_when_a_resting_connection_is_ended_is_served(self) -> None:
@@ -23,7 +23,7 @@
         plain.sendall(ASK.encode() + b"\r\n")
         line._on_timeout()
         self.assertIs(line.state, ConnectionState.WAITING)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r\r\n")
         await self.until(lambda: line.state is ConnectionState.RELAYING, "UP")
@@ -78,7 +78,7 @@
         self.assertFalse(self.reached())
 
 
-class ReadinessStories(CrossingStory):
+class ReadinessStories(RawClientTestCase):
     """Clients that ask whether this node is ready before it is."""
 
     async def asking(self) -> tuple[socket.socket, ClientProtocol]:
@@ -89,11 +89,11 @@
 
     async def test_each_question_before_readiness_has_its_answer(self) -> None:
         self.build()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         plain, line = await self.asking()
         plain.sendall(b"PING\r\n")
         await self.until(lambda: line._unanswered_pings == 2, "the second question")
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         await self.until(lambda: line.state is ConnectionState.IDLE, "readiness")
         self.assertEqual(await self.exactly(plain, 12), b"PONG\r\nPONG\r\n")
 
@@ -116,12 +116,12 @@
 
     async def test_a_request_before_readiness_takes_the_questions_place(self) -> None:
         self.build()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         plain, line = await self.asking()
         plain.sendall(ASK.encode() + b"\r\n")
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         host.write(b"UP r\r\n")
         await self.until(lambda: line.state is ConnectionState.RELAYING, "UP")
@@ -148,7 +148,7 @@
         self.assertEqual(await self.exactly(plain, 6), b"PONG\r\n")
 
 
-class RudeStories(Story):
+class RudeStories(NodeTestCase):
     """Strangers that say nothing, or send what can't be read, at full speed."""
 
     async def test_a_silent_or_dribbling_client_is_closed_soon(self) -> None:
@@ -163,8 +163,8 @@
             self.assertEqual(await dribbling.line(), b"ERR")
             self.assertEqual(await dribbling.ended(), "ConnectionDone")
             waiting = await self.client("PING")  # the list is not there yet: it waits for that
-            watch = await self.watched()
-            self.news(watch, 2, False)
+            watch = await self.accept_watch()
+            self.send_update(watch, 2, False)
             self.assertEqual(await waiting.line(), b"PONG")
             self.assertEqual(await waiting.ended(), "ConnectionDone")
 
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -16,15 +16,15 @@
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
-from tests.support.crossing_story import ASK, CrossingStory
-from tests.support.node_story import ASK as ROUTED_ASK
-from tests.support.node_story import SETTINGS, Listener, Peer, Story, reactor
+from tests.support.node_test_case import ASK as ROUTED_ASK
+from tests.support.node_test_case import SETTINGS, Listener, NodeTestCase, Peer, reactor
+from tests.support.raw_client_test_case import ASK, RawClientTestCase
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
 
 
-class StopStories(CrossingStory):
+class StopStories(RawClientTestCase):
     """A node that ends."""
 
     def leaving(self, pace: DrainSchedule = OVER_NOW) -> GracefulShutdown:
@@ -36,7 +36,7 @@
     async def moving_with_half_a_line(self) -> tuple[Peer, ClientProtocol, Peer]:
         """A client that is to move and has half a line, the node's side of it, and its host."""
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         host.write(b"half of a li")
         await self.until(lambda: client.left(b"half of a li"), "the half")
@@ -132,7 +132,7 @@
 
     async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
         await self.until(lambda: line.relay._line_open, "the half")
@@ -145,7 +145,7 @@
 
     async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
@@ -160,7 +160,7 @@
 
     async def test_moves_are_held_for_in_time(self) -> None:
         self.build()
-        await self.served(ASK)
+        await self.establish(ASK)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
@@ -181,7 +181,7 @@
 
     async def test_a_lame_duck_that_is_stopped_ends(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
@@ -204,7 +204,7 @@
 
     async def test_a_reload_while_it_ends_moves_discovery(self) -> None:
         self.build()
-        await self.watched()
+        await self.accept_watch()
         other = Listener()
         self.addCleanup(other.port.stopListening)
         host, port = other.address.split(":")
@@ -227,8 +227,8 @@
 
     async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
         self.build()
-        await self.watched()
-        client, _, host = await self.served(ASK)
+        await self.accept_watch()
+        client, _, host = await self.establish(ASK)
         other = Listener()
         self.addCleanup(other.port.stopListening)
         name, port = other.address.split(":")
@@ -270,12 +270,12 @@
         self.assertIsNone(fresh.listeners.main)
 
 
-class MoveStories(Story):
+class MoveStories(NodeTestCase):
     """A node that moves its clients."""
 
     async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
         self.build()
-        client, _, host = await self.served(ROUTED_ASK)
+        client, _, host = await self.establish(ROUTED_ASK)
         host.write(b"half a ")
         await self.until(lambda: client.buffer, "the half line")
         slow = await self.client()
@@ -289,7 +289,9 @@
             patch.object(program, "stop") as stop,
         ):
             self.node.stop()
-            late, _, _ = await self.served(ROUTED_ASK)  # other nodes may be stopping too, or not be back yet
+            late, _, _ = await self.establish(
+                ROUTED_ASK
+            )  # other nodes may be stopping too, or not be back yet
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
             await self.until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
@@ -314,13 +316,13 @@
         assert pace.before_kill(milliseconds(3000)) == pace
 
 
-class ShortDeadlineStories(Story):
+class ShortDeadlineStories(NodeTestCase):
     """A node that is told to stop where requests have half a second."""
 
     async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
         chat = replace(SETTINGS.classes[0], deadline_ms=500)
         self.build(classes=(chat,))
-        client, _, host = await self.served(ROUTED_ASK.replace("d=1100", "d=450"))
+        client, _, host = await self.establish(ROUTED_ASK.replace("d=1100", "d=450"))
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -19,10 +19,10 @@
 from puffindeck.net.graceful_shutdown import DrainSchedule
 from puffindeck.net.node import Node
 from puffindeck.net.process_registry import ProcessRegistry, count_open_descriptors
-from tests.support.node_story import ASK, Peer, Story, reactor
+from tests.support.node_test_case import ASK, NodeTestCase, Peer, reactor
 
 
-class UpgradeStories(Story):
+class UpgradeStories(NodeTestCase):
     """A node whose clients' socket is held by the platform, and the process that is to follow it."""
 
     async def build_both(self) -> None:
@@ -42,9 +42,9 @@
         return msgspec.structs.replace(told, inherited=self.socket.fileno(), folder=self.folder)
 
     async def made_ready(self, started: Node) -> None:
-        watch = await self.watched()
+        watch = await self.accept_watch()
         self.assertIsNone(started.listeners.main)  # it accepts nobody before it is ready
-        self.news(watch, 2, False)
+        self.send_update(watch, 2, False)
         await self.until(lambda: started.listeners.main, "readiness")
 
     async def close_second(self) -> None:
@@ -65,7 +65,7 @@
     async def test_the_older_process_serves_until_the_newer_is_ready_then_moves_all_and_ends(self) -> None:
         await self.build_both()
         client = await self.dial(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
@@ -92,7 +92,7 @@
             self.assertEqual(self.node.lifecycle.reason_not_ready(), "stopping")
             await self.until(lambda: not self.main_port.connected, "the older to shut its port")
             accepted.write(ASK.replace("9b1f03aa5c7e2d41", "aa").encode() + b"\r\n")  # still owed an answer
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.line()
             host.write(b"UP r2\r\n")
             self.assertEqual([await accepted.line(), await accepted.line()], [b"UP r2", b"MOVE"])
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -5,10 +5,10 @@
 from functools import partial
 
 from puffindeck.interface import AttemptEnded, LatencyReported, Outcome
-from tests.support.node_story import Story
+from tests.support.node_test_case import NodeTestCase
 
 
-class RelayStories(Story):
+class RelayStories(NodeTestCase):
     """Clients that are served."""
 
     async def test_bytes_pass_unchanged_and_only_d_is_new(self) -> None:
@@ -16,7 +16,7 @@
         client = await self.client()
         for piece in (b"OPEN 9b1f 7f3a c=ch", b"at,d=1100,again=1,z=9\r", b"\n"):
             client.write(piece)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         head = (await host.line()).decode()
         self.assertRegex(head, r"^OPEN 9b1f 7f3a c=chat,d=\d+,again=1,z=9$")
         self.assertLessEqual(int(head.split("d=")[1].split(",")[0]), 1100)
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -13,10 +13,10 @@
 from puffindeck.net import request_log
 from puffindeck.net.logs import line
 from puffindeck.net.request_log import RequestLog
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
 
 
-class RequestLogStories(Story):
+class RequestLogStories(NodeTestCase):
     """What the log has of a request."""
 
     def written(self) -> list[str]:
@@ -36,10 +36,10 @@
         self.build()
         seen = self.written()
         client = await self.client(ASK)
-        first, host = await self.host_of()
+        first, host = await self.accept_attempt()
         await host.line()
         host.write(b"ERR\r\n")
-        second, host = await self.host_of(first)
+        second, host = await self.accept_attempt(first)
         await host.line()
         host.write(b"UP r1\r\n")
         await client.line()
@@ -63,7 +63,7 @@
         self.build()
         seen = self.written()
         client = await self.client(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         client.transport.loseConnection()
         await host.ended()
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -7,18 +7,18 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.net import silence_monitor
-from tests.support.crossing_story import ASK as SHORT_ASK
-from tests.support.crossing_story import CrossingStory
-from tests.support.node_story import ASK, Story
+from tests.support.node_test_case import ASK, NodeTestCase
+from tests.support.raw_client_test_case import ASK as SHORT_ASK
+from tests.support.raw_client_test_case import RawClientTestCase
 
 
-class SilentHostStories(Story):
+class SilentHostStories(NodeTestCase):
     """Served clients whose host says nothing more."""
 
     async def test_a_silent_hosts_client_is_moved(self) -> None:
         with patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(100)):
             self.build()
-            client, _, host = await self.served(ASK)
+            client, _, host = await self.establish(ASK)
             client.write(b"M 1\r\n")
             self.assertEqual(await host.line(), b"M 1")
             self.assertEqual(await client.line(), b"MOVE")
@@ -28,7 +28,7 @@
     async def test_the_start_of_a_line_is_owed_no_answer(self) -> None:
         # a client that stopped short in a line was moved, and its host cut, for the host's silence
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(ASK)
         client.write(b"half a li")
         await self.until(lambda: host.left(b"half a li"), "its passing")
         later = self.node.deadlines.clock.now() + silence_monitor.SILENCE_LIMIT * 2
@@ -39,7 +39,7 @@
         self.assertGreater(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
 
 
-class SilenceStories(CrossingStory):
+class SilenceStories(RawClientTestCase):
     """A host that stops in the middle of its answer."""
 
     async def test_half_an_answer_is_no_sign_of_life(self) -> None:
@@ -49,7 +49,7 @@
             patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
         ):
             self.build()
-            client, _, host = await self.served(SHORT_ASK)
+            client, _, host = await self.establish(SHORT_ASK)
             client.write(b"M 1\r\n")
             await host.line()
             host.write(b"M ")
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -14,12 +14,12 @@
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.upstream_connection import UpstreamConnection
 from puffindeck.net.upstream_protocol import UpstreamProtocol
-from tests.support.crossing_story import ASK, CHAT, CrossingStory
-from tests.support.node_story import ASK as ROUTED_ASK
-from tests.support.node_story import Story
+from tests.support.node_test_case import ASK as ROUTED_ASK
+from tests.support.node_test_case import NodeTestCase
+from tests.support.raw_client_test_case import ASK, CHAT, RawClientTestCase
 
 
-class LeaverStories(CrossingStory):
+class LeaverStories(RawClientTestCase):
     """Clients that leave, and the reactor has not come to it."""
 
     def at_connect(self, do: Callable[[], None]) -> Any:
@@ -47,7 +47,7 @@
         plain, line = await self.met()
         with self.at_connect(plain.close):
             plain.sendall(ASK.encode() + b"\r\n")
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
         await self.until(lambda: line.state is ConnectionState.GONE, "its end")
         self.assertEqual(host.received, b"")
@@ -63,7 +63,7 @@
 
         with self.at_connect(given_up):
             await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.CANCELLED])
@@ -72,7 +72,7 @@
         self.build()
         plain, line = await self.met()
         plain.sendall(ASK.encode() + b"\r\n")
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         (link,) = self.node.connections.upstreams
         plain.close()
@@ -90,7 +90,7 @@
 
         with self.at_connect(late):
             client.write(ASK.encode() + b"\r\n")
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
             self.assertEqual(host.received, b"")
             self.assertEqual(self.ends(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
@@ -98,7 +98,7 @@
     async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
         client = await self.client(ASK)
-        uid, host = await self.host_of()
+        uid, host = await self.accept_attempt()
         await host.line()
         begins: list[Any] = []
         connect = UpstreamConnection.connect
@@ -109,14 +109,14 @@
 
         with patch.object(UpstreamConnection, "connect", noted):
             host.transport.abortConnection()
-            _, second = await self.host_of(uid)
+            _, second = await self.accept_attempt(uid)
             await second.line()
         self.assertLess(begins[0], milliseconds(400))
         second.transport.abortConnection()
         self.assertRegex(await client.line(), rb"^BUSY \d+$|^ERR$")  # at once: nothing may be sent any more
 
 
-class AnswerStories(CrossingStory):
+class AnswerStories(RawClientTestCase):
     """A host's answer, and its end."""
 
     async def test_up_that_has_come_when_the_deadline_expires_is_handed_on(self) -> None:
@@ -149,7 +149,7 @@
             patch.object(UpstreamProtocol, "connectionMade", then),
         ):
             await self.client(ASK)
-            _, host = await self.host_of()
+            _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
 
@@ -178,7 +178,7 @@
         self.assertEqual([e.outcome for e in self.ends(AttemptEnded)], [Outcome.ERROR])
 
 
-class RestoreStories(Story):
+class RestoreStories(NodeTestCase):
     """Connections from before the run."""
 
     async def test_a_connection_from_before_the_run_goes_to_its_host_with_any_time(self) -> None:
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -11,11 +11,11 @@
 from puffindeck.interface import AttemptEnded, Outcome
 from puffindeck.quic import packets
 from puffindeck.quic.flow import AMPLIFICATION_LIMIT
-from tests.support.node_story import Story
+from tests.support.node_test_case import NodeTestCase
 from tests.support.quic_peers import IDS, KEY, QuicClient, QuicPeer, QuicServer
 
 
-class QuicFrontStories(Story):
+class QuicFrontStories(NodeTestCase):
     """Connections kept with their server by their ids."""
 
     def build_quic(
@@ -100,9 +100,9 @@
 
     async def test_a_draining_box_keeps_its_stream_and_gets_no_new_work(self) -> None:
         self.build_quic()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         client, uid = await self.connect_and_talk()
-        self.news(watch, 2, False, self.target(uid, "DRAINING"))
+        self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         endpoint = self.node.directory.number(uid)
         await self.until(lambda: endpoint in self.node.engine.reachability.unavailable_since, "the news")
         notified_at = self.node.deadlines.clock.now()
--- a/tests/support/crossing_story.py
+++ b/tests/support/raw_client_test_case.py
@@ -13,13 +13,13 @@
 
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
-from tests.support.node_story import SETTINGS, Peer, Story
+from tests.support.node_test_case import SETTINGS, NodeTestCase, Peer
 
 ASK = "OPEN 9b1f03aa5c7e2d41 7f3a c=chat,d=1100"
 CHAT = SETTINGS.classes[0]
 
 
-class CrossingStory(Story):
+class RawClientTestCase(NodeTestCase):
     """A node, and clients on plain sockets."""
 
     def raw(self) -> socket.socket:
@@ -54,8 +54,8 @@
 
     async def resting(self) -> tuple[socket.socket, ClientProtocol]:
         """Return a client that has its PONG, and the node's side of it."""
-        watch = await self.watched()
-        self.news(watch, 2, False)
+        watch = await self.accept_watch()
+        self.send_update(watch, 2, False)
         await self.until(lambda: self.node.lifecycle.is_ready, "readiness")
         plain, line = await self.met()
         plain.sendall(b"PING\r\n")
@@ -70,6 +70,6 @@
         """A client whose request is with a host that says nothing."""
         self.build(classes=(replace(CHAT, **rules),), **(told or {}))
         client = await self.client(ASK)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         await host.line()
         return client, host
