--- a/puffindeck/net/__init__.py
+++ b/puffindeck/net/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front: lines of text over TCP, and discovery over HTTP."""
+"""The TCP gateway of a node: its line-based client protocol, and service discovery over HTTP."""
--- a/puffindeck/net/admin_api.py
+++ b/puffindeck/net/admin_api.py
@@ -1,4 +1,4 @@
-"""The second address: operators' calls over HTTP, each answered yes or no by the parts of the node."""
+"""The admin API: operators' calls over HTTP on an address of its own."""
 
 from __future__ import annotations
 
@@ -21,9 +21,12 @@
 
 log = Logger("puffindeck")
 
-MAX_CALLERS = 16  # connections at once; a whole call is answered in the turn in which it is read
-CALL_TIMEOUT = milliseconds(3000)  # how long a caller may be without a whole call
-# A call is due its answer within 1 s. Until RECORD_TIMEOUT it waits for its record, checked at each interval.
+# Limit on simultaneous connections. A complete call is answered in the reactor turn in which it is read,
+# so only stalled callers occupy a connection for longer.
+MAX_CALLERS = 16
+CALL_TIMEOUT = milliseconds(3000)  # time for a caller to send a complete call
+# A call must be answered within 1 s. It waits up to RECORD_TIMEOUT for its record to be written, and checks
+# for it at each RECORD_CHECK_INTERVAL.
 RECORD_TIMEOUT = milliseconds(700)
 RECORD_CHECK_INTERVAL = milliseconds(50)
 
@@ -31,41 +34,41 @@
 
 
 class Response(NamedTuple):
-    """A status of HTTP and the one line that goes with it."""
+    """An HTTP status and the one line of its body."""
 
     status: int
     text: str
 
 
-Answer = Response | Deferred[Response]  # now or soon
+Answer = Response | Deferred[Response]
 YES = Response(http.OK, "yes")
 
 
 class Route(NamedTuple):
-    """The method that a path is called with, and what answers it."""
+    """The HTTP method that a path accepts, and its handler."""
 
     method: bytes
     handler: Callable[[Arguments], Answer]
 
 
 class AdminRequest(http.Request):
-    """One call. No call has a body; what comes of one is dropped."""
+    """One call. No call has a body; if one is sent it is discarded."""
 
     channel: Any
 
     def gotLength(self, length: int | None) -> None:
-        """Prepare for a body (Twisted's hook): there is none to keep."""
+        """Prepare for a body (Twisted's hook) without allocating storage for it."""
         self.content = BytesIO()
 
     def handleContentChunk(self, data: bytes) -> None:
-        """Drop a part of a body (Twisted's hook), which the library would keep in memory or a file."""
+        """Discard a part of a body (Twisted's hook), which the library would store in memory or a file."""
 
     def process(self) -> None:
         """Answer the call (Twisted's hook)."""
         self.channel.persistent = False
         api: AdminApi = self.channel.factory
         answered: Deferred[Any] = maybeDeferred(api.answer, self.method, self.path, self.args)
-        answered.addErrback(self._failed)  # no yes without the deed
+        answered.addErrback(self._failed)  # a call that raised is never answered with yes
         answered.addCallback(self._respond)
 
     @staticmethod
@@ -74,7 +77,7 @@
         return Response(http.INTERNAL_SERVER_ERROR, f"no: {failure.getErrorMessage()}")
 
     def _respond(self, response: Response) -> None:
-        if self.method != b"GET":  # readiness may be asked for many times a second
+        if self.method != b"GET":  # readiness may be polled many times per second
             log.info(
                 "staff: {method} {uri}: {status} {text}",
                 method=self.method[:20].decode("latin-1"),
@@ -95,33 +98,33 @@
 
 
 class AdminChannel(http.HTTPChannel):
-    """A caller's connection, closed after one call or when its time is up."""
+    """A caller's connection, closed after one call or at CALL_TIMEOUT."""
 
     requestFactory = AdminRequest
-    timeOut = None  # the node's one timer has it
+    timeOut = None  # the node's timer queue limits the time instead
     factory: Any
     transport: Any
 
     def connectionMade(self) -> None:
-        """Note a new caller (Twisted's hook)."""
+        """Register a new caller and start its time-out (Twisted's hook)."""
         super().connectionMade()
         api: AdminApi = self.factory
         self._timeout = api.deadlines.after(CALL_TIMEOUT, self.evict)
         api.on_connected(self)
 
     def evict(self) -> None:
-        """Close now: time is up, or others need the place."""
+        """Close the connection at its time-out, or to make place for a newer caller."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Forget a caller that has gone (Twisted's hook)."""
+        """Remove a disconnected caller (Twisted's hook)."""
         self.factory.deadlines.cancel(self._timeout)
         self.factory.callers.pop(self, None)
         super().connectionLost(reason)
 
 
 class AdminApi(Factory):
-    """The calls, and the callers connected at once, oldest first."""
+    """The routes of the admin API, and its connected callers, oldest first."""
 
     noisy = False
     protocol = AdminChannel
@@ -149,10 +152,10 @@
         }
 
     def log(self, request: AdminRequest) -> None:
-        """Write no access log (Twisted's hook): our line is written with the answer."""
+        """Write no access log (Twisted's hook): `AdminRequest` logs each call with its answer."""
 
     def on_connected(self, caller: AdminChannel) -> None:
-        """Take in a caller. Those that stall must not keep a whole call out: the oldest goes."""
+        """Register a caller. Above MAX_CALLERS evict the oldest, so that stalled callers block no others."""
         self.callers[caller] = None
         if len(self.callers) > MAX_CALLERS:
             oldest = next(iter(self.callers))
@@ -160,21 +163,21 @@
             oldest.evict()
 
     def answer(self, method: bytes, path: bytes, args: Arguments) -> Answer:
-        """Answer a call by its method, path and query."""
+        """Return the answer to a call with this method, path and query."""
         route = self._routes.get(path)
         if route is None:
             return Response(http.NOT_FOUND, "no such call")
         if method != route.method:
-            return Response(http.NOT_ALLOWED, f"{route.method.decode()} it")
+            return Response(http.NOT_ALLOWED, f"use {route.method.decode()}")
         return route.handler(args)
 
     def _await_record(self, host: str, ends: timedelta) -> Answer:
-        """Answer yes once the call has its record; wait for a folder that fails for a moment."""
+        """Answer yes once the call is recorded on disk. A failed write is retried until `ends`."""
         why = self._detachment.record_error(host)
         if not why:
             return YES
         if self.deadlines.clock.now() >= ends:
-            text = f"no: it holds here, but can't be recorded yet: {why}"
+            text = f"no: applied in this process, but can't be recorded yet: {why}"
             return Response(http.INSUFFICIENT_STORAGE_SPACE, text)
         later: Deferred[Response] = Deferred()
         self.deadlines.after(RECORD_CHECK_INTERVAL, later.callback, None)
@@ -188,19 +191,19 @@
     def _change_host(self, args: Arguments, change: Callable[[str], bool]) -> Answer:
         named = args.get(b"member", [])
         if len(named) != 1 or not named[0]:
-            return Response(http.BAD_REQUEST, "no: one member=ID")
+            return Response(http.BAD_REQUEST, "no: exactly one member=ID is required")
         try:
             host = named[0].decode()
         except UnicodeDecodeError:
             return Response(http.BAD_REQUEST, "no: member is not UTF-8")
         if not change(host):
-            return Response(http.NOT_FOUND, "no: the list has not named this host")
+            return Response(http.NOT_FOUND, "no: the discovery list has never named this host")
         return self._await_record(host, self.deadlines.clock.now() + RECORD_TIMEOUT)
 
     @staticmethod
     def _show(document: str) -> Answer:
         if not document:
-            return Response(http.NOT_FOUND, "no: this instance is no member of a fleet")
+            return Response(http.NOT_FOUND, "no: this instance is not a member of a fleet")
         return Response(http.OK, document)
 
     def _drain(self, _: Arguments) -> Answer:
@@ -208,4 +211,4 @@
         return YES
 
     def _undrain(self, _: Arguments) -> Answer:
-        return YES if self._lifecycle.undrain() else Response(http.CONFLICT, "no: it stops")
+        return YES if self._lifecycle.undrain() else Response(http.CONFLICT, "no: the node is stopping")
--- a/puffindeck/net/attempt.py
+++ b/puffindeck/net/attempt.py
@@ -1,4 +1,4 @@
-"""An attempt at a host, and what it wants of the client that it is made for."""
+"""An attempt at a host, and the interfaces that it needs of the client that it is made for."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
     """The client's side of an attempt."""
 
     def is_waiting(self) -> bool:
-        """Is there still somebody to be served, at this very moment?"""
+        """Return whether the client is still connected and waits for an answer at this moment."""
 
     def on_up(self, link: UpstreamConnection) -> bool:
-        """Hand over a connection that the host has accepted. False if nobody waits for it any more."""
+        """Hand over an accepted connection. Returns False if the client no longer waits for it."""
 
     def on_ended(self, link: UpstreamConnection, outcome: Outcome) -> None:
-        """Note that the attempt is over, or the connection that it became."""
+        """Handle the end of the attempt, or of the connection that it became."""
 
     def on_closed(self, link: UpstreamConnection) -> None:
-        """Note that its descriptor is free again."""
+        """Handle the release of the attempt's descriptor."""
 
 
 class RelayedClient(Protocol):
-    """The client's side of a connection that stands."""
+    """The client's side of an established connection."""
 
     def start(self, link: UpstreamConnection) -> None:
-        """Join both sides."""
+        """Connect both sides for flow control."""
 
     def is_paused(self) -> bool:
-        """Does the client take so little that the host is not read for now?"""
+        """Return whether reading from the host is paused because the client reads too slowly."""
 
     def forward(self, data: bytes) -> None:
-        """Pass on what the host sends."""
+        """Relay data from the host."""
 
     def on_host_ended(self, is_clean: bool) -> None:
-        """End the client's side as the host ended its own."""
+        """End the client's side in the same way, cleanly or broken, as the host ended its own."""
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One attempt to be made."""
+    """The parameters of one attempt. Times are on the engine's clock."""
 
     id: AttemptId
     endpoint: int
     host: str  # the endpoint's name
     head: RequestLine
-    until: timedelta  # the host's answer is due by then
-    begin: timedelta  # the first byte goes out before that, or not at all
+    answer_deadline: timedelta  # time by which the host must answer
+    start_deadline: timedelta  # time before which the first byte must be sent; later, nothing is sent
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -1,4 +1,4 @@
-"""A client's connection: its first line becomes a request, and once served its bytes pass as they are."""
+"""A client's connection: its first line becomes a request; once it is served, bytes are relayed unchanged."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from puffindeck.core.request_observer import Answer, Reason
 from puffindeck.core.requests import AttemptId, Request, UpstreamLink
 from puffindeck.interface import ConnectionInfo
-from puffindeck.net.client_connection import FIRST_LINE, RETRY_AFTER, ClientConnection
+from puffindeck.net.client_connection import FIRST_LINE_TIMEOUT, RETRY_AFTER, ClientConnection
 from puffindeck.net.client_services import ClientServices
 from puffindeck.net.closing import drain_receive_buffer, flush
 from puffindeck.net.connection_state import FINISHED, SERVED, WITHOUT_REQUEST, ConnectionState
@@ -31,52 +31,52 @@
         self._unanswered_pings = 0
 
     def connectionMade(self) -> None:
-        """Note a new connection (Twisted's hook)."""
+        """Register a new connection and start its time-out (Twisted's hook)."""
         self.transport.setTcpNoDelay(True)
         self.services.connections.clients.add(self)
-        self.services.wall_clock.check()  # also where no timer runs
-        self.set_timeout(FIRST_LINE)
+        self.services.wall_clock.check()  # detects a step even while the timers are held up by it
+        self.set_timeout(FIRST_LINE_TIMEOUT)
         self.services.admission.on_accepted(self)
 
     # The first line
 
     def lineReceived(self, line: bytes) -> None:
-        """Read a whole line (Twisted's hook): PING, or the request."""
+        """Handle a complete line (Twisted's hook): PING, or the request."""
         if self.state not in WITHOUT_REQUEST:
             return
         more = self.clearLineBuffer()
         if line == b"PING" and not more:
-            self._ask_readiness()
+            self._await_readiness()
             return
         try:
-            if more:  # a client waits for its answer before it sends anything else
+            if more:  # a client has to wait for the answer before it sends anything else
                 raise RequestLineError("more than one line")
             head = RequestLine(line)
             cls = self.services.classes.numbers.get(head.cls)
             if cls is None:
-                raise RequestLineError(f"class {head.cls[:40]!r} is not known")
-            if head.id in self.services.connections.open_ids:  # hosts would take the one for the other
-                raise RequestLineError("the id of an open request")
+                raise RequestLineError(f"unknown class {head.cls[:40]!r}")
+            if head.id in self.services.connections.open_ids:  # hosts would confuse the two requests
+                raise RequestLineError("the id is in use by an open request")
         except RequestLineError as error:
             self.reject_line(str(error))
             return
         self._submit_request(head, cls)
 
-    def _ask_readiness(self) -> None:
-        """Wait for readiness. It may be evicted meanwhile: before readiness nobody is served yet."""
+    def _await_readiness(self) -> None:
+        """Answer a PING once readiness is known. Until then the client may be evicted."""
         self._unanswered_pings += 1
-        if self.transition_to(ConnectionState.ASKING_READINESS):
+        if self.transition_to(ConnectionState.AWAITING_READINESS):
             self.cancel_timeout()
             self.services.lifecycle.when_ready(self.answer_pings)
 
     def answer_pings(self, is_serving: bool) -> None:
-        """Answer each PING, now that it is known whether this node serves."""
+        """Answer each pending PING: PONG if this node serves, else BUSY."""
         if self.transition_to(ConnectionState.IDLE):
             answer = (b"PONG" if is_serving else b"BUSY") + CRLF
             pings, self._unanswered_pings = self._unanswered_pings, 0
             self.transport.write(answer * pings)
             flush(self.transport)
-            self.set_timeout(FIRST_LINE)
+            self.set_timeout(FIRST_LINE_TIMEOUT)
             self.services.admission.on_idle(self)
 
     def _submit_request(self, head: RequestLine, cls: int) -> None:
@@ -89,15 +89,15 @@
         request = Request(
             cls,
             head.key,
-            head.left or ZERO,
+            head.time_left or ZERO,
             head.hint,
             head.group,
             head.returning,
             self._connection_info(),
             head.id.decode(),
         )
-        if head.at:
-            self.upstream.restore(request, head.at)
+        if head.restore_host:
+            self.upstream.restore(request, head.restore_host)
             return
         why = self._reason_to_reject()
         if why is not None:
@@ -107,7 +107,7 @@
             self.request = self.engine.request(self, request)
 
     def _reason_to_reject(self) -> Reason | None:
-        """Why this node can serve no further request at this moment."""
+        """Return why this node can serve no further request at this moment; None if it can."""
         if not self.services.lifecycle.is_accepting:
             return Reason.STOPPING
         if self.services.admission.is_out_of_descriptors() or self.engine.requests.full():
@@ -115,7 +115,7 @@
         return None
 
     def _connection_info(self) -> ConnectionInfo | None:
-        """What routes and fleets' rules may go by; None where there are none."""
+        """Return what routes and a fleet's rules match on; None if the node has neither."""
         config = self.services.config()
         if config.routing is None and config.fleet_member is None:
             return None
@@ -124,10 +124,10 @@
 
     def lineLengthExceeded(self, line: bytes) -> None:
         """Reject a line that is too long (Twisted's hook)."""
-        self.reject_line("over 4 KiB")
+        self.reject_line("the line is over 4 KiB")
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Read what comes behind the request's line (Twisted's hook)."""
+        """Handle data after the request's line (Twisted's hook)."""
         link = self.relay.link
         if self.state in SERVED and link is not None:
             link.send(data)
@@ -137,32 +137,32 @@
         elif self.state is ConnectionState.HALF_CLOSED:
             self.discard(data)
 
-    # The engine's client
+    # Interface of the engine's client
 
     def start_attempt(
         self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
     ) -> UpstreamLink | None:
-        """Start an attempt at a host. None if it has ended already; the engine has been told then."""
+        """Start an attempt at a host. Returns None if it has ended already and been reported as ended."""
         return self.upstream.start(attempt_id, endpoint, until, begin)
 
     def on_established(self, link: UpstreamLink) -> None:
-        """Pass the host's answer on, and relay from now on."""
+        """Forward the host's answer to the client, and relay from now on."""
         self.relay.on_established(link)
 
     def migrate(self) -> bool:
-        """Send the client away with a MOVE, between two lines."""
+        """Send the client a MOVE between two lines. Always possible, so returns True."""
         self.relay.migrate()
         return True
 
-    # Its end
+    # End of the connection
 
     def connectionLost(self, reason: Any = None) -> None:
-        """End what was open for it (Twisted's hook)."""
+        """Release the client's request and its connection to a host (Twisted's hook)."""
         before, self.state = self.state, ConnectionState.GONE
         self.services.connections.clients.discard(self)
         self.services.admission.on_closed(self)
         self.cancel_timeout()
-        self.services.lifecycle.forget(self.answer_pings)
+        self.services.lifecycle.remove_callback(self.answer_pings)
         if before in FINISHED:
             return
         self.release_id()
@@ -179,9 +179,12 @@
             self.engine.client_disconnected(self.request)
 
     def answer_before_stop(self, close_idle: bool) -> None:
-        """Time is up: answer or move it now. One without a request goes if the process is to end."""
+        """Answer or move the client at the end of a shutdown.
+
+        `close_idle`: whether a client without a request is answered too, as the process is to end.
+        """
         if self.state in WITHOUT_REQUEST and close_idle:
-            drain_receive_buffer(self.transport)  # what has come by now is answered as any other
+            drain_receive_buffer(self.transport)  # a request received by now gets a normal answer
             if self.state in WITHOUT_REQUEST:
                 self.reply_busy()
         if self.state in SERVED:
@@ -192,7 +195,7 @@
 
 
 class ClientFactory(Factory):
-    """Makes the protocol of each connection that a listener accepts."""
+    """Builds the protocol of each connection that a listener accepts."""
 
     noisy = False
 
@@ -201,5 +204,5 @@
         self._listener = listener
 
     def buildProtocol(self, addr: object) -> ClientProtocol:
-        """Make a connection's protocol (Twisted's hook)."""
+        """Build a connection's protocol (Twisted's hook)."""
         return ClientProtocol(self._services, self._listener)
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection as such: the state that it is in, its answers, and how it ends."""
+"""The base of a client's connection: its state, its final answers, and its close."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from puffindeck.core.clock import ZERO, milliseconds, to_ms
 from puffindeck.core.request_observer import Reason
 from puffindeck.core.timer_queue import Deadline
-from puffindeck.net.closing import LINGER, drain_receive_buffer, end_sending, peer_has_closed
+from puffindeck.net.closing import LINGER_TIMEOUT, drain_receive_buffer, end_sending, peer_has_closed
 from puffindeck.net.connection_state import (
     CAN_TIME_OUT,
     FINISHED,
@@ -23,16 +23,17 @@
 if TYPE_CHECKING:
     from puffindeck.net.client_services import ClientServices
 
-FIRST_LINE = milliseconds(2750)  # how long a connection may be without a first line
-RETRY_AFTER = milliseconds(150)  # when a client refused by a node without capacity may come again
-# A close over input that was not read resets the connection, and what was written last may be lost with it.
-# So what a client still sends is discarded, this much at a time, until it closes too or its time is up.
+FIRST_LINE_TIMEOUT = milliseconds(2750)  # time for a client to send its first line
+RETRY_AFTER = milliseconds(150)  # delay announced to clients that this node rejects
+# Closing a socket with unread input resets the connection, and the last bytes written may be lost. Input that
+# follows the answer is therefore discarded until the client closes or its time-out expires. After each
+# DISCARD_LIMIT bytes reading pauses for DISCARD_PAUSE, so that one client doesn't take the whole reactor.
 DISCARD_LIMIT = 1 << 18  # bytes
 DISCARD_PAUSE = milliseconds(50)
 
 
 class ClientConnection(LineReceiver):
-    """One client's side, from its accept to its end."""
+    """One client's connection, from accept to close."""
 
     delimiter = CRLF
     MAX_LENGTH = MAX_LINE
@@ -44,34 +45,34 @@
         self.engine = services.engine
         self.deadlines = services.deadlines
         self.state = ConnectionState.NEW
-        self.request = 0  # its number in the engine
+        self.request = 0  # number of the request in the engine; 0 before there is one
         self.head: RequestLine | None = None
-        self._discarded = 0  # bytes since the last pause
+        self._discarded = 0  # bytes discarded since the last pause
         self._timeout: Deadline | None = None
 
     def transition_to(self, state: ConnectionState) -> bool:
-        """Go on to a state. False if it can't be reached from here, so that nothing is to be done."""
+        """Change to a state. Returns False, without a change, if it can't be reached from the current one."""
         if state not in TRANSITIONS[self.state]:
             return False
         self.state = state
         return True
 
     def set_timeout(self, duration: timedelta) -> None:
-        """Let it stay in this state for no longer than that."""
+        """Limit the time in the current state; replaces an earlier limit."""
         self.cancel_timeout()
         self._timeout = self.deadlines.after(duration, self._on_timeout)
 
     def cancel_timeout(self) -> None:
-        """Let it stay in this state for as long as it takes."""
+        """Remove the time limit."""
         self.deadlines.cancel(self._timeout)
 
     def _on_timeout(self) -> None:
-        """It has sent nothing, or only the start of a line, or has not closed, for as long as it may."""
+        """Answer a client without a complete line in time, or evict one that has not closed in time."""
         self._timeout = None
         if self.state in WITHOUT_REQUEST:
             drain_receive_buffer(self.transport)
         if self._timeout is not None or self.state not in CAN_TIME_OUT:
-            return  # its line has come in this very moment
+            return  # the drained input contained its line
         if self.state is ConnectionState.HALF_CLOSED:
             self.evict()
         elif self.clearLineBuffer():
@@ -80,70 +81,73 @@
             self.reply_busy()
 
     def is_waiting(self) -> bool:
-        """Is it still there to be served? One whose end the reactor has not come to yet is not."""
+        """Return whether the client waits for its answer.
+
+        False also if it has closed and the reactor has not processed the close yet.
+        """
         return self.state is ConnectionState.WAITING and not peer_has_closed(self.transport)
 
     # Final answers
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer BUSY: trying again, after this wait, does no harm."""
+        """Answer BUSY: the request was not executed and may be retried after this delay."""
         self.answer(b"BUSY %d" % to_ms(retry_after) if retry_after > ZERO else b"BUSY")
 
     def fail(self) -> None:
-        """Answer ERR: failed, and nothing is known of what was done."""
+        """Answer ERR: the request failed, and may or may not have been executed."""
         self.answer(b"ERR")
 
     def reject_line(self, why: str) -> None:
-        """Answer ERR to what can't be read, or comes out of turn: nothing of it is served."""
+        """Answer ERR to a line that is invalid or out of order; nothing of it is served."""
         if self.state not in FINISHED:
             self.services.rejected_lines.write("client: first line can't be read: {why}", why=why)
             self.answer(b"ERR")
 
     def reply_busy(self) -> None:
-        """Answer BUSY to a client that has to go without a request; one on its way is not sent on."""
+        """Answer BUSY to a client without a request; a request that arrives later is not forwarded."""
         self.reject(RETRY_AFTER)
 
     def answer(self, line: bytes) -> None:
-        """Write the last line of ours, and half-close."""
+        """Write the final line, and half-close."""
         if self.state not in FINISHED:
             self.sendLine(line)
             self.finish()
 
     def finish(self) -> None:
-        """Half-close: what was written leaves, then our end, and the client may close its own."""
+        """Half-close: send all pending output and then FIN, and wait for the client to close."""
         if not self.transition_to(ConnectionState.HALF_CLOSED):
             return
         self.release_id()
         self.clearLineBuffer()
         self.setRawMode()
         end_sending(self.transport)
-        self.transport.resumeProducing()  # its host may have paused it
-        self.set_timeout(LINGER)
-        self.services.admission.on_answered(self)  # last: where there is no room it is closed at once
+        self.transport.resumeProducing()  # flow control of the relay may have paused it
+        self.set_timeout(LINGER_TIMEOUT)
+        self.services.admission.on_answered(self)  # last, as a shortage of descriptors evicts it at once
 
     def log_close(self, why: Reason) -> None:
-        """Log why its connection, which stood, ends."""
+        """Log why an established connection ends."""
         if self.head is not None:
             self.services.request_log.closed(self.head.id.decode(), why)
 
     def release_id(self) -> None:
-        """Let other clients use its request's id."""
+        """Release the request's id for use by other clients."""
         if self.head is not None:
             self.services.connections.open_ids.discard(self.head.id)
 
     def evict(self) -> None:
-        """Close now: its descriptor is needed, or it has had its time to close by itself."""
+        """Close now, as the descriptor is needed or the client has not closed in time."""
         if self.state in WITHOUT_REQUEST:
             drain_receive_buffer(self.transport)
             if self.state in WITHOUT_REQUEST:
                 self.reply_busy()
         if self.state is ConnectionState.HALF_CLOSED:
             self.transport.loseConnection()
-            if self.state is ConnectionState.HALF_CLOSED:  # it does not read its answer
+            if self.state is ConnectionState.HALF_CLOSED:  # output is pending: the client doesn't read
                 self.transport.abortConnection()
 
     def discard(self, data: bytes) -> None:
-        """Drop what comes after the answer, with pauses, so that others have their turn."""
+        """Discard input after the answer, with pauses in which other connections are read."""
         self._discarded += len(data)
         if self._discarded >= DISCARD_LIMIT:
             self._discarded = 0
--- a/puffindeck/net/client_listeners.py
+++ b/puffindeck/net/client_listeners.py
@@ -1,4 +1,4 @@
-"""The listening sockets for clients: opened at the start, or taken over from the platform."""
+"""The listening sockets for clients: opened at startup, or inherited from the supervising platform."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from puffindeck.net.admission import AdmissionControl
 from puffindeck.net.listening import Port, adopt, listen
 
-BACKLOG = 1024  # a storm's connections, all within one turn of the reactor
+BACKLOG = 1024  # connections of a burst, all of which may arrive within one reactor turn
 
 
 class ClientListeners:
-    """The node's main port, and one for each listener that its routes name.
+    """The node's main port, and one port for each listener named in its routes.
 
-    `inherited`: the descriptor of a socket that the platform holds, or None. `build_factory` makes the
-    factory of a listener's clients from the listener's name.
+    `inherited` is the descriptor of a listening socket that the platform has open, or None. `build_factory`
+    returns the client factory for a listener's name.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
 
     @property
     def is_inherited(self) -> bool:
-        """Is the main socket one that other processes hold too?"""
+        """Whether the main socket is shared with other processes."""
         return self._inherited is not None
 
     def open_main(self, address: tuple[str, int]) -> None:
@@ -44,19 +44,19 @@
         self.main = self._open(address, "listen")
 
     def open_named(self, name: str, address: tuple[str, int]) -> Port:
-        """Open the port of a listener that routes name. Raises CannotListenError."""
+        """Open the port of a listener named in the routes. Raises CannotListenError."""
         port = self._open(address, name)
         self.named.append(port)
         return port
 
     def adopt_main(self) -> None:
-        """Accept from the platform's socket."""
+        """Start to accept from the inherited socket."""
         assert self._inherited is not None
         self.main = adopt(self._reactor, self._inherited, self._build_factory("listen"))
         self.main.on_blocked = self._admission.evict_one
 
     def _open(self, address: tuple[str, int], name: str) -> Port:
-        """Open a port. Where descriptors are short, a client without a request gives up its own."""
+        """Open a port. When accepts fail for lack of descriptors, a client without a request is evicted."""
         port = listen(self._reactor, address, self._build_factory(name), BACKLOG)
         port.on_blocked = self._admission.evict_one
         return port
@@ -65,17 +65,18 @@
         return [port for port in (self.main, *self.named) if port is not None and port.connected]
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Close all ports."""
         for port in self._connected():
-            port.shut()
+            port.close_now()
 
-    def close_when_empty(self, is_late: bool) -> bool:
-        """Accept all who wait, then close the ports if nobody did, or if it is late. False if somebody did.
+    def close_when_empty(self, is_overdue: bool) -> bool:
+        """Accept all pending connections; close the ports if there were none, or if the shutdown is overdue.
 
-        Who waits at a socket that other processes hold is left to those.
+        Returns whether there were none. Connections pending at an inherited socket are left to the other
+        processes that share it.
         """
         accepted = 0 if self.is_inherited else sum(port.accept_all() for port in self._connected())
-        is_blocked = any(port.blocked for port in self._connected())  # some still wait there
-        if is_late or not (accepted or is_blocked):
+        is_blocked = any(port.blocked for port in self._connected())  # connections are still pending there
+        if is_overdue or not (accepted or is_blocked):
             self.close()
         return not (accepted or is_blocked)
--- a/puffindeck/net/client_services.py
+++ b/puffindeck/net/client_services.py
@@ -1,4 +1,4 @@
-"""What every client's connection works with: the parts of the node that all of them share."""
+"""The parts of a node that all client connections share."""
 
 from __future__ import annotations
 
@@ -36,4 +36,4 @@
     request_log: RequestLog
     rejected_lines: RateLimitedLog
     wall_clock: WallClock
-    connect_timeout: timedelta  # of one attempt; a reload changes it
+    connect_timeout: timedelta  # time limit for the connect of one attempt; a reload may change it
--- a/puffindeck/net/closing.py
+++ b/puffindeck/net/closing.py
@@ -1,7 +1,8 @@
-"""How connections end, so that the last line leaves whole and nothing starts for a client that has gone.
+"""Closing connections without losing the last line, and detecting closes before the reactor does.
 
-A transport of the reactor writes, shuts and closes in a later turn. Between turns the other side may send,
-end or break, and an abort throws away what is still to be written. What must not wait is done at once.
+Twisted's transports write, shut down and close in a later reactor turn. Between turns the peer may send,
+close or reset, and an abort discards pending output. The functions here do in the current turn what must not
+wait.
 """
 
 from __future__ import annotations
@@ -17,30 +18,30 @@
 from puffindeck.core.local_resource_errors import TRANSIENT
 from puffindeck.core.timer_queue import TimerQueue
 
-LINGER = milliseconds(600)  # how long a connection that is to end may take to send what it still holds
+LINGER_TIMEOUT = milliseconds(600)  # time for a closing connection to send its pending output
 
 
 def flush(transport: Any) -> None:
-    """Hand what was written to the system now. What it does not take follows later."""
+    """Write pending output to the socket now. What the system doesn't accept follows in later turns."""
     if transport.connected and not transport.disconnecting:
-        transport.doWrite()  # a failure shows again in the reactor's next turn, which ends the connection
+        transport.doWrite()  # a failure recurs in the reactor's next turn, which then closes the connection
 
 
 def drain_receive_buffer(transport: Any) -> None:
-    """Read what has come by now: it is still owed an answer, though we end the connection."""
+    """Read the input received by now, as it must be answered even if the connection is about to be closed."""
     if transport.connected and not transport.disconnecting:
-        transport.doRead()  # an end shows again in the reactor's next turn
+        transport.doRead()  # an end of file recurs in the reactor's next turn
 
 
 def end_sending(transport: Any) -> None:
-    """Half-close: all that was written leaves, then our end of it, in this turn if the system takes it."""
+    """Half-close: send pending output, then FIN; in this turn if the socket buffer has space."""
     transport.unregisterProducer()
     transport.loseWriteConnection()
     flush(transport)
 
 
 def peer_has_closed(transport: Any) -> bool:
-    """Has the other side ended or broken the connection, though the reactor has not come to it yet?"""
+    """Return whether the peer has closed or reset the connection, even if the reactor has not noticed yet."""
     if not transport.connected:
         return True
     try:
@@ -50,37 +51,40 @@
 
 
 def close(transport: Any, deadlines: TimerQueue, connected: Callable[[], bool]) -> None:
-    """End a connection with all that was written, or without it if the other side does not take it."""
+    """Close a connection after its pending output; abort it if that takes longer than LINGER_TIMEOUT."""
     end_sending(transport)
     transport.loseConnection()
-    deadlines.after(LINGER, lambda: connected() and transport.abortConnection())
+    deadlines.after(LINGER_TIMEOUT, lambda: connected() and transport.abortConnection())
 
 
 @implementer(IPullProducer)
 class _ResetWhenSent:
-    """Asked for more when it is registered, and again once every byte before it is written."""
+    """A pull producer that resets its connection once all output written before it has been sent.
+
+    The transport calls it on registration, and again when its buffer is empty.
+    """
 
     def __init__(self, transport: Any) -> None:
         self._transport = transport
-        self._asked_once = False
+        self._has_resumed = False
 
     def resumeProducing(self) -> None:
-        """Reset the connection when asked the second time (Twisted's hook)."""
-        if self._asked_once:
+        """Reset the connection at the second call (Twisted's hook)."""
+        if self._has_resumed:
             self._transport.abortConnection()
         else:
-            self._asked_once = True
+            self._has_resumed = True
             self._transport.startWriting()
 
     def stopProducing(self) -> None:
-        """Do nothing: the transport is gone (Twisted's hook)."""
+        """Do nothing, as the transport is closed (Twisted's hook)."""
 
 
-def break_off(transport: Any, deadlines: TimerQueue, connected: Callable[[], bool]) -> None:
-    """End a connection as a break ends one, but not before what was said has left: it may be the answer.
+def reset_after_flush(transport: Any, deadlines: TimerQueue, connected: Callable[[], bool]) -> None:
+    """Reset a connection once its pending output is sent, as that may contain the client's answer.
 
-    A transport writes in a later turn of the reactor, and an abort throws away what it still holds.
+    An immediate abort would discard it. The connection is aborted after LINGER_TIMEOUT in any case.
     """
     transport.unregisterProducer()
     transport.registerProducer(_ResetWhenSent(transport), False)
-    deadlines.after(LINGER, lambda: connected() and transport.abortConnection())
+    deadlines.after(LINGER_TIMEOUT, lambda: connected() and transport.abortConnection())
--- a/puffindeck/net/config_reload.py
+++ b/puffindeck/net/config_reload.py
@@ -1,4 +1,4 @@
-"""Reads the configuration file anew under a running node."""
+"""Reloads the configuration file of a running node."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 log = Logger("puffindeck")
 
-RETRY_DELAY = milliseconds(500)  # after a reload whose file the system could not read
+RETRY_DELAY = milliseconds(500)  # delay after a reload whose file could not be read
 
-# Returns the new settings, and the keys that only a restart takes up. Raises ConfigError.
+# Returns the new settings, and the changed keys that take effect only after a restart. Raises ConfigError.
 ReadConfig = Callable[[NodeConfig], tuple[NodeConfig, list[str]]]
 
 
 class ConfigReload:
-    """A file that can't be used changes nothing; one that the system can't read now is read again.
+    """Applies the configuration file again. An invalid file changes nothing; an unreadable one is retried.
 
-    `config` returns the settings in force, `apply` takes up new ones.
+    `config` returns the settings in force, `apply` puts new ones into force.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._retry: Deadline | None = None
 
     def run(self, read: ReadConfig) -> None:
-        """Read the file and take up what has changed in it."""
+        """Read the file and apply its changes."""
         self._deadlines.cancel(self._retry)
         if self._lifecycle.has_ended:
             return
--- a/puffindeck/net/connection_state.py
+++ b/puffindeck/net/connection_state.py
@@ -6,31 +6,31 @@
 
 
 class ConnectionState(Enum):
-    """Where a client's connection is. docs/design/lifecycle.md has every crossing of two events."""
+    """The state of a client's connection. docs/design/lifecycle.md lists every race of two events."""
 
-    NEW = auto()  # no whole line has come yet
-    ASKING_READINESS = auto()  # it has sent PING, which is answered once readiness is known
-    IDLE = auto()  # its PING is answered, and nothing has come since
-    WAITING = auto()  # its request is with the engine, and owed its one answer
-    RELAYING = auto()  # served: bytes pass as they are
-    HOLDING_LINE = auto()  # served, soon to be moved: whole lines pass, a line's start waits for its end
-    MOVING = auto()  # served, to be moved as soon as the line that it is in the middle of has ended
-    HALF_CLOSED = auto()  # answered, and our side is closed; what still comes is discarded
-    RESETTING = auto()  # to be reset, as its host was, once all that was written has left
+    NEW = auto()  # no complete line received yet
+    AWAITING_READINESS = auto()  # PING received; it is answered once readiness is known
+    IDLE = auto()  # PING answered; nothing received since
+    WAITING = auto()  # the engine has its request and must answer it once
+    RELAYING = auto()  # served: bytes are relayed unchanged
+    HOLDING_LINE = auto()  # served, MOVE follows soon: a partial line is buffered until it is complete
+    MOVING = auto()  # served; MOVE is sent when the line that is being relayed has ended
+    HALF_CLOSED = auto()  # answered, and our side is closed; further input is discarded
+    RESETTING = auto()  # reset once all output is sent, as the host's connection was reset
     GONE = auto()  # closed
 
 
-# Of two events that fall together, the second finds that its state can't be reached, and does nothing.
+# Of two concurrent events, the second can't reach its state from that of the first, and has no effect.
 TRANSITIONS: dict[ConnectionState, frozenset[ConnectionState]] = {
     ConnectionState.NEW: frozenset(
         {
-            ConnectionState.ASKING_READINESS,
+            ConnectionState.AWAITING_READINESS,
             ConnectionState.WAITING,
             ConnectionState.HALF_CLOSED,
             ConnectionState.GONE,
         }
     ),
-    ConnectionState.ASKING_READINESS: frozenset(
+    ConnectionState.AWAITING_READINESS: frozenset(
         {
             ConnectionState.IDLE,
             ConnectionState.WAITING,
@@ -40,7 +40,7 @@
     ),
     ConnectionState.IDLE: frozenset(
         {
-            ConnectionState.ASKING_READINESS,
+            ConnectionState.AWAITING_READINESS,
             ConnectionState.WAITING,
             ConnectionState.HALF_CLOSED,
             ConnectionState.GONE,
@@ -83,6 +83,6 @@
     ConnectionState.GONE: frozenset(),
 }
 CAN_TIME_OUT = frozenset({ConnectionState.NEW, ConnectionState.IDLE, ConnectionState.HALF_CLOSED})
-WITHOUT_REQUEST = frozenset({ConnectionState.NEW, ConnectionState.ASKING_READINESS, ConnectionState.IDLE})
+WITHOUT_REQUEST = frozenset({ConnectionState.NEW, ConnectionState.AWAITING_READINESS, ConnectionState.IDLE})
 SERVED = frozenset({ConnectionState.RELAYING, ConnectionState.HOLDING_LINE, ConnectionState.MOVING})
 FINISHED = frozenset({ConnectionState.HALF_CLOSED, ConnectionState.RESETTING, ConnectionState.GONE})
--- a/puffindeck/net/connection_table.py
+++ b/puffindeck/net/connection_table.py
@@ -1,4 +1,4 @@
-"""The connections that a node has open."""
+"""The open connections of a node."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class ConnectionTable:
-    """Clients, connections to hosts, and the ids of requests that are open."""
+    """Clients, connections to hosts, and the ids of open requests."""
 
     def __init__(self) -> None:
         self.clients: set[ClientProtocol] = set()
-        self.upstreams: set[UpstreamConnection] = set()  # those being connected too
-        self.open_ids: set[bytes] = set()  # of clients' requests, until their answer or their end
+        self.upstreams: set[UpstreamConnection] = set()  # includes those that are still connecting
+        self.open_ids: set[bytes] = set()  # of requests whose client has no final answer and has not closed
--- a/puffindeck/net/decision_module.py
+++ b/puffindeck/net/decision_module.py
@@ -1,4 +1,4 @@
-"""The decision module that a node's settings ask for."""
+"""Selects the decision module that a node's settings require."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 def build_decision_module(config: NodeConfig, directory: Directory) -> Any:
-    """Build the balancer: one for each tier where there are pools, on a smoothed ring if the settings say so.
+    """Build the balancer: one per tier, behind a router, if pools are configured; otherwise a single one.
 
-    Modules that this node has no use for are not imported.
+    The single balancer uses a smoothed ring if `evenness` is set. Only the modules needed are imported.
     """
     settings, seed = config.settings, config.seed
     if config.routing is not None:
--- a/puffindeck/net/detachment.py
+++ b/puffindeck/net/detachment.py
@@ -1,7 +1,7 @@
-"""Hosts that operators have taken out of use, whichever process of the node they called.
+"""Hosts that operators have detached, through whichever process of the node.
 
-An operator's call holds in this process at once. Its record, by which it outlives the process, is tried again
-until the folder takes it.
+An operator's call takes effect in this process at once. Its record on disk, which outlives the process, is
+retried until it is written.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 
 log = Logger("puffindeck")
 
-POLL_INTERVAL = milliseconds(100)  # how often the records of another process are read
+POLL_INTERVAL = milliseconds(100)  # time between two reads of the records, which all processes share
 
 
 class Detachment:
-    """The detached hosts, and which of them have no record yet."""
+    """The detached hosts, and those whose record is not written yet."""
 
     def __init__(
         self,
@@ -37,15 +37,15 @@
         self._deadlines = deadlines
         self._errors = errors
         self._hosts: set[str] = set()
-        self._unrecorded: dict[str, str] = {}  # hosts whose record could not be changed, and why
+        self._unrecorded: dict[str, str] = {}  # host -> why its record could not be changed
 
     def start(self) -> None:
-        """Read the records, and go on reading them. A folder that can't be made is tried again."""
+        """Read the records now and at each POLL_INTERVAL. Creating their folder is retried if it fails."""
         self._make_folder()
         self._poll()
 
     def detach(self, host: str) -> bool:
-        """Send nothing more to a host, whatever the list says. False if the list has never named it."""
+        """Stop using a host, whatever the discovery list says. Returns False if no list has ever named it."""
         is_known = self._directory.is_known(host)
         if is_known:
             self._detach_now(host)
@@ -53,7 +53,7 @@
         return is_known
 
     def attach(self, host: str) -> bool:
-        """Use a host again. False if the list has never named it and it is not detached."""
+        """Use a host again. Returns False if no list has ever named it and it is not detached."""
         is_known = self._directory.is_known(host) or host in self._hosts
         if is_known:
             self._attach_now(host)
@@ -61,7 +61,7 @@
         return is_known
 
     def record_error(self, host: str) -> str:
-        """Why the last call for a host has no record yet; empty if it has one."""
+        """Return why the last call for a host is not recorded yet; empty if it is."""
         return self._unrecorded.get(host, "")
 
     def _record(self, host: str) -> None:
@@ -79,15 +79,15 @@
             self._unrecorded.pop(host, None)
 
     def _poll(self) -> None:
-        """Write what has no record yet, then read what the other process of an upgrade was called for."""
+        """Write missing records, then apply those that the other process of an upgrade has written."""
         self._deadlines.after(POLL_INTERVAL, self._poll)
         for host in list(self._unrecorded):
             self._record(host)
         try:
             self._apply_records()
-        except FileNotFoundError:  # the folder was never made, or is lost with all records
+        except FileNotFoundError:  # the folder was never created, or was deleted with all records
             self._make_folder()
-        except OSError as error:  # what this process knows holds
+        except OSError as error:  # this process's state stays in force
             self._errors.write("staff: records can't be read: {error}", error=error)
 
     def _make_folder(self) -> None:
@@ -100,7 +100,7 @@
             self._record(host)
 
     def _apply_records(self) -> None:
-        unrecorded = self._unrecorded.keys()  # newer than what the folder says
+        unrecorded = self._unrecorded.keys()  # their state here is newer than that in the folder
         marked = (self.store.read() - unrecorded) | (self._hosts & unrecorded)
         for host in sorted(marked - self._hosts):
             self._detach_now(host)
--- a/puffindeck/net/detachment_store.py
+++ b/puffindeck/net/detachment_store.py
@@ -1,4 +1,4 @@
-"""The stored form of detached hosts: a marker file for each, which a restart or an upgrade finds again."""
+"""Persistent storage of detached hosts: a marker file for each, which survives restarts and upgrades."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class DetachmentStore:
-    """The marker files of one node. A file is created and unlinked as a whole, so no reader sees half of one.
+    """The marker files of one node. Creating and unlinking a file is atomic, so no reader sees half of one.
 
     All methods raise OSError.
     """
@@ -20,10 +20,10 @@
         self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
 
     def _marker(self, host: str) -> Path:
-        return self._folder / host.encode().hex()  # so no host's name leads out of the folder
+        return self._folder / host.encode().hex()  # hexadecimal, so that no name leads out of the folder
 
     def put(self, host: str) -> None:
-        """Store that a host is detached."""
+        """Create the marker of a detached host."""
         self._marker(host).touch(mode=0o600)
 
     def drop(self, host: str) -> None:
@@ -31,7 +31,7 @@
         self._marker(host).unlink(missing_ok=True)
 
     def read(self) -> set[str]:
-        """Return the hosts with a marker. Files that are not markers are ignored."""
+        """Return the hosts that have a marker. Other files are ignored."""
         hosts = set()
         for marker in self._folder.iterdir():
             with suppress(ValueError):  # not hexadecimal, or not UTF-8
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over HTTP: the whole list where there is none yet, then a watch on its changes."""
+"""Service discovery over HTTP: fetches the whole list if none is known yet, then watches its changes."""
 
 from __future__ import annotations
 
@@ -33,14 +33,16 @@
 
 
 class DiscoveryWatch:
-    """One watch at a time. When it breaks, the decision module is told, and says when to poll again.
+    """Keeps one watch open. When it fails, the decision module is notified and schedules the next poll.
 
-    With no version to watch from, the whole list is asked for first. Where lists are pushed (`pushed`),
-    nobody says when to poll, and what the agent on this machine has counts as known, watched or not. So it is
-    watched from the start, and after a break its whole list is read again. A silent agent is called again and
-    again, in parallel with the calls that are out: what it receives when it is back counts at once.
+    Without a known version the whole list is requested first.
 
-    `on_answer` is called with each answer, and with each failure.
+    If lists are pushed to an agent on this machine (`pushed`), the decision module schedules no polls, and a
+    list counts as known as soon as the agent has it. The agent is therefore watched from the start, and its
+    whole list is read again after each failure. A silent agent is called repeatedly, in parallel with the
+    calls still open, so that the list that it receives when it recovers is read at once.
+
+    `on_answer` is called after each answer and after each failure.
     """
 
     def __init__(
@@ -64,25 +66,27 @@
         self._pushed = pushed
         self._state = WatchState(None if pushed else version)
         self._on_answer = on_answer
-        self._calls: list[Deferred[Any]] = []  # oldest first; only a silent agent has more than one
+        self._calls: list[
+            Deferred[Any]
+        ] = []  # open calls, oldest first; more than one only for a silent agent
         self._response: WatchResponse | None = None
         self._timeout: Deadline | None = None
-        self._list_timeout: Deadline | None = None  # when a list that has begun must have ended
+        self._list_timeout: Deadline | None = None  # time by which a partial list must be complete
         self._retry: Deadline | None = None
         self._stopped = False
 
     def start(self) -> None:
-        """Poll an agent that has lists pushed to it; otherwise the decision module says when."""
+        """Poll at once if lists are pushed to an agent; otherwise the decision module schedules the polls."""
         if self._pushed:
             self.poll()
 
     @property
     def version(self) -> int | None:
-        """The version of the list that is known; None for none."""
+        """The version of the known list; None if there is no list."""
         return self._state.version
 
     def poll(self) -> None:
-        """Watch from the known version on. Nothing is done while a call is out or a response comes in."""
+        """Watch from the known version on. Does nothing while a call or a response is in progress."""
         if self._calls or self._response is not None or self._stopped:
             return
         self._deadlines.cancel(self._retry)
@@ -93,7 +97,7 @@
         self._call()
 
     def _call_in_parallel(self) -> None:
-        """Call once more: the agent is silent, or this process too busy to read. Any answer counts."""
+        """Make another call, as the agent is silent or this process too busy to read. Any answer counts."""
         if len(self._calls) == 1:
             self._report_failure("no answer")
         while len(self._calls) >= MAX_PARALLEL_CALLS:
@@ -109,24 +113,24 @@
         call.addCallbacks(self._on_response, self._on_call_failed, (call, watching), None, (call,))
 
     def _on_response(self, response: Any, call: Deferred[Any], watching: bool) -> None:
-        if call not in self._calls:  # given up, and answered in that very moment
-            response_lines = WatchResponse(None)
-            response.deliverBody(response_lines)
-            response_lines.drop()
+        if call not in self._calls:  # cancelled while its response arrived
+            body = WatchResponse(None)
+            response.deliverBody(body)
+            body.drop()
             return
         self._calls.remove(call)
-        self._give_up_calls()
-        self._response = response_lines = WatchResponse(self) if watching else ListResponse(self)
-        if response.code != 200:  # one failure, not a second one when its body ends
-            response_lines.handler = None
-            response.deliverBody(response_lines)
+        self._cancel_calls()
+        self._response = body = WatchResponse(self) if watching else ListResponse(self)
+        if response.code != 200:  # without a handler the body's end is not reported as a second failure
+            body.handler = None
+            response.deliverBody(body)
             self.on_failure(f"status {response.code}")
             return
         if watching:
             self.on_heartbeat()
-        elif self._pushed:  # where lists are asked for, its end is due as its answer is
+        elif self._pushed:  # without push, the time-out set by poll() covers the whole list
             self._expect_bytes(ANSWER_TIMEOUT)
-        response.deliverBody(response_lines)
+        response.deliverBody(body)
 
     def _on_call_failed(self, failure: Failure, call: Deferred[Any]) -> None:
         if call in self._calls:
@@ -135,23 +139,23 @@
                 self.on_failure(failure.getErrorMessage())
 
     def _expect_bytes(self, timeout: timedelta) -> None:
-        """Fail unless bytes come within the time-out."""
+        """Fail unless bytes are received within the time-out."""
         self._deadlines.cancel(self._timeout)
         self._timeout = self._deadlines.after(timeout, self.on_failure, "silent")
 
     def on_heartbeat(self) -> None:
-        """Note that bytes have come. Silence counts from the last of them, even of half a line."""
+        """Restart the silence time-out at each received byte, even of a partial line."""
         self._expect_bytes(SILENCE_TIMEOUT)
 
     def on_line(self, line: bytes) -> None:
-        """Read a line of a watch. An empty one says that nothing has changed."""
-        if self._read(self._state.read_line, line) and not self._state.list_begun:
+        """Read a line of a watch. An empty line means that nothing has changed."""
+        if self._apply(self._state.read_line, line) and not self._state.list_begun:
             self._cancel_list_timeout()
             self._directory.record_contact(self._deadlines.clock.now())
             self._on_answer()
 
     def on_truncated(self, is_truncated: bool) -> None:
-        """Limit the time of a list that trickles in."""
+        """Limit the time for a partial list to be completed."""
         if not is_truncated and not self._state.list_begun:
             self._cancel_list_timeout()
         elif self._list_timeout is None:
@@ -160,14 +164,14 @@
 
     def on_complete(self, text: bytes) -> None:
         """Read a whole list, then watch its changes."""
-        if self._read(self._state.read_list, text):
+        if self._apply(self._state.read_list, text):
             self._on_answer()
             self._drop()
             self.poll()
 
-    def _read(self, read: Callable[[bytes], EndpointList | None], text: bytes) -> bool:
+    def _apply(self, parse: Callable[[bytes], EndpointList | None], text: bytes) -> bool:
         try:
-            members = read(text)
+            members = parse(text)
         except WatchError as error:
             self.on_failure(str(error))
             return False
@@ -183,7 +187,7 @@
         self._list_timeout = None
 
     def on_failure(self, why: str) -> None:
-        """Give up the call or the watch, and report its failure."""
+        """Cancel the calls or the watch, and report the failure."""
         self._drop()
         if not self._stopped:
             if self._pushed:
@@ -200,12 +204,12 @@
     def _drop(self) -> None:
         self._deadlines.cancel(self._timeout)
         self._cancel_list_timeout()
-        self._give_up_calls()
-        response_lines, self._response = self._response, None
-        if response_lines is not None:
-            response_lines.drop()
+        self._cancel_calls()
+        body, self._response = self._response, None
+        if body is not None:
+            body.drop()
 
-    def _give_up_calls(self) -> None:
+    def _cancel_calls(self) -> None:
         calls, self._calls = self._calls, []
         for call in calls:
             call.cancel()
--- a/puffindeck/net/discovery_responses.py
+++ b/puffindeck/net/discovery_responses.py
@@ -1,4 +1,4 @@
-"""Discovery's responses as they come in: the lines of a watch, or a whole list to its end."""
+"""Readers of discovery's HTTP response bodies: the lines of a watch, or a whole list."""
 
 from __future__ import annotations
 
@@ -15,39 +15,39 @@
 
 @implementer(IAgentEndpointFactory)
 class AddressEndpoints:
-    """Connects straight to an address: hosts here have no names to look up."""
+    """Connects to the IP address in a URL without name resolution."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
 
     def endpointForURI(self, uri: URI) -> Any:
-        """Return the endpoint of a URL whose host is an address (Twisted's hook)."""
+        """Return the endpoint of a URL whose host is an IP address (Twisted's hook)."""
         host = uri.host.decode()
         kind = endpoints.TCP6ClientEndpoint if ":" in host else endpoints.TCP4ClientEndpoint
         return kind(self._reactor, host, uri.port, timeout=2)
 
 
 class ResponseHandler(Protocol):
-    """Reads the list out of a response."""
+    """Receives the contents of a response."""
 
     def on_heartbeat(self) -> None:
-        """Note that bytes have come."""
+        """Handle the receipt of any bytes."""
 
     def on_line(self, line: bytes) -> None:
-        """Read a whole line of a watch; an empty one is a heartbeat only."""
+        """Handle a complete line of a watch; an empty one is only a heartbeat."""
 
     def on_complete(self, text: bytes) -> None:
-        """Read a whole list."""
+        """Handle a complete list."""
 
     def on_truncated(self, is_truncated: bool) -> None:
-        """Note whether the last line has not ended yet."""
+        """Handle the end of a segment; `is_truncated` is whether its last line is incomplete."""
 
     def on_failure(self, why: str) -> None:
-        """Note that the response is of no use."""
+        """Handle an unusable response, for the reason given."""
 
 
 class WatchResponse(LineOnlyReceiver):
-    """The lines of a watch. Without a handler what comes is ignored."""
+    """Splits a watch into lines. Without a handler its contents are ignored."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_BYTES
@@ -57,37 +57,37 @@
         self.handler = handler
 
     def dataReceived(self, data: bytes) -> None:
-        """Read a piece of the response (Twisted's hook)."""
+        """Read a segment of the response (Twisted's hook)."""
         if self.handler is not None:
             self.handler.on_heartbeat()
         super().dataReceived(data)
-        if self.handler is not None:  # a line may have ended the reading
+        if self.handler is not None:  # a line's handler may have dropped the response
             self.handler.on_truncated(bool(self._buffer))
 
     def lineReceived(self, line: bytes) -> None:
-        """Pass on a whole line (Twisted's hook)."""
+        """Pass a complete line to the handler (Twisted's hook)."""
         if self.handler is not None:
             self.handler.on_line(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Fail a watch whose line is too long (Twisted's hook)."""
+        """Report a line that is too long as a failure (Twisted's hook)."""
         if self.handler is not None:
             self.handler.on_failure("a line over 4 MiB")
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Note the end of the response (Twisted's hook)."""
+        """Report the end of the response as a failure (Twisted's hook)."""
         if self.handler is not None:
-            self.handler.on_failure("it ended")
+            self.handler.on_failure("the response ended")
 
     def drop(self) -> None:
-        """Close the connection; nothing more is passed on."""
+        """Close the connection, and pass nothing more to the handler."""
         self.handler = None
         if self.transport is not None:
             self.transport.loseConnection()
 
 
 class ListResponse(WatchResponse):
-    """A whole list, read to its end. It is due as the answer is: further bytes extend no time-out."""
+    """Collects a whole list. Received bytes extend no time-out, as they report no heartbeat."""
 
     def __init__(self, handler: ResponseHandler | None) -> None:
         super().__init__(handler)
@@ -95,13 +95,13 @@
         self._size = 0
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep a piece of the response (Twisted's hook)."""
+        """Store a segment of the response (Twisted's hook)."""
         self._parts.append(data)
         self._size += len(data)
         if self._size > self.MAX_LENGTH and self.handler is not None:
             self.handler.on_failure("a list over 4 MiB")
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Pass the list on at its end (Twisted's hook)."""
-        if self.handler is not None:  # one cut short can't be read
+        """Pass the complete list to the handler (Twisted's hook)."""
+        if self.handler is not None:  # a truncated list fails to parse
             self.handler.on_complete(b"".join(self._parts))
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -1,4 +1,4 @@
-"""A node that is a member of a fleet: its datagrams, its quotas, and what operators are shown of them."""
+"""A node's membership in a fleet: its datagrams, quotas and residency rules, and their status documents."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class FleetMember:
-    """This node's part in its fleet. Nothing of it is loaded where the file has no [fleet] table.
+    """This node's membership in its fleet. Fleet modules are imported only if the file has a [fleet] table.
 
-    `config` returns the settings in force. `on_name_taken_over` is called when another process has this
-    instance's name, so that this one has to end.
+    `config` returns the settings in force. `on_name_taken_over` is called when another process has taken over
+    this instance's name, so that this one must end.
     """
 
     def __init__(
@@ -42,16 +42,18 @@
         self._directory = directory
         self._config = config
         self._on_name_taken_over = on_name_taken_over
-        self.fleet: Fleet | None = None  # for a member of one
-        self.request_filter: Any = None  # puffindeck_fleet.RequestFilter, where there are quotas or rules
-        self.failure = ""  # why this process has to end with an error
+        self.fleet: Fleet | None = None  # None for a node without a fleet
+        self.request_filter: Any = (
+            None  # puffindeck_fleet.RequestFilter if there are quotas or residency rules
+        )
+        self.failure = ""  # why this process must end with an error; empty if it need not
         self._engine: Engine | None = None
 
     def wrap(self, balancer: Any) -> Decisions:
-        """Return the decision module, behind the quotas and rules where there are any."""
+        """Return the decision module, wrapped in a request filter if there are quotas or residency rules."""
         config = self._config()
-        installed = config.fleet_member
-        if installed is None:
+        member_config = config.fleet_member
+        if member_config is None:
             decisions: Decisions = balancer
             return decisions
         from puffindeck_fleet import Fleet
@@ -62,12 +64,12 @@
             self._reactor,
             self._deadlines,
             config.name,
-            installed.fleet,
+            member_config.fleet,
             process_incarnation,
             config.seed,
             self._end_after_takeover,
         )
-        if installed.quota is None and installed.residency is None:
+        if member_config.quota is None and member_config.residency is None:
             return balancer  # type: ignore[no-any-return]
         self.request_filter = self._build_request_filter(balancer, process_incarnation)
         return self.request_filter  # type: ignore[no-any-return]
@@ -76,10 +78,10 @@
         from puffindeck_fleet import RequestFilter
 
         config = self._config()
-        installed = config.fleet_member
-        assert installed is not None
-        rules = installed.residency
-        quota = self._build_quota(process_incarnation) if installed.quota is not None else None
+        member_config = config.fleet_member
+        assert member_config is not None
+        rules = member_config.residency
+        quota = self._build_quota(process_incarnation) if member_config.quota is not None else None
         ruleset_store = None
         if rules is not None:
             from puffindeck.config.residency import parse_ruleset
@@ -89,7 +91,7 @@
                 config.name,
                 rules.ruleset,
                 parse_ruleset,
-                installed.voters,
+                member_config.voters,
                 rules.stale_after_ms,
                 rules.refuse_when_stale,
             )
@@ -101,7 +103,7 @@
             self._tenant,
             view=self._view,
             ruleset_store=ruleset_store,
-            region=installed.fleet.region,
+            region=member_config.fleet.region,
             moved_within_ms=rules.moved_within_ms if rules is not None else 0.0,
         )
 
@@ -109,9 +111,9 @@
         from puffindeck_quota import Quota, QuotaSettings
 
         config = self._config()
-        installed = config.fleet_member
-        assert installed is not None
-        limits = installed.quota
+        member_config = config.fleet_member
+        assert member_config is not None
+        limits = member_config.quota
         assert limits is not None
         return Quota(
             config.name,
@@ -120,21 +122,21 @@
             limits=limits.limits,
             seed=config.seed,
             settings=QuotaSettings(skew_ms=limits.skew_ms, epoch_ms=limits.epoch_ms),
-            region=installed.fleet.region,
+            region=member_config.fleet.region,
         )
 
     def join(self, engine: Engine) -> None:
-        """Give the member its node's engine."""
+        """Connect the member to its node's engine."""
         self._engine = engine
         if self.fleet is not None:
             self.fleet.join(engine, self.request_filter)
 
     def _region_of(self, ruleset_store: Any) -> Callable[[int], str]:
-        """Return what finds a zone's region; empty if two rulesets in force name different ones."""
+        """Return a function from a zone to its region; empty if the active rulesets don't agree on one."""
         known: dict[tuple[int, int], str] = {}
 
         def region_of(zone: int) -> str:
-            """Return a zone's region, looked up once in each generation of the rulesets."""
+            """Return a zone's region, cached per generation of the rulesets."""
             key = ruleset_store.generation, zone
             if key not in known:
                 name = self._directory.zone_name(zone)
@@ -145,7 +147,7 @@
         return region_of
 
     def _view(self, event: RequestArrived) -> Any:
-        """Return what is known of a request, for the conditions of tenants and services."""
+        """Return the view of a request that conditions of tenants and services are evaluated on."""
         from puffindeck.routing import View
 
         assert self._engine is not None
@@ -153,17 +155,17 @@
         return View(event.connection_info or ConnectionInfo(), cls, lambda pool: 0, event.group)
 
     def _tenant(self, view: Any) -> str:
-        """Return the first tenant whose conditions hold; else `default`."""
-        installed = self._config().fleet_member
-        assert installed is not None
-        assert installed.quota is not None
-        for name, groups in installed.quota.tenants:
-            if any(all(one.holds(view) for one in group) for group in groups):
+        """Return the first tenant whose conditions hold, or `default` if there is none."""
+        member_config = self._config().fleet_member
+        assert member_config is not None
+        assert member_config.quota is not None
+        for name, groups in member_config.quota.tenants:
+            if any(all(condition.holds(view) for condition in group) for group in groups):
                 return name
         return "default"
 
     def _end_after_takeover(self, error: Exception) -> None:
-        """Another process has this instance's name: this one has to end."""
+        """End this process, as another one has taken over this instance's name."""
         if not self.failure:
             from puffindeck_errors import OperatorError, describe
 
@@ -173,23 +175,23 @@
             self._on_name_taken_over()
 
     def start(self) -> None:
-        """Open the socket and look for the others. Raises BindFailed."""
+        """Open the socket and contact the other members. Raises BindFailed."""
         if self.fleet is not None:
             self.fleet.start()
 
     def reload(self) -> None:
-        """Take up limits, peers and rules of settings that have changed."""
-        installed = self._config().fleet_member
-        if self.fleet is not None and installed is not None:
-            rules = installed.residency
+        """Apply changed limits, peers and rules of the settings in force."""
+        member_config = self._config().fleet_member
+        if self.fleet is not None and member_config is not None:
+            rules = member_config.residency
             self.fleet.reload(
-                installed.fleet,
-                installed.quota.limits if installed.quota is not None else (),
+                member_config.fleet,
+                member_config.quota.limits if member_config.quota is not None else (),
                 rules.ruleset if rules is not None else None,
             )
 
     def leave(self) -> None:
-        """Tell the others that this member leaves."""
+        """Notify the other members that this one leaves."""
         if self.fleet is not None:
             self.fleet.leave()
 
--- a/puffindeck/net/hot_restart.py
+++ b/puffindeck/net/hot_restart.py
@@ -1,4 +1,4 @@
-"""Hot restart: a newer process of the node takes over the clients' socket and what the older one knows."""
+"""Hot restart: a newer process of the node takes over the clients' socket and the learned load limits."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
 
 log = Logger("puffindeck")
 
-HANDOVER_INTERVAL = milliseconds(500)  # how often the state for a next process is stored
-POLL_INTERVAL = milliseconds(100)  # how often this process looks for others
+HANDOVER_INTERVAL = milliseconds(500)  # time between two writes of the state for a next process
+POLL_INTERVAL = milliseconds(100)  # time between two polls for other processes of the node
 
 
 class HotRestart:
-    """This process among those that share the clients' socket.
+    """Coordinates this process with others that share the clients' socket.
 
     `on_superseded` is called when a newer process is ready to serve.
     """
@@ -51,26 +51,26 @@
         self._on_superseded = on_superseded
 
     def join(self) -> None:
-        """Become one of the processes that share the clients' socket, and look for the others."""
+        """Register as one of the processes that share the clients' socket, and poll for the others."""
         try:
             self.registry.register()
-        except OSError as error:  # this process serves all the same; the older one leaves on SIGTERM only
+        except OSError as error:  # this process serves nevertheless; the older one stops at SIGTERM only
             log.error("upgrade: no lock, other processes are not known: {error}", error=error)
         else:
             self._poll_siblings()
             self._write_handover_state()
 
     def _write_handover_state(self) -> None:
-        """Store the load limits for a next process, which would overload strained hosts without them."""
+        """Store the load limits for a next process, which would overload some hosts without them."""
         self._deadlines.after(HANDOVER_INTERVAL, self._write_handover_state)
         if self._lifecycle.is_ready and self._lifecycle.shutdown is None:
-            ceilings = self._engine.balancer.load_limits()
-            limits = {self._directory.name(endpoint): limit for endpoint, limit in ceilings.items()}
+            limit_by_endpoint = self._engine.balancer.load_limits()
+            limits = {self._directory.name(endpoint): limit for endpoint, limit in limit_by_endpoint.items()}
             with suppress(OSError):
                 self.registry.write_handover_state(limits, monotonic_ms())
 
     def restore_handover_state(self) -> None:
-        """Take over the load limits of the process before this one, if there is one."""
+        """Restore the load limits stored by the previous process, if it is still running."""
         with suppress(OSError):
             if self.registry.siblings():
                 limits = self.registry.read_handover_state(monotonic_ms())
@@ -82,17 +82,17 @@
                 )
 
     def publish_state(self) -> None:
-        """Tell the other processes whether this one serves."""
+        """Publish to the other processes whether this one serves."""
         self.registry.publish_state(self._lifecycle.is_ready and self._lifecycle.shutdown is None)
 
     def _poll_siblings(self) -> None:
-        """While there is another process, both share the node's descriptors; a newer one takes over."""
+        """Check at each POLL_INTERVAL whether a newer process is ready and supersedes this one."""
         self._deadlines.after(POLL_INTERVAL, self._poll_siblings)
         if self._lifecycle.is_ready and self.is_superseded() and not self._lifecycle.is_stopping:
             self._on_superseded()
 
     def is_superseded(self) -> bool:
-        """Is a newer process ready? Also shares the descriptors with whichever other process there is."""
+        """Return whether a newer process is ready. Also updates the descriptors that the others have open."""
         try:
             siblings = self.registry.siblings()
             if siblings or self._admission.sibling_descriptors:
@@ -104,5 +104,5 @@
         return any(sibling.is_newer and sibling.is_ready for sibling in siblings)
 
     def leave(self) -> None:
-        """Stop being one of the node's processes."""
+        """Unregister this process."""
         self.registry.unregister()
--- a/puffindeck/net/lifecycle.py
+++ b/puffindeck/net/lifecycle.py
@@ -1,4 +1,4 @@
-"""Whether a node serves: starting, ready, draining or stopping, and who waits to be told."""
+"""Whether a node serves: it is starting, ready, draining or stopping."""
 
 from __future__ import annotations
 
@@ -34,18 +34,18 @@
         self._connections = connections
         self._listeners = listeners
         self.is_ready = False
-        self.is_accepting = True  # requests; the port stays open longer
+        self.is_accepting = True  # whether requests are accepted; the port stays open longer
         self.has_ended = False
         self.shutdown: GracefulShutdown | None = None
-        self._waiting: dict[ReadinessCallback, None] = {}  # in the order in which they asked
+        self._waiting: dict[ReadinessCallback, None] = {}  # in order of registration
 
     @property
     def is_stopping(self) -> bool:
-        """Is this process to end? A node that drains stays."""
+        """Whether this process is going to end; False for a node that only drains."""
         return self.shutdown is not None and self.shutdown.ends_process
 
     def reason_not_ready(self) -> str:
-        """Why this node does not serve, in one word; empty if it does."""
+        """Return why this node does not serve, in one word; empty if it does."""
         if not self.is_ready:
             return "starting"
         if self.shutdown is None:
@@ -53,50 +53,50 @@
         return "stopping" if self.shutdown.ends_process else "draining"
 
     def when_ready(self, callback: ReadinessCallback) -> None:
-        """Call with True once the node serves; at once with False when it drains or stops."""
+        """Call with True once the node serves, or with False once it drains or stops."""
         if self.is_ready or self.shutdown is not None:
             callback(self.shutdown is None)
         else:
             self._waiting[callback] = None
 
-    def forget(self, callback: ReadinessCallback) -> None:
-        """Drop a callback whose client has gone."""
+    def remove_callback(self, callback: ReadinessCallback) -> None:
+        """Remove a callback whose client has disconnected."""
         self._waiting.pop(callback, None)
 
     def notify_waiting(self) -> None:
-        """Call all who wait, now that it is known whether this node serves."""
+        """Call all waiting callbacks with whether this node serves."""
         waiting, self._waiting = self._waiting, {}
         for callback in waiting:
             callback(self.shutdown is None)
 
     def drain(self) -> None:
-        """Send all clients away, and stay. Once it is under way, a further call changes nothing."""
+        """Move all clients away but keep running. Has no effect during a drain or stop."""
         if self.shutdown is None:
             log.info(
-                "node {name}: lame duck, {count} to move",
+                "node {name}: draining (lame duck), {count} to move",
                 name=self._name,
                 count=len(self._engine.established_requests()),
             )
             self.begin_shutdown(DRAIN, None)
 
     def undrain(self) -> bool:
-        """Take clients again. False if the process is to end."""
+        """Accept clients again. Returns False if the process is stopping."""
         if self.shutdown is not None:
             if self.shutdown.ends_process:
                 return False
             self.shutdown.cancel()
             self.shutdown = None
             self.is_accepting = True
-            log.info("node {name}: lame duck no more", name=self._name)
+            log.info("node {name}: drain (lame duck) cancelled", name=self._name)
         return True
 
     def cancel_shutdown(self) -> None:
-        """Cancel what is planned, as another shutdown is to follow."""
+        """Cancel the current shutdown's remaining steps before another one begins."""
         if self.shutdown is not None:
             self.shutdown.cancel()
 
     def begin_shutdown(self, schedule: DrainSchedule, on_done: Callable[[], None] | None) -> None:
-        """Send all clients away. `on_done` is called at the end; without it the process stays."""
+        """Move all clients away. `on_done` is called at the end; if None, the process keeps running."""
         self.shutdown = GracefulShutdown(
             self._engine,
             self._deadlines,
@@ -109,9 +109,10 @@
         self.notify_waiting()
 
     def stop_accepting(self, for_good: bool) -> None:
-        """Serve no further request. The port stays open to the end, and whoever comes is answered BUSY.
+        """Accept no further requests. The port stays open until the end, and new clients are answered BUSY.
 
-        A socket that other processes hold is left to them, with those who wait there.
+        `for_good`: whether the process is going to end. An inherited socket is then closed at once, and the
+        connections pending there are left to the other processes that share it.
         """
         self.is_accepting = False
         if for_good and self._listeners.is_inherited:
--- a/puffindeck/net/listening.py
+++ b/puffindeck/net/listening.py
@@ -1,8 +1,8 @@
-"""Listening sockets: opened, taken over from the platform, and accepted from whatever this machine lacks.
+"""Listening sockets that are opened or inherited, and that lose no connection to a local shortage.
 
-Twisted's own port closes connections unread when descriptors run out, and tries again at once, in each turn,
-where memory or buffers lack. A connection may hold a whole request: it is owed an answer, so it waits in the
-system's queue until there is room for it.
+Twisted's own port closes connections unread when descriptors run out, and retries in each turn without a
+delay when memory or buffers run out. A connection may already contain a complete request that must be
+answered, so it is left in the system's accept queue until it can be accepted.
 """
 
 from __future__ import annotations
@@ -23,38 +23,39 @@
 
 log = Logger("puffindeck")
 
-ACCEPTS_PER_TURN = 16  # connections accepted in one turn of the reactor
-CLOSE_ROUNDS = 80  # of so many accepts, when a port is to close: more than can wait there
-ACCEPT_RETRY_S = 0.01  # seconds until the next accept, after one that a local shortage failed
-LISTEN_ATTEMPTS = 20  # at a start
-LISTEN_RETRY_S = 0.05  # seconds between them
+ACCEPTS_PER_TURN = 16  # connections accepted per reactor turn
+# Rounds of ACCEPTS_PER_TURN accepts before a port closes; together they exceed the accept queue.
+CLOSE_ROUNDS = 80
+ACCEPT_RETRY_S = 0.01  # seconds until the next accept after one that failed for a local shortage
+LISTEN_ATTEMPTS = 20  # attempts to open a listening socket
+LISTEN_RETRY_S = 0.05  # seconds between two of these attempts
 
 
 class Port(tcp.Port):
-    """A listening port that accepts a few connections at a time, however many wait."""
+    """A listening port that accepts a bounded number of connections per turn."""
 
     transport = ClientTransport
     factory: Any
-    blocked = False  # the last accept failed for a shortage of this machine
+    blocked = False  # whether the last accept failed for a local shortage
     on_blocked: Callable[[], None] = staticmethod(lambda: None)  # may free a descriptor
-    _reserved: int | None = None  # a descriptor that is given up for one connection when there is no other
+    _reserved: int | None = None  # spare descriptor, released to accept one connection when none is left
 
     @property
     def numberAccepts(self) -> int:
-        """How many connections a turn accepts (Twisted's attribute)."""
+        """Number of connections accepted per turn (Twisted's attribute)."""
         return ACCEPTS_PER_TURN
 
     @numberAccepts.setter
     def numberAccepts(self, count: int) -> None:
-        """Keep the bound: the library would accept ever more."""
+        """Ignore the value (Twisted's attribute), as the library would raise it without a bound."""
 
     def startListening(self) -> None:
-        """Open the socket, and keep a descriptor back for a connection that finds none."""
+        """Open the socket and reserve a spare descriptor."""
         super().startListening()
         self._reserve_descriptor()
 
     def doRead(self) -> None:
-        """Accept what waits, up to a bound."""
+        """Accept pending connections, at most ACCEPTS_PER_TURN (Twisted's hook)."""
         for _ in range(ACCEPTS_PER_TURN):
             try:
                 accepted, peer = self.socket.accept()
@@ -67,18 +68,18 @@
                     self._pause(error)
                     return
                 continue
-            self._take_in(accepted, peer)
+            self._open_connection(accepted, peer)
         self.blocked = False
         self._reserve_descriptor()
 
-    def _take_in(self, accepted: socket.socket, peer: Any) -> None:
+    def _open_connection(self, accepted: socket.socket, peer: Any) -> None:
         try:
             protocol = self.factory.buildProtocol(self._buildAddr(peer[:2]))
             number, self.sessionno = self.sessionno, self.sessionno + 1
             transport: Any = self.transport(accepted, protocol, peer, self, number, self.reactor)
             protocol.makeConnection(transport)
-        except Exception:  # a fault with one connection must not keep the others out
-            log.failure("a connection could not be taken in")
+        except Exception:  # a fault with one connection must not block the others
+            log.failure("an accepted connection could not be opened")
             accepted.close()
 
     def _reserve_descriptor(self) -> None:
@@ -86,10 +87,10 @@
             try:
                 self._reserved = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
             except OSError:
-                self._reserved = None  # tried again with the next turn
+                self._reserved = None  # retried in the next turn
 
     def _release_reserved(self, error: OSError) -> bool:
-        """Give the spare descriptor up, so that one more connection can be accepted."""
+        """Release the spare descriptor for one more accept. Returns False if that can't help."""
         if self._reserved is None or error.errno not in NO_RESOURCE:
             return False
         os.close(self._reserved)
@@ -97,7 +98,7 @@
         return True
 
     def _pause(self, error: OSError) -> None:
-        """Leave those who wait in the system's queue for a moment: trying at once would take all the time."""
+        """Stop accepting for ACCEPT_RETRY_S, as immediate retries would take all the process's time."""
         if not self.blocked:
             log.warn("clients: can't accept: {error}, tried again", error=error.strerror)
         self.blocked = True
@@ -110,25 +111,25 @@
             self.startReading()
 
     def accept_all(self) -> int:
-        """Accept all connections that stand: a closing port would reset them. Returns their number."""
-        begun = self.sessionno
+        """Accept all pending connections, which closing the port would reset. Returns their number."""
+        first_session = self.sessionno
         for _ in range(CLOSE_ROUNDS):
             before = self.sessionno
             if self.connected and not self.disconnecting:
                 self.doRead()
             if self.sessionno == before:
                 break
-        return int(self.sessionno - begun)
+        return int(self.sessionno - first_session)
 
-    def shut(self) -> None:
-        """Close in this turn, with nobody between the last accept and the close."""
+    def close_now(self) -> None:
+        """Close in this turn, so that no connection arrives between the last accept and the close."""
         if self.connected and not self.disconnecting:
             self.disconnecting = True
             self.stopReading()
             self.connectionLost(Failure(ConnectionDone()))
 
     def connectionLost(self, reason: Failure) -> None:
-        """The socket is closed; so is the spare descriptor."""
+        """Close the spare descriptor with the socket (Twisted's hook)."""
         super().connectionLost(reason)
         if self._reserved is not None:
             os.close(self._reserved)
@@ -136,32 +137,32 @@
 
 
 def adopt(reactor: Any, descriptor: int, factory: Any) -> Port:
-    """Listen on a socket that others hold too, as the reactor's adoptStreamPort does, with our Port.
+    """Listen on a socket shared with other processes, like the reactor's adoptStreamPort, but with `Port`.
 
-    It is never shut down, as that would end it for all of them, and from now on it does not block.
+    The socket becomes non-blocking. It is never shut down, as that would end it for all processes.
     """
     os.set_blocking(descriptor, False)
-    with socket.socket(fileno=os.dup(descriptor)) as held:
-        family = held.family
+    with socket.socket(fileno=os.dup(descriptor)) as shared:
+        family = shared.family
     opened: Port = Port._fromListeningDescriptor(reactor, descriptor, family, factory)
     opened.startListening()
     return opened
 
 
 def listen(reactor: Any, address: tuple[str, int], factory: Any, backlog: int) -> Port:
-    """Open a listening socket.
+    """Open a listening socket. During a local shortage, retry for up to one second.
 
-    What the machine lacks for a moment is waited for, up to a second. Raises CannotListenError.
+    Raises CannotListenError.
     """
     host, port = address
-    for left in reversed(range(LISTEN_ATTEMPTS)):
+    for attempts_left in reversed(range(LISTEN_ATTEMPTS)):
         opened = Port(port, factory, backlog, host, reactor)
         try:
             opened.startListening()
         except CannotListenError as error:
-            if not left or errno_of(error.socketError) not in NO_RESOURCE:
+            if not attempts_left or errno_of(error.socketError) not in NO_RESOURCE:
                 raise
-            time.sleep(LISTEN_RETRY_S)  # nothing else is served yet
+            time.sleep(LISTEN_RETRY_S)  # blocking is acceptable, as nothing is served yet
         else:
             return opened
     raise AssertionError("unreachable")
--- a/puffindeck/net/logs.py
+++ b/puffindeck/net/logs.py
@@ -1,4 +1,4 @@
-"""Log lines for on-call engineers: time and level first. docs/on-call.md says what each means."""
+"""Log lines for on-call engineers, starting with time and level. docs/on-call.md explains each line."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.core.timer_queue import TimerQueue
 
-PERIOD = milliseconds(5000)  # for which lines of one kind are counted
-MAX_LINES = 20  # of one kind in a period
+PERIOD = milliseconds(5000)  # period over which lines of one kind are counted
+MAX_LINES = 20  # lines of one kind written per period
 
 
 def _timestamp(event: LogEvent) -> str:
@@ -20,12 +20,12 @@
 
 
 def _is_library_detail(event: LogEvent) -> bool:
-    """Is it a library's line that nobody on call needs?"""
+    """Return whether the event is a library's debug or info line, which on-call engineers don't need."""
     return event.get("log_namespace") != "puffindeck" and bool(event["log_level"] < LogLevel.warn)
 
 
 def line(event: LogEvent) -> str | None:
-    """Format an event as a line, with its traceback below it. None for a library's details."""
+    """Format an event as a line, with its traceback below it. Returns None for a library's details."""
     if _is_library_detail(event):
         return None
     text = eventAsText(event, includeTimestamp=False, includeSystem=False).rstrip()
@@ -33,7 +33,7 @@
 
 
 def json_line(event: LogEvent) -> str | None:
-    """Format an event as JSON: `time`, `level`, `event` (text with the names of fields), `text`, fields."""
+    """Format an event as JSON: `time`, `level`, `event` (the format string), `text`, and its fields."""
     if _is_library_detail(event):
         return None
     fields = {key: value for key, value in event.items() if not key.startswith("log_")}
@@ -52,9 +52,9 @@
 
 
 class RateLimitedLog:
-    """Lines that clients cause at their own rate: some are written in a period, the rest only counted.
+    """Limits lines that clients can cause at any rate: `max_lines` are written per period, the rest counted.
 
-    `what` names them in the count. `max_lines`: how many are written in a period.
+    `what` names the kind of line in the report of the count.
     """
 
     def __init__(
@@ -76,7 +76,7 @@
         getattr(self._log, self._level)(text, **values)
 
     def write(self, text: str, **values: Any) -> None:
-        """Write the line, or only count it if there have been too many."""
+        """Write the line, or only count it if `max_lines` have been written in this period."""
         if not self._count:
             self._deadlines.after(PERIOD, self._report)
         self._count += 1
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -1,4 +1,4 @@
-"""One real node: its parts, its start, its reloads and its end."""
+"""The node: builds its parts, starts them, reloads their settings and shuts them down."""
 
 from __future__ import annotations
 
@@ -43,11 +43,11 @@
 log = Logger("puffindeck")
 
 MAX_DATAGRAM = 65535  # bytes
-CLOSE_DELAY = milliseconds(300)  # for the last connections, between the end and the reactor's stop
+CLOSE_DELAY = milliseconds(300)  # time for the last connections to close before the reactor stops
 
 
 class Node:
-    """The program's parts, joined. Each part owns its state."""
+    """A node of the gateway. Builds and connects the parts; each part owns its state."""
 
     def __init__(self, reactor: Any, config: NodeConfig, clock: Clock) -> None:
         self.reactor = reactor
@@ -139,15 +139,15 @@
         )
 
     def _descriptors_in_use(self) -> int:
-        """Count the descriptors of served clients, and of hosts."""
+        """Return the number of descriptors in use by served clients and connections to hosts."""
         flows = len(self.quic.flows) if self.quic is not None else 0
         served = len(self.connections.clients) - len(self.admission)
         return served + len(self.connections.upstreams) + flows
 
-    # The start
+    # Start
 
     def start(self) -> None:
-        """Listen, and ask for the list; the node is ready with discovery's first answer or failure.
+        """Listen, and request the discovery list; the first answer or failure makes the node ready.
 
         Raises CannotListenError, or an error of the fleet.
         """
@@ -201,7 +201,7 @@
 
     def start_quic(self, quic: QuicConfig) -> None:
         """Open the QUIC front. Raises CannotListenError."""
-        from puffindeck.quic.front import QuicFront  # its libraries stay out of a node without it
+        from puffindeck.quic.front import QuicFront  # its libraries are imported only if needed
 
         self.quic = QuicFront(
             self.reactor,
@@ -222,7 +222,7 @@
             self.watch.poll()
 
     def _on_discovery_answer(self) -> None:
-        """Become ready with discovery's first answer, be it that there is none."""
+        """Become ready at discovery's first answer or failure."""
         if self.lifecycle.is_ready:
             return
         self.lifecycle.is_ready = True
@@ -236,19 +236,19 @@
     # Reloads
 
     def reload(self, read: ReadConfig) -> None:
-        """Take up what has changed in the file. One that can't be used changes nothing."""
+        """Apply the changes of the configuration file. An invalid file changes nothing."""
         self._config_reload.run(read)
 
     def _apply_config(self, config: NodeConfig) -> None:
         previous, self.config = self.config, config
         if bool(config.settings.evenness) != bool(previous.settings.evenness):
-            log.warn("reload: settings.evenness is taken up or given up at a restart only")
+            log.warn("reload: turning settings.evenness on or off takes a restart")
         if config.settings != previous.settings:
             self._apply_settings(config.settings)
         self.admission.set_descriptor_limit(config.sockets)
         self.fleet_member.reload()
         if config.discovery != previous.discovery:
-            # another service: its list is asked for whole, as its versions may say nothing of the old one's
+            # The new service's versions may be unrelated to the old one's, so its whole list is requested.
             if self.watch is not None:
                 self.watch.stop()
             self.watch = self._build_watch(None)
@@ -258,28 +258,28 @@
             self.engine.update_endpoints(ListUpdateKind.FULL, config.known.rev, entries)
 
     def _apply_settings(self, new: Settings) -> None:
-        """Other classes and rules for what comes from now on."""
-        if new.zone < len(new.zones):  # the directory's numbers stay, in whatever order zones are named now
+        """Apply new classes and rules to requests that arrive from now on."""
+        if new.zone < len(new.zones):  # zones may be reordered, but the directory's numbers stay
             new = replace(new, zone=self.directory.zone(new.zones[new.zone]))
         quic = [self.config.quic.cls] if self.config.quic is not None else []
         self.engine.apply_settings(new, [*self.classes.numbers.values(), *quic])
         self.client_services.connect_timeout = milliseconds(new.connect_timeout_ms)
         dropped = self.classes.apply(new.classes, self.engine.settings.classes)
         log.info(
-            "reload: settings taken up; classes {named}; dropped {dropped}",
+            "reload: settings applied; classes {named}; dropped {dropped}",
             named=", ".join(c.name for c in new.classes),
             dropped=", ".join(sorted(dropped)) or "none",
         )
 
-    # The end
+    # Shutdown
 
     @property
     def failure(self) -> str:
-        """Why this process has to end with an error; empty if it has not."""
+        """Why this process must end with an error; empty if it need not."""
         return self.fleet_member.failure
 
     def stop(self) -> None:
-        """Answer all, move every connection that stands, and end."""
+        """Answer all requests, move every established connection, and end."""
         if self.lifecycle.is_stopping:
             return
         if self.listeners.is_inherited and self.hot_restart.is_superseded():
@@ -288,7 +288,7 @@
             self._shut_down(RESTART)
 
     def _hand_over(self) -> None:
-        """Accept nothing more and end, as a newer process is ready."""
+        """Stop accepting connections and end, as a newer process is ready."""
         log.info("upgrade: a newer process is ready")
         self.listeners.close()
         self._shut_down(UPGRADE)
--- a/puffindeck/net/process_registry.py
+++ b/puffindeck/net/process_registry.py
@@ -1,4 +1,4 @@
-"""The processes of one node during an upgrade, each known by the lock that it holds on its file."""
+"""The processes of one node during an upgrade; each holds a lock on a file of its own while it lives."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 import msgspec
 
-HANDOVER_MAX_AGE_MS = 5000.0  # an older handover state may no longer be true
-MAX_STATE_BYTES = 64  # more than a process writes into its file
+HANDOVER_MAX_AGE_MS = 5000.0  # an older handover state may be outdated
+MAX_STATE_BYTES = 64  # read limit; larger than the state that a process writes
 
 
 class SiblingProcess(NamedTuple):
-    """Another process of this node, as its file describes it."""
+    """Another process of this node, as described by its file."""
 
     is_newer: bool
     is_ready: bool
@@ -23,11 +23,11 @@
 
 
 class HandoverState(msgspec.Struct):
-    """What one process leaves to the next: the load from this node that each host has been seen to bear."""
+    """State passed from one process to the next: the load from this node that each host can bear."""
 
-    # milliseconds on the machine's monotonic clock, which both processes read
+    # in milliseconds of the machine's monotonic clock, which all processes share
     written_at_ms: float = msgspec.field(name="at")
-    # null, as JSON has no infinity: no limit is known
+    # None means that no limit is known, as JSON has no infinity
     load_limits: dict[str, float | None] = msgspec.field(name="ceilings")
 
 
@@ -37,9 +37,9 @@
 
 
 class ProcessRegistry:
-    """This process among those of its node.
+    """Registers this process, and finds the other processes of its node.
 
-    The system releases a process's lock however it ends, so a file left behind does no harm.
+    The system releases a process's lock however it ends, so stale files are recognized as such.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -48,7 +48,7 @@
         self.name = ""
 
     def register(self) -> None:
-        """Add this process after all others. The file is locked before it gets its name. Raises OSError."""
+        """Add this process after all others. Its file is locked before it gets its name. Raises OSError."""
         self._folder.mkdir(mode=0o700, parents=True, exist_ok=True)
         draft = self._folder / f".{os.getpid()}"
         self._file = os.open(draft, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -64,14 +64,14 @@
     def publish_state(self, is_ready: bool) -> None:
         """Write whether this process is ready, and its number of descriptors.
 
-        The length is always the same, so that nobody reads half of it.
+        The length is constant, so that a reader never sees a partial state.
         """
         if self._file >= 0:
             with suppress(OSError):  # the earlier state stays; the next poll writes it again
                 os.pwrite(self._file, b"%d %8d\n" % (is_ready, count_open_descriptors()), 0)
 
     def siblings(self) -> list[SiblingProcess]:
-        """Find the other living processes of this node. Raises OSError."""
+        """Return the other running processes of this node. Raises OSError."""
         found = []
         for path in self._files():
             if path.name != self.name and (text := self._read_if_alive(path)) is not None:
@@ -82,7 +82,7 @@
 
     @staticmethod
     def _read_if_alive(path: Path) -> bytes | None:
-        """Read a living process's state; remove the file of one that has ended."""
+        """Read a running process's state; remove the file of a process that has ended."""
         try:
             file = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         except FileNotFoundError:
@@ -98,14 +98,14 @@
             os.close(file)
 
     def write_handover_state(self, load_limits: dict[str, float | None], now_ms: float) -> None:
-        """Store what the next process should know of the hosts at this moment. Raises OSError."""
+        """Store the hosts' load limits for the next process. Raises OSError."""
         if self._file >= 0:
             draft = self._folder / f".word-{os.getpid()}"
             draft.write_bytes(msgspec.json.encode(HandoverState(now_ms, load_limits)))
             draft.replace(self._folder / "word")
 
     def read_handover_state(self, now_ms: float) -> dict[str, float | None]:
-        """Return the load limits that an earlier process has stored; empty if there are none, or old ones."""
+        """Return the load limits stored by an earlier process; empty if there are none or only old ones."""
         try:
             state = msgspec.json.decode((self._folder / "word").read_bytes(), type=HandoverState)
         except (OSError, msgspec.MsgspecError):
--- a/puffindeck/net/relay.py
+++ b/puffindeck/net/relay.py
@@ -1,4 +1,4 @@
-"""Relays bytes between a served client and its host; a MOVE is written only between two lines."""
+"""Relays bytes between a served client and its host. MOVE is written only between two lines."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from puffindeck.core.requests import UpstreamLink
 from puffindeck.interface import Outcome
 from puffindeck.net.client_connection import ClientConnection
-from puffindeck.net.closing import break_off, flush
+from puffindeck.net.closing import flush, reset_after_flush
 from puffindeck.net.connection_state import FINISHED, SERVED, ConnectionState
 from puffindeck.net.request_line import CRLF, MAX_LINE
 from puffindeck.net.upstream_connection import UpstreamConnection
 
 log = Logger("puffindeck")
 
-# How long before a MOVE the start of a line is held back. A line that is held back for over a second is lost.
+# Time before a MOVE from which partial lines are buffered. A line delayed by over a second counts as lost.
 MAX_LINE_HOLD = milliseconds(700)
 
 
 class Relay:
-    """A client's connection joined with its host's."""
+    """Connects a client's connection with its host's."""
 
     def __init__(self, client: ClientConnection) -> None:
         self._client = client
         self.link: UpstreamConnection | None = None
-        self._line_open = False  # the client has the start of a host's line, and not its end
-        self._held_start = b""  # the start of a line that is held back
+        self._line_open = False  # the client has received only a part of the host's current line
+        self._buffered_start = b""  # buffered start of an incomplete line
 
     def on_established(self, link: UpstreamLink) -> None:
-        """Write the host's own answer, then let all pass."""
+        """Forward the host's answer, and relay from now on."""
         assert isinstance(link, UpstreamConnection)
         if self._client.transition_to(ConnectionState.RELAYING):
             self.link = link
-            self._client.transport.writeSequence([link.receipt, CRLF])
+            self._client.transport.writeSequence([link.answer_line, CRLF])
             flush(self._client.transport)
 
     def start(self, link: UpstreamConnection) -> None:
-        """Join both sides: each is read only as fast as the other takes what it sends."""
+        """Connect both sides for flow control: each is read only as fast as the other is written."""
         if self._client.state not in SERVED or link.host_protocol is None:
             return
         host = link.host_protocol.transport
@@ -46,13 +46,13 @@
         host.registerProducer(self._client.transport, True)
 
     def is_paused(self) -> bool:
-        """Does the client take so little that its host is not read for now?"""
+        """Return whether reading from the host is paused because the client reads too slowly."""
         return bool(self._client.transport.producerPaused)
 
     # From the host to the client
 
     def forward(self, data: bytes) -> None:
-        """Pass on what the host sends; a client that is to move gets no more than the line it is in."""
+        """Relay data from the host; before a MOVE, no further than to the end of the current line."""
         state = self._client.state
         if state is ConnectionState.RELAYING:
             self._write(data)
@@ -74,26 +74,26 @@
             end = data.find(b"\n") + 1
             self._write(data[:end] if end else data)
             data = data[end:] if end else b""
-        text = self._held_start + data
+        text = self._buffered_start + data
         end = len(text) if len(text) > 2 * MAX_LINE else text.rfind(b"\n") + 1
-        self._held_start = text[end:]
+        self._buffered_start = text[end:]
         self._write(text[:end])
 
     def hold_lines(self) -> None:
-        """Begin no line that may not end within MAX_LINE_HOLD, when the client is to be moved."""
+        """Buffer partial lines from now on, as the client is moved after MAX_LINE_HOLD."""
         self._client.transition_to(ConnectionState.HOLDING_LINE)
 
     def release_lines(self) -> None:
-        """Write what was held back: the client is not to be moved after all, or its host has ended."""
+        """Write the buffered data, as the MOVE is cancelled or the host has closed."""
         is_holding = self._client.state is ConnectionState.HOLDING_LINE
         if is_holding and self._client.transition_to(ConnectionState.RELAYING):
-            start, self._held_start = self._held_start, b""
+            start, self._buffered_start = self._buffered_start, b""
             self._write(start)
 
-    # The end
+    # End of the connection
 
     def on_host_ended(self, is_clean: bool) -> None:
-        """End the client's side as the host ended its own."""
+        """End the client's side in the same way, cleanly or broken, as the host ended its own."""
         client = self._client
         self.release_lines()
         if client.state in SERVED:
@@ -104,23 +104,25 @@
             client.finish()
         elif client.transition_to(ConnectionState.RESETTING):
             client.release_id()
-            break_off(client.transport, client.deadlines, lambda: client.state is not ConnectionState.GONE)
+            reset_after_flush(
+                client.transport, client.deadlines, lambda: client.state is not ConnectionState.GONE
+            )
 
     def migrate(self) -> None:
-        """Send the client away between two lines: the one it is in the middle of passes to its end.
+        """Send MOVE between two lines, after the end of the current line.
 
-        One that does not end is found by its silence, or ended with this process.
+        If the line never ends, the silence monitor or the end of this process closes the connection.
         """
-        if self._line_open and self.link is not None and not self.link.done:
+        if self._line_open and self.link is not None and not self.link.is_finished:
             self._client.transition_to(ConnectionState.MOVING)
         else:
             self.send_move()
 
     def send_move(self) -> None:
-        """Write MOVE and end; in the middle of a line, only end."""
+        """Write MOVE and close; in the middle of a line, only close."""
         if self._client.state not in SERVED:
             return
-        if self._line_open:  # a MOVE has no place there: it would be read as part of the line
+        if self._line_open:  # the client would read MOVE as a part of the line
             log.warn("client: ended in the middle of a line that its host did not end")
             self._client.finish()
         else:
@@ -129,12 +131,12 @@
             self.link.abandon()
 
     def on_host_silent(self) -> None:
-        """End a connection whose host has gone silent: a reset for the module, a MOVE for the client.
+        """Close a connection whose host has fallen silent: the module gets a reset, the client a MOVE.
 
-        In the middle of a line there is no place for a MOVE: then only the connection's end is in time.
+        In the middle of a line MOVE can't be sent, so the connection is only closed.
         """
         link = self.link
-        if link is None or link.done or self._client.state in FINISHED:
+        if link is None or link.is_finished or self._client.state in FINISHED:
             return
         log.warn("host {host}: silent, its client is moved", host=link.host)
         self._client.log_close(Reason.SERVER_SILENT)
--- a/puffindeck/net/request_line.py
+++ b/puffindeck/net/request_line.py
@@ -10,74 +10,86 @@
 
 CRLF = b"\r\n"
 MAX_LINE = 4096 - len(CRLF)
-NUMBER = re.compile(rb"[0-9]{1,13}(\.[0-9]{1,9})?")  # no sign, no exponent, none of Python's underscores
-MAX_FIGURE = 1e12  # a client without a time limit sends 4294967 ms
+# Signs, exponents and the underscores that Python's float() accepts are invalid.
+NUMBER_PATTERN = re.compile(rb"[0-9]{1,13}(\.[0-9]{1,9})?")
+MAX_NUMBER = 1e12  # far above 4294967 ms, which clients without a time limit send
 
 
 class RequestLineError(ValueError):
-    """A connection's first line can't be read. The text says why, and stands in the log."""
+    """A connection's first line is invalid. The text says why, and is written to the log."""
 
 
 class RequestLine:
-    """The values of an OPEN line, and where its time stands in it. Raises RequestLineError."""
+    """The values of an OPEN line, and the position of its time limit `d`. Raises RequestLineError."""
 
-    __slots__ = ("_line", "_time", "at", "cls", "group", "hint", "id", "key", "left", "returning")
+    __slots__ = (
+        "_line",
+        "_time_span",
+        "cls",
+        "group",
+        "hint",
+        "id",
+        "key",
+        "restore_host",
+        "returning",
+        "time_left",
+    )
 
     def __init__(self, line: bytes) -> None:
-        words = line.split(b" ")
-        if len(words) != 4 or words[0] != b"OPEN" or not words[1] or not words[2]:
-            raise RequestLineError("not OPEN, an id, a key and a list of values")
+        fields = line.split(b" ")
+        if len(fields) != 4 or fields[0] != b"OPEN" or not fields[1] or not fields[2]:
+            raise RequestLineError("expected OPEN, an id, a key and a list of values")
         if not line.isascii() or any(byte < 32 for byte in line):
-            raise RequestLineError("a byte that is not plain text")
+            raise RequestLineError("a control character or a byte that is not ASCII")
         self._line = line
-        self._time: tuple[int, int] | None = None  # where the digits of `d` begin and end in the line
-        self.id = words[1]
-        self.key = number(words[2])
+        self._time_span: tuple[int, int] | None = None  # start and end of the digits of `d` in the line
+        self.id = fields[1]
+        self.key = number(fields[2])
         self.cls = ""
-        self.at = ""  # the host of a connection from before the run
+        self.restore_host = ""  # host of a connection to restore, which was open before the node started
         self.group = 0
-        self.left: timedelta | None = None
+        self.time_left: timedelta | None = None
         self.hint = 0.0
         self.returning = False
-        place = len(line) - len(words[3])
-        for item in words[3].split(b","):
-            self._read_value(item, place)
-            place += len(item) + 1
+        offset = len(line) - len(fields[3])
+        for item in fields[3].split(b","):
+            self._parse_field(item, offset)
+            offset += len(item) + 1
         if not self.cls:
-            raise RequestLineError("no class (c)")
-        if self._time is None:
-            raise RequestLineError("no time (d)")
+            raise RequestLineError("the class (c) is missing")
+        if self._time_span is None:
+            raise RequestLineError("the time limit (d) is missing")
 
-    def _read_value(self, item: bytes, place: int) -> None:
-        """Read one `name=value`, which begins at `place` in the line. Unknown names are passed on."""
+    def _parse_field(self, item: bytes, offset: int) -> None:
+        """Parse one `name=value`, which starts at `offset` in the line. Unknown names are ignored here."""
         name, equals, value = item.partition(b"=")
         if not equals:
             raise RequestLineError(f"a value without a name: {item[:40]!r}")
         if name == b"d":
-            if self._time is not None:
-                raise RequestLineError("d stands twice")
-            self._time = place + len(b"d="), place + len(item)
-            self.left = milliseconds(self._figure(name, value))
+            if self._time_span is not None:
+                raise RequestLineError("d is given twice")
+            self._time_span = offset + len(b"d="), offset + len(item)
+            self.time_left = milliseconds(self._parse_number(name, value))
         elif name == b"c":
             self.cls = value.decode()
         elif name == b"g":
             self.group = number(value) if value else 0
         elif name == b"h":
-            self.hint = self._figure(name, value)
+            self.hint = self._parse_number(name, value)
         elif name == b"again":
             self.returning = value == b"1"
         elif name == b"at":
-            self.at = value.decode()
+            self.restore_host = value.decode()
 
     @staticmethod
-    def _figure(name: bytes, value: bytes) -> float:
-        figure = float(value) if NUMBER.fullmatch(value) else MAX_FIGURE + 1
-        if figure > MAX_FIGURE:
-            raise RequestLineError(f"{name.decode()} is no figure: {value[:40]!r}")
-        return figure
+    def _parse_number(name: bytes, value: bytes) -> float:
+        parsed = float(value) if NUMBER_PATTERN.fullmatch(value) else MAX_NUMBER + 1
+        if parsed > MAX_NUMBER:
+            raise RequestLineError(f"{name.decode()} is not a valid number: {value[:40]!r}")
+        return parsed
 
-    def parts(self, wait: timedelta) -> list[bytes]:
-        """Return the line for a host that has this long to answer, for one gathered write."""
-        assert self._time is not None
-        start, end = self._time
-        return [self._line[:start], b"%d" % max(1, int(to_ms(wait))), self._line[end:], CRLF]
+    def parts(self, time_left: timedelta) -> list[bytes]:
+        """Return the line with `d` set to the time left, at least 1 ms, as parts for one gathered write."""
+        assert self._time_span is not None
+        start, end = self._time_span
+        return [self._line[:start], b"%d" % max(1, int(to_ms(time_left))), self._line[end:], CRLF]
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines on each request's life, by its client's own id: attempts, answers and closes, with reasons."""
+"""Log lines about each request, by the client's request id: attempts, answers and closes, with reasons."""
 
 from __future__ import annotations
 
@@ -13,19 +13,17 @@
 from puffindeck.interface import Outcome
 from puffindeck.net.logs import RateLimitedLog
 
-MAX_LINES = (
-    100  # of one kind in a period of `RateLimitedLog`; more are counted, so that a storm costs no time
-)
+MAX_LINES = 100  # per kind and period of `RateLimitedLog`; a burst beyond it is only counted
 
 
 class RequestLog:
-    """Writes what the engine reports, a bounded number of lines of each kind."""
+    """Logs the engine's reports on requests, with a bounded number of lines of each kind."""
 
     def __init__(self, log: Logger, deadlines: TimerQueue, endpoint_name: Callable[[int], str]) -> None:
         self._endpoint_name = endpoint_name
 
         def limited(what: str) -> RateLimitedLog:
-            """A log at level info for one kind of line, at most MAX_LINES in a period."""
+            """Return a log at level info for one kind of line, with at most MAX_LINES per period."""
             return RateLimitedLog(log, deadlines, what, MAX_LINES, "info")
 
         self._attempts = limited("requests: attempts")
@@ -34,7 +32,7 @@
         self._closes = limited("requests: closes")
 
     def attempt_began(self, request: str, endpoint: int, attempt: int) -> None:
-        """An attempt is on its way; a number above 0 is a retry."""
+        """Log the start of an attempt; a number above 0 is a retry."""
         self._attempts.write(
             "request {id}: attempt {attempt} at {host}",
             id=request,
@@ -45,7 +43,7 @@
     def attempt_ended(
         self, request: str, endpoint: int, attempt: int, outcome: Outcome, took: timedelta
     ) -> None:
-        """An attempt ended without a connection that stands."""
+        """Log the end of an attempt that did not become a connection."""
         self._ends.write(
             "request {id}: attempt {attempt} at {host} ended: {outcome} after {took_ms} ms",
             id=request,
@@ -56,9 +54,9 @@
         )
 
     def answered(self, request: str, answer: Answer, why: Reason) -> None:
-        """The request has its final answer."""
+        """Log the final answer to a request."""
         self._answers.write("request {id}: {answer}: {why}", id=request, answer=answer.value, why=why.value)
 
     def closed(self, request: str, why: Reason) -> None:
-        """Its connection has ended, or its client left without an answer."""
+        """Log the end of the request's connection, or that the client left without an answer."""
         self._closes.write("request {id}: closed: {why}", id=request, why=why.value)
--- a/puffindeck/net/served_classes.py
+++ b/puffindeck/net/served_classes.py
@@ -1,4 +1,4 @@
-"""The classes of requests that a node serves, by name, and how they change at a reload."""
+"""The request classes that a node serves, by name, and their changes at a reload."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ClassSettings
 
-DROP_DELAY = milliseconds(5000)  # how long a dropped class is still served: its clients learn of it later
+DROP_DELAY = milliseconds(5000)  # time that a dropped class is still served, as clients are updated later
 
 
 class ServedClasses:
-    """Each served class's name and number. A dropped class is served for DROP_DELAY more."""
+    """Maps the name of each served class to its number. A dropped class is served for DROP_DELAY more."""
 
     def __init__(self, classes: Iterable[ClassSettings], deadlines: TimerQueue) -> None:
         self.numbers = {rules.name: number for number, rules in enumerate(classes)}
-        self._named = set(self.numbers)  # without those that were dropped just now
+        self._configured = set(self.numbers)  # without the dropped classes that are still served
         self._deadlines = deadlines
 
     def apply(self, named: Iterable[ClassSettings], numbered: Sequence[ClassSettings]) -> set[str]:
-        """Serve the named classes, by their places in `numbered`. Return the dropped ones."""
+        """Serve the classes `named`; `numbered` has each at its number. Returns the dropped names."""
         numbers = {rules.name: number for number, rules in enumerate(numbered)}
-        self._named = {rules.name for rules in named}
-        dropped = self.numbers.keys() - self._named
-        self.numbers.update((name, numbers[name]) for name in self._named)
-        self._deadlines.after(DROP_DELAY, self._forget_dropped)
+        self._configured = {rules.name for rules in named}
+        dropped = self.numbers.keys() - self._configured
+        self.numbers.update((name, numbers[name]) for name in self._configured)
+        self._deadlines.after(DROP_DELAY, self._remove_dropped)
         return dropped
 
-    def _forget_dropped(self) -> None:
-        self.numbers = {name: number for name, number in self.numbers.items() if name in self._named}
+    def _remove_dropped(self) -> None:
+        self.numbers = {name: number for name, number in self.numbers.items() if name in self._configured}
--- a/puffindeck/net/silence_monitor.py
+++ b/puffindeck/net/silence_monitor.py
@@ -1,4 +1,4 @@
-"""Finds the connections whose host no longer answers, so that their clients are sent to another."""
+"""Detects connections whose host no longer answers, so that their clients are moved to another host."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 from puffindeck.net.connection_table import ConnectionTable
 from puffindeck.net.wall_clock import WallClock
 
-# A connection that has gone silent has to end within 7 s. Clients send a line every 2 s, so the first without
-# an answer may come 2 s after; another one has gone unanswered since when it has waited this long.
+# A silent connection must be ended within 7 s. Clients send a line every 2 s, so the first unanswered one may
+# be sent 2 s after the host fell silent. Within this limit the client has sent another one, so that a single
+# lost line doesn't count as silence.
 SILENCE_LIMIT = milliseconds(3250)
-SWEEP_INTERVAL = milliseconds(250)  # how often open connections are checked
+SWEEP_INTERVAL = milliseconds(250)  # time between two checks of all open connections
 
 
 class SilenceMonitor:
-    """Checks all open connections at a fixed interval, and the wall clock with them."""
+    """Checks all open connections, and the wall clock, at a fixed interval."""
 
     def __init__(self, connections: ConnectionTable, deadlines: TimerQueue, wall_clock: WallClock) -> None:
         self._connections = connections
@@ -22,7 +23,7 @@
         self._wall_clock = wall_clock
 
     def start(self) -> None:
-        """Check after each interval from now on."""
+        """Start the periodic check."""
         self._deadlines.after(SWEEP_INTERVAL, self._sweep)
 
     def _sweep(self) -> None:
@@ -30,8 +31,8 @@
         now = self._deadlines.clock.now()
         for client in list(self._connections.clients):
             link = client.relay.link
-            if link is not None and not link.done and link.silent_for(now) > SILENCE_LIMIT:
-                link.read_available()  # this process may have been held up itself
+            if link is not None and not link.is_finished and link.silent_for(now) > SILENCE_LIMIT:
+                link.read_available()  # the answer may be unread because this process was held up
                 if link.silent_for(now) > SILENCE_LIMIT:
                     client.relay.on_host_silent()
         self._deadlines.after(SWEEP_INTERVAL, self._sweep)
--- a/puffindeck/net/transports.py
+++ b/puffindeck/net/transports.py
@@ -1,4 +1,4 @@
-"""Connections that a passing lack of memory or buffers does not end."""
+"""TCP transports that survive a temporary shortage of memory or socket buffers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class _TransientErrors:
-    """Reads and writes as the library does, but goes on after errors that pass."""
+    """Reads and writes like the library's transports, but ignores transient errors."""
 
     socket: Any
     bufferSize: int
     SEND_LIMIT: int
 
     def doRead(self) -> Any:
-        """Read what has come; an error or the end is returned for the reactor to act on."""
+        """Read received data; returns an error or the end of file for the reactor to handle."""
         try:
             data = self.socket.recv(self.bufferSize)
         except OSError as error:
@@ -25,7 +25,7 @@
         return self._dataReceived(data)  # type: ignore[attr-defined]
 
     def writeSomeData(self, data: bytes) -> Any:
-        """Write as much as the system takes; the number of bytes, or an error for the reactor to act on."""
+        """Write what the system accepts. Returns the number of bytes, or an error for the reactor."""
         try:
             return self.socket.send(memoryview(data)[: self.SEND_LIMIT])
         except OSError as error:
@@ -33,15 +33,15 @@
 
 
 class ClientTransport(_TransientErrors, tcp.Server):
-    """A connection that was accepted."""
+    """The transport of an accepted connection."""
 
 
 class UpstreamTransport(_TransientErrors, tcp.Client):
-    """A connection to a host."""
+    """The transport of a connection to a host."""
 
 
 class Connector(tcp.Connector):
-    """A connect without a time-out of the reactor's: its owner has one."""
+    """A connector without a time-out of its own, as its owner limits the time."""
 
     def __init__(self, reactor: Any, address: tuple[str, int], factory: Any) -> None:
         no_timeout: Any = None
--- a/puffindeck/net/upstream_attempts.py
+++ b/puffindeck/net/upstream_attempts.py
@@ -1,4 +1,4 @@
-"""A client's attempts at hosts, and connections from before the run (`at=ID`), restored there."""
+"""A client's attempts at hosts, and the restoring of connections from before the node started (`at=ID`)."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 
 log = Logger("puffindeck")
 
-RESTORE_TIMEOUT = milliseconds(40000)  # how long a connection from before the run is tried
-RESTORE_INTERVAL = milliseconds(300)  # how often
+RESTORE_TIMEOUT = milliseconds(40000)  # time within which a connection must be restored
+RESTORE_INTERVAL = milliseconds(300)  # delay between two tries to restore a connection
 
 
 class UpstreamAttempts:
-    """A client that waits for a host: for one that the engine names, or for the one that it had before."""
+    """Connects a client to hosts that the engine selects, or restores its connection to an earlier host."""
 
     def __init__(self, client: ClientProtocol, relay: Relay, services: ClientServices) -> None:
         self._client = client
@@ -35,12 +35,12 @@
         self._services = services
         self._engine = services.engine
         self._deadlines = services.deadlines
-        self._restored: AttemptId | None = None  # only of a connection from before the run
+        self._restored: AttemptId | None = None  # set only for a connection that is to be restored
         self._endpoint = 0
         self._restore_until: timedelta = ZERO
 
     def restore(self, request: Request, host: str) -> None:
-        """Connect again to the host that a connection from before the run had."""
+        """Reconnect a client to the host that it was connected to before the node started."""
         self._endpoint = self._services.directory.number(host)
         self._restore_until = self._deadlines.clock.now() + RESTORE_TIMEOUT
         self._restored = self._engine.restore_connection(self._client, request, self._endpoint)
@@ -48,7 +48,7 @@
         self._try_restore()
 
     def _try_restore(self) -> None:
-        """Try once more, as often as it takes."""
+        """Try once; a failed try is repeated after RESTORE_INTERVAL until RESTORE_TIMEOUT."""
         head = self._client.head
         if self._client.state is not ConnectionState.WAITING or self._restored is None or head is None:
             return
@@ -56,12 +56,12 @@
         host = directory.name(self._endpoint)
         until = self._restore_until
         if self._deadlines.clock.now() >= until:
-            log.warn("client: the connection at {host} did not come up again", host=host)
+            log.warn("client: the connection to {host} could not be restored", host=host)
             self._engine.attempt_ended(self._restored, Outcome.RESET)
             self._client.fail()
             return
         address = directory.addresses.get(self._endpoint)
-        if address is None:  # not in a list yet
+        if address is None:  # no list has named the host yet
             self._deadlines.after(RESTORE_INTERVAL, self._try_restore)
             return
         link = self._link(Attempt(self._restored, self._endpoint, host, head, until, until))
@@ -71,7 +71,10 @@
     def start(
         self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
     ) -> UpstreamLink | None:
-        """Start an attempt, whose first byte may go out until `begin`. None if it has ended already."""
+        """Start an attempt, whose first byte must be sent before `begin` and answered by `until`.
+
+        Returns None if it has ended already.
+        """
         head = self._client.head
         assert head is not None
         directory = self._services.directory
@@ -81,7 +84,7 @@
             link.finish(Outcome.CONNECT_FAILED)
             return None
         self._connect(link, address)
-        return None if link.done else link
+        return None if link.is_finished else link
 
     def _link(self, attempt: Attempt) -> UpstreamConnection:
         return UpstreamConnection(attempt, self, self._relay, self._engine, self._deadlines)
@@ -90,41 +93,41 @@
         self._services.connections.upstreams.add(link)
         link.connect(self._services.reactor, address, self._services.connect_timeout)
 
-    # The owner of its connections to hosts
+    # Interface of AttemptOwner
 
     def is_waiting(self) -> bool:
-        """Is the client still there to be served, at this very moment?"""
+        """Return whether the client is still connected and waits for an answer."""
         return self._client.is_waiting()
 
     def on_closed(self, link: UpstreamConnection) -> None:
-        """Forget a connection whose descriptor is free again."""
+        """Remove a connection whose descriptor is released."""
         self._services.connections.upstreams.discard(link)
 
     def on_up(self, link: UpstreamConnection) -> bool:
-        """Hand an accepted connection to the client. False if nobody waits for it any more."""
+        """Hand an accepted connection to the client. Returns False if the client no longer waits for it."""
         if self._restored is None:
             return self._engine.attempt_established(link.attempt_id)
         self._relay.on_established(link)
         return self._client.state is ConnectionState.RELAYING
 
     def on_ended(self, link: UpstreamConnection, outcome: Outcome) -> None:
-        """Report an attempt's end, or the end of the connection that it became."""
+        """Report the end of an attempt or of the connection that it became; a failed restore is retried."""
         if self._restored is not None and self._client.state is ConnectionState.WAITING:
             self._deadlines.after(RESTORE_INTERVAL, self._try_restore)
         else:
             self._engine.attempt_ended(link.attempt_id, outcome)
 
-    # The end
+    # Cancellation
 
     def cancel_request(self) -> None:
-        """Give up what is open for the client, which has sent more than its one line."""
+        """Cancel the request of a client that has sent more than one line."""
         if self._restored is None:
             self._engine.client_disconnected(self._client.request)
         else:
             self._engine.attempt_ended(self._restored, Outcome.CANCELLED)
 
     def abandon_restore(self) -> bool:
-        """Reject a client whose connection is not restored yet. False if this is no such client."""
+        """Reject a client whose connection is not restored yet. Returns False if it has none to restore."""
         if self._restored is None:
             return False
         self._engine.client_disconnected(self._client.request)
--- a/puffindeck/net/upstream_protocol.py
+++ b/puffindeck/net/upstream_protocol.py
@@ -1,4 +1,4 @@
-"""The protocol of a connection to a host: one line as the answer, then bytes as they are."""
+"""The protocol of a connection to a host: one line as the answer, then bytes relayed unchanged."""
 
 from __future__ import annotations
 
@@ -17,27 +17,27 @@
 
 
 class UpstreamEvents(Protocol):
-    """The attempt that a protocol's events go to."""
+    """Receives the events of a connection to a host."""
 
     host: str
 
     def on_connected(self, protocol: UpstreamProtocol) -> None:
-        """Note that the connect has succeeded."""
+        """Handle a successful connect."""
 
     def head_parts(self) -> list[bytes]:
-        """Return the request's line as it goes to the host, for one gathered write."""
+        """Return the request's line as sent to the host, for one gathered write."""
 
     def on_head_sent(self) -> None:
-        """Note that every byte of the head has been handed to the system."""
+        """Handle that every byte of the head has been passed to the system."""
 
     def on_answer(self, line: bytes) -> None:
-        """Read the host's first line."""
+        """Handle the host's first line."""
 
     def on_data(self, data: bytes) -> None:
-        """Take what a host sends after its answer."""
+        """Handle data that follows the host's answer."""
 
     def on_connection_lost(self, reason: Any) -> None:
-        """Note the end of the connection."""
+        """Handle the end of the connection."""
 
     def finish(self, outcome: Outcome) -> None:
         """End the attempt."""
@@ -45,7 +45,7 @@
 
 @implementer(IPullProducer)
 class UpstreamProtocol(LineReceiver):
-    """A host's side: its first line is the answer, what follows is relayed."""
+    """Reads a host's first line as its answer, and passes on what follows."""
 
     delimiter = CRLF
     MAX_LENGTH = MAX_LINE
@@ -56,20 +56,21 @@
         self._head_written = False
 
     def connectionMade(self) -> None:
-        """Note that the connect has succeeded (Twisted's hook)."""
+        """Pass on that the connect has succeeded (Twisted's hook)."""
         self.transport.setTcpNoDelay(True)
         self.link.on_connected(self)
 
-    # It registers as the producer of its own head, and so is asked for more once every byte of that is
-    # written: until then a break is a failed connect, after that a reset.
+    # The protocol registers as the pull producer of its own head, so the transport calls resumeProducing()
+    # once every byte of the head is written. If the connection breaks before that, it counts as a failed
+    # connect; after that, as a reset.
 
     def send_head(self) -> None:
-        """Write the head in this turn: by a later one the client may have gone."""
+        """Write the head in this reactor turn, as the client may have left by the next one."""
         self.transport.registerProducer(self, False)
         flush(self.transport)
 
     def resumeProducing(self) -> None:
-        """Write the head, or note that all of it has left (Twisted's hook)."""
+        """Write the head at the first call; at the second, report that it is sent (Twisted's hook)."""
         if self._head_written:
             self.transport.unregisterProducer()
             self.link.on_head_sent()
@@ -78,19 +79,19 @@
             self.transport.writeSequence(self.link.head_parts())
 
     def stopProducing(self) -> None:
-        """Do nothing: the transport is gone (Twisted's hook)."""
+        """Do nothing, as the transport is closed (Twisted's hook)."""
 
     def lineReceived(self, line: bytes) -> None:
         """Pass on the host's answer (Twisted's hook)."""
         self.link.on_answer(line)
 
     def lineLengthExceeded(self, line: bytes) -> None:
-        """Fail an attempt whose answer is too long (Twisted's hook)."""
-        log.warn("host {host}: a line over 4 KiB for an answer", host=self.link.host)
+        """Fail an attempt if the answer is too long (Twisted's hook)."""
+        log.warn("host {host}: the answer line is over 4 KiB", host=self.link.host)
         self.link.finish(Outcome.ERROR)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Pass on what comes after the answer (Twisted's hook)."""
+        """Pass on data after the answer (Twisted's hook)."""
         self.link.on_data(data)
 
     def connectionLost(self, reason: Any = None) -> None:
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -84,7 +84,7 @@
     async def asking(self) -> tuple[socket.socket, ClientProtocol]:
         plain, line = await self.connect_accepted()
         plain.sendall(b"PING\r\n")
-        await self.wait_until(lambda: line.state is ConnectionState.ASKING_READINESS, "the question")
+        await self.wait_until(lambda: line.state is ConnectionState.AWAITING_READINESS, "the question")
         return plain, line
 
     async def test_each_question_before_readiness_has_its_answer(self) -> None:
@@ -132,7 +132,7 @@
         plain, line = await self.connect_accepted()
         plain.sendall(b"PING\r\n")
         line._on_timeout()
-        self.assertIs(line.state, ConnectionState.ASKING_READINESS)
+        self.assertIs(line.state, ConnectionState.AWAITING_READINESS)
 
     async def test_a_discovery_that_says_nothing_keeps_nobody_from_being_ready(self) -> None:
         self.build()
@@ -153,9 +153,9 @@
 
     async def test_a_silent_or_dribbling_client_is_closed_soon(self) -> None:
         # 30 s of patience let them take all descriptors: a day with them lost half of its usual requests
-        self.assertLess(client_connection.FIRST_LINE, milliseconds(3000))
+        self.assertLess(client_connection.FIRST_LINE_TIMEOUT, milliseconds(3000))
         self.build()
-        with patch.object(client_connection, "FIRST_LINE", milliseconds(50)):
+        with patch.object(client_connection, "FIRST_LINE_TIMEOUT", milliseconds(50)):
             silent = await self.client()
             dribbling = await self.client()
             dribbling.write(b"OPEN 9b1f")
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -76,7 +76,7 @@
         client, host = await self.connect_unanswered(told={"can_cancel": False})
         (link,) = self.node.connections.upstreams
         self.leaving()._check()
-        self.assertTrue(link.done)  # at once, not with its deadline
+        self.assertTrue(link.is_finished)  # at once, not with its deadline
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
@@ -140,7 +140,7 @@
         await self.wait_until(lambda: line.relay._line_open, "the half")
         line.relay.hold_lines()
         host.write(b"f\r\nnext")
-        await self.wait_until(lambda: line.relay._held_start == b"next", "the next")
+        await self.wait_until(lambda: line.relay._buffered_start == b"next", "the next")
         self.node.engine.migrate_before_stop(line.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
         self.assertTrue(client.has_partial_line(b""))
@@ -154,7 +154,7 @@
         )
         line.relay.hold_lines()
         host.write(b"half")
-        await self.wait_until(lambda: line.relay._held_start, "the half")
+        await self.wait_until(lambda: line.relay._buffered_start, "the half")
         leaving.cancel()
         await self.wait_until(lambda: client.has_partial_line(b"half"), "the half at the client")
         host.write(b" a line\r\n")
@@ -313,8 +313,8 @@
             kill = milliseconds(min(longest, 3000) + 700)
             found = pace.before_kill(milliseconds(longest))
             assert found.end <= kill - milliseconds(400)
-            assert ZERO < found.send_from + found.send_over < found.end
-            assert found.accept <= found.end
+            assert ZERO < found.first_move + found.move_spread < found.end
+            assert found.accept_duration <= found.end
         assert pace.before_kill(milliseconds(3000)) == pace
 
 
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -86,7 +86,7 @@
 
         def late() -> None:
             for link in self.node.connections.upstreams:
-                link._begin = self.node.deadlines.clock.now()
+                link._start_deadline = self.node.deadlines.clock.now()
 
         with self.at_connect(late):
             client.write(REQUEST.encode() + b"\r\n")
@@ -104,7 +104,7 @@
         connect = UpstreamConnection.connect
 
         def noted(link: UpstreamConnection, *args: Any) -> None:
-            begins.append(link._begin - self.node.deadlines.clock.now())
+            begins.append(link._start_deadline - self.node.deadlines.clock.now())
             connect(link, *args)
 
         with patch.object(UpstreamConnection, "connect", noted):
@@ -174,7 +174,7 @@
         self.assertEqual(await client.line(), b"ERR")
         await client.ended()
         self.assertTrue(client.has_partial_line(b""))
-        self.assertTrue(link.done)
+        self.assertTrue(link.is_finished)
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.ERROR])
 
 
