--- a/puffindeck/service_discovery/__init__.py
+++ b/puffindeck/service_discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Which endpoints there are: discovery's protocol, its names as numbers, and keys, for every front."""
+"""Service discovery for all fronts: the protocol, and the numbers of endpoints, zones and keys."""
--- a/puffindeck/service_discovery/asyncio_watch.py
+++ b/puffindeck/service_discovery/asyncio_watch.py
@@ -1,7 +1,7 @@
-"""The endpoint list over asyncio: the whole list first where none is known, then a watch on its changes.
+"""Reads the endpoint list over asyncio: first the whole list if none is known, then a watch on its changes.
 
-`service_discovery.watch` says what to request and what the responses mean; httpx brings the HTTP. It comes
-with the extra `grpc`, so a node, which has no use for this module, never loads it.
+`service_discovery.watch` implements the protocol, and httpx the HTTP. httpx comes with the extra `grpc`. A
+node does not use this module and never loads it.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class EndpointWatch:
-    """One watch at a time. When it breaks the decision module is notified, and says when to start anew."""
+    """Runs at most one watch. When it breaks, the decision module is notified and requests a new one."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         engine: Engine,
         on_alive: Callable[[], None],
     ) -> None:
-        """`discovery` is a host and port; `on_alive` is called whenever discovery gives a sign of life."""
+        """`discovery` is a host and port. `on_alive` is called whenever discovery sends a line or list."""
         host, port = discovery
         self._base_url = f"http://[{host}]:{port}" if ":" in host else f"http://{host}:{port}"
         self._directory = directory
@@ -53,16 +53,16 @@
 
     @property
     def version(self) -> int | None:
-        """The version of the list that is known; None before the first list."""
+        """The version of the known list; None before the first list."""
         return self._state.version
 
     def start(self) -> None:
-        """Watch from the known version on. Does nothing while a watch runs or after `stop`."""
+        """Start a watch from the known version on. Does nothing while a watch runs or after `stop`."""
         if self._task is None and not self._stopped:
             self._task = asyncio.get_running_loop().create_task(self._run())
 
     async def stop(self) -> None:
-        """End the watch for good and wait until it has ended."""
+        """End the watch, wait until it has ended, and prevent a new start."""
         self._stopped = True
         task, self._task = self._task, None
         if task is not None:
@@ -70,23 +70,23 @@
             await asyncio.gather(task, return_exceptions=True)
 
     async def _run(self) -> None:
-        """Watch until it breaks, and report that to the engine."""
-        why = "it ended"
+        """Run a watch until it breaks, and report that to the engine."""
+        reason = "it ended"
         try:
             await self._fetch_and_watch()
         except TRANSPORT_ERRORS as error:
-            why = str(error) or type(error).__name__
-        except Exception:  # a fault must not end the watch for good
-            log.failure("discovery: a fault")
-            why = "a fault"
+            reason = str(error) or type(error).__name__
+        except Exception:  # after an unexpected error a new watch must be possible
+            log.failure("discovery: unexpected error")
+            reason = "unexpected error"
         self._task = None
         if not self._stopped:
-            log.warn("discovery: watch broken: {why}", why=why)
+            log.warn("discovery: watch broken: {why}", why=reason)
             self._engine.update_endpoints(ListUpdateKind.FAILED)
 
     async def _fetch_and_watch(self) -> None:
         timeout = httpx.Timeout(SILENCE_TIMEOUT.total_seconds(), connect=ANSWER_TIMEOUT.total_seconds())
-        # plain HTTP by the protocol: no certificates to load, which takes longer than the call
+        # The protocol is plain HTTP; loading certificates would take longer than the call.
         async with httpx.AsyncClient(timeout=timeout, trust_env=False, verify=False) as client:
             if not self._state.watching:
                 await self._fetch_list(client)
@@ -101,14 +101,14 @@
 
     @staticmethod
     async def _read_body(response: httpx.Response) -> bytes:
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
-        async for part in response.aiter_bytes():
-            parts.append(part)
-            size += len(part)
+        async for chunk in response.aiter_bytes():
+            chunks.append(chunk)
+            size += len(chunk)
             if size > MAX_BYTES:
-                break  # too long to be read: the state says so
-        return b"".join(parts)
+                break  # read_list rejects it as too long
+        return b"".join(chunks)
 
     async def _watch_changes(self, client: httpx.AsyncClient) -> None:
         request = client.build_request("GET", self._base_url + self._state.target())
@@ -116,10 +116,10 @@
             response = await client.send(request, stream=True)
         try:
             self._check(response)
-            rest = b""
-            async for part in response.aiter_bytes():
-                *lines, rest = (rest + part).split(b"\n")
-                if len(rest) > MAX_BYTES:
+            incomplete_line = b""
+            async for chunk in response.aiter_bytes():
+                *lines, incomplete_line = (incomplete_line + chunk).split(b"\n")
+                if len(incomplete_line) > MAX_BYTES:
                     raise WatchError(f"a line over {MAX_BYTES >> 20} MiB")
                 for line in lines:
                     self._apply(self._state.read_line(line))
@@ -132,11 +132,11 @@
         if response.status_code != HTTP_OK:
             raise WatchError(f"status {response.status_code}")
 
-    def _apply(self, members: EndpointList | None) -> None:
-        """Hand an endpoint list to the engine; None is a line that only shows that the watch is alive."""
-        if members is not None:
-            entries = self._directory.entries(members, self._engine.clock.now())
-            self._engine.update_endpoints(update_kind(members), members.rev, entries)
+    def _apply(self, endpoint_list: EndpointList | None) -> None:
+        """Pass an endpoint list to the engine. None, from a line that completes no list, is ignored."""
+        if endpoint_list is not None:
+            entries = self._directory.entries(endpoint_list, self._engine.clock.now())
+            self._engine.update_endpoints(update_kind(endpoint_list), endpoint_list.rev, entries)
             self._record_alive()
 
     def _record_alive(self) -> None:
--- a/puffindeck/service_discovery/directory.py
+++ b/puffindeck/service_discovery/directory.py
@@ -1,4 +1,4 @@
-"""Discovery's names for hosts, zones and kinds as the decision module's numbers, and hosts' addresses."""
+"""Maps discovery's names of hosts, zones and kinds to numbers, and numbers of hosts to addresses."""
 
 from __future__ import annotations
 
@@ -22,48 +22,56 @@
 
 
 class Directory:
-    """Each host that the list has named: its number, its address and its start."""
+    """Number, address and start time of each host that has been in the endpoint list."""
 
     def __init__(self, zones: Iterable[str], kinds: Iterable[str]) -> None:
         self.addresses: dict[int, tuple[str, int]] = {}
         self._names: dict[int, str] = {}
-        self._starts = StartTimes()
-        self._last_contact_ms: float | None = None  # when discovery last answered; None: never
+        self._start_times = StartTimes()
+        self._last_contact_ms: float | None = None  # time of discovery's last answer; None: no answer yet
         self._zones = {name: i for i, name in enumerate(zones)}
         self._kinds = {name: i for i, name in enumerate(kinds)}
 
     def number(self, uid: str) -> int:
-        """Return a host's number, made from its name alone: all nodes place hosts alike on the ring."""
-        for turn in range(256):
-            digest = blake2b(uid.encode(), digest_size=4, salt=turn.to_bytes(1, "little")).digest()
+        """Return a host's number, a hash of its name.
+
+        All nodes compute the same number, and therefore place the host alike on the hash ring. If the numbers
+        of two hosts collide, the host that was seen second gets its next hash. Raises OverflowError.
+        """
+        for collisions in range(256):
+            digest = blake2b(uid.encode(), digest_size=4, salt=collisions.to_bytes(1, "little")).digest()
             endpoint = int.from_bytes(digest, "little")
             if self._names.setdefault(endpoint, uid) == uid:
                 return endpoint
-        raise OverflowError("no number is left")  # pragma: no cover
+        raise OverflowError("no free number for the host")  # pragma: no cover
 
     def zone(self, name: str) -> int:
-        """Return the number of a zone; a new name gets the next one."""
+        """Return the number of a zone. A new zone gets the next number."""
         return self._zones.setdefault(name, len(self._zones))
 
     def zone_name(self, zone: int) -> str:
-        """Return the name of a zone by its number; empty for none."""
+        """Return the name of a zone by its number; empty if it is unknown."""
         return next((name for name, number in self._zones.items() if number == zone), "")
 
     def is_known(self, uid: str) -> bool:
-        """Has the list ever named it?"""
+        """Return whether the host has been in the endpoint list with an address."""
         return self.number(uid) in self.addresses
 
     def name(self, endpoint: int) -> str:
-        """Return a host's name; its number as text if it has none."""
+        """Return a host's name by its number; the number as text if it is unknown."""
         return self._names.get(endpoint, str(endpoint))
 
     def record_contact(self, now: timedelta) -> None:
-        """Note that the list was up to date at this moment of the engine's clock."""
+        """Record that the list was up to date at `now`, a time of the engine's clock."""
         self._last_contact_ms = to_ms(now)
 
-    def entries(self, members: EndpointList, now: timedelta) -> list[EndpointEntry]:
-        """Return a list's entries for the decision module. One that can't be used is left out and logged."""
-        return [entry for target in members.targets if (entry := self._entry(target, to_ms(now))) is not None]
+    def entries(self, endpoint_list: EndpointList, now: timedelta) -> list[EndpointEntry]:
+        """Return a list's entries for the decision module. Invalid targets are logged and omitted."""
+        return [
+            entry
+            for target in endpoint_list.targets
+            if (entry := self._entry(target, to_ms(now))) is not None
+        ]
 
     def _entry(self, target: Target, now_ms: float) -> EndpointEntry | None:
         state = STATES.get(target.state)
@@ -80,8 +88,8 @@
         zone = self.zone(target.az)
         kind = self._kinds.setdefault(target.model, len(self._kinds))
         if state == EndpointStatus.GONE:
-            self._starts.forget((endpoint,))
+            self._start_times.forget((endpoint,))
             started_ms = target.boot_ms
         else:
-            started_ms = self._starts.started(endpoint, target.boot_ms, now_ms, self._last_contact_ms)
+            started_ms = self._start_times.start_time(endpoint, target.boot_ms, now_ms, self._last_contact_ms)
         return EndpointEntry(endpoint, zone, kind, target.pod_group, state, target.capacity_hint, started_ms)
--- a/puffindeck/service_discovery/start_times.py
+++ b/puffindeck/service_discovery/start_times.py
@@ -1,33 +1,33 @@
-"""When endpoints started, on this process's clock, from the Unix times that discovery gives.
+"""Start times of endpoints on this process's clock, from the Unix times that discovery reports.
 
-This machine's wall clock may have been wrong when the process began, and the servers' may be stepped while it
-runs. A start in the future would keep an endpoint in slow start for as long as the clocks differ, and one too
-far in the past would end the slow start of an endpoint that has just started. So a time that can't be true is
-replaced by a careful one: this moment.
+This machine's wall clock may have been wrong when the process began, and the servers' clocks may be stepped
+while it runs. A start time in the future would prolong an endpoint's slow start by the difference of the
+clocks, and one too far in the past would end the slow start of an endpoint that has just started. An
+implausible start time is therefore replaced by the current time, which is the conservative choice.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-MAX_NOTIFICATION_DELAY_MS = 6000.0  # between a change and the list that has it (protocol page)
-HEARTBEAT_INTERVAL_MS = 2000.0  # of a watch on which nothing changes (protocol page)
+MAX_NOTIFICATION_DELAY_MS = 6000.0  # between a change and a list with it (discovery protocol)
+HEARTBEAT_INTERVAL_MS = 2000.0  # on a watch without changes (discovery protocol)
 
 
 class StartTimes:
-    """The reported starts, and the starts on this process's clock, both in milliseconds."""
+    """The reported start times, and those on this process's clock, both as Unix times in milliseconds."""
 
     def __init__(self) -> None:
         self._reported: dict[int, float] = {}
         self._started: dict[int, float] = {}
 
-    def started(
+    def start_time(
         self, endpoint: int, reported_ms: float, now_ms: float, last_contact_ms: float | None
     ) -> float:
-        """Return an endpoint's start in milliseconds; 0 for long ago.
+        """Return an endpoint's start time as a Unix time in milliseconds; 0 for a start long ago.
 
-        `last_contact_ms` is when discovery last answered before this list, None for the first list: a start
-        that is new in this list can't be older than that and a list's delay.
+        `last_contact_ms` is the time of discovery's last answer before this list, None for the first list. A
+        start that is new in this list can't be older than that answer by more than the delay of a list.
         """
         if reported_ms <= 0.0:
             self.forget((endpoint,))
@@ -47,7 +47,7 @@
         return self._started[endpoint]
 
     def forget(self, endpoints: Iterable[int]) -> None:
-        """Drop endpoints that are gone, or whose starts are long ago."""
+        """Remove endpoints that are gone or started long ago."""
         for endpoint in endpoints:
             self._reported.pop(endpoint, None)
             self._started.pop(endpoint, None)
--- a/puffindeck/service_discovery/watch.py
+++ b/puffindeck/service_discovery/watch.py
@@ -1,8 +1,8 @@
-"""Discovery's protocol without any I/O: what to ask next, what an answer says, how long to wait for one.
+"""Discovery's protocol without any I/O: the next request, the content of responses, and the time-outs.
 
-A front brings the HTTP: it asks for `target()`, hands over what comes (`read_list` for a whole list,
-`read_line` for each line of a watch), and gives the engine the members returned. Twisted's front
-(`net/discovery.py`) and asyncio's both use it.
+A front does the HTTP: it requests `target()`, passes the response to `read_list` (a whole list) or
+`read_line` (each line of a watch), and passes the endpoint list that these return to the engine. Twisted's
+front (`net/discovery.py`) and asyncio's (`asyncio_watch.py`) both use this module.
 """
 
 from __future__ import annotations
@@ -14,71 +14,72 @@
 from puffindeck.interface import ListUpdateKind
 
 PATH = "/catalog/members"
-# What changes counts as told 6 s after discovery had it and could be reached, whatever failed before. So a
-# call that was lost while it was down, the module's wait (at most a second) and the next answer fit in that,
-# and so do a watch that has fallen silent, a wait and an answer. A call may wait 2 s for its turn.
-ANSWER_TIMEOUT = milliseconds(2250)  # of a call: its headers, and all of it where it is a list
-SILENCE_TIMEOUT = milliseconds(3000)  # of a watch, which has an empty line each 2 s
-LIST_TIMEOUT = milliseconds(3000)  # of a list that has begun, however alive its watch is
-AGENT_ANSWER_TIMEOUT = milliseconds(300)  # of an agent on the same machine, which waits for nobody
-MAX_PARALLEL_CALLS = 4  # to a silent agent; the oldest is given up
-AGENT_RETRY_DELAY = milliseconds(250)  # short, as a call to an agent costs nothing
-MAX_BYTES = 1 << 22  # of a line, or of a whole list
-TRUNCATED = "Input data was truncated"  # as msgspec says that an object goes on
+# A node must know of a change at most 6 s after discovery has it and can be reached, whatever failed before.
+# Two sequences must therefore fit into 6 s: a call that was lost while discovery was down, the decision
+# module's delay (at most 1 s) and the next answer; and a watch that fell silent, a delay and an answer.
+# Discovery may take 2 s before it starts to process a call.
+ANSWER_TIMEOUT = milliseconds(2250)  # for the headers of a response, and for the whole response with a list
+SILENCE_TIMEOUT = milliseconds(3000)  # for a watch, on which an empty line arrives every 2 s
+LIST_TIMEOUT = milliseconds(3000)  # for the rest of a list that has begun, even if its watch is active
+AGENT_ANSWER_TIMEOUT = milliseconds(300)  # for an agent on the same machine, which answers without delay
+MAX_PARALLEL_CALLS = 4  # to an agent that does not answer; one more cancels the oldest
+AGENT_RETRY_DELAY = milliseconds(250)  # short, because a call to an agent is cheap
+MAX_BYTES = 1 << 22  # maximum size of a line or a whole list
+TRUNCATED = "Input data was truncated"  # msgspec's error for an incomplete JSON object
 DECODER = msgspec.json.Decoder(EndpointList)
 
 
 class WatchError(ValueError):
-    """An answer of discovery can't be used. A change may be lost with it, so the watch must begin anew."""
+    """A response of discovery is invalid. It may have contained a change, so a new watch must be started."""
 
 
 class WatchState:
-    """The version of the list that is known, which says what is asked next."""
+    """The version of the known list, which determines the next request."""
 
     def __init__(self, version: int | None = None) -> None:
-        self.version = version  # None: nothing is known, the whole list comes first
-        self._begun = b""  # the first lines of an indented list
+        self.version = version  # None: no list is known, so the whole list is requested
+        self._partial_list = b""  # the lines of an indented list that have arrived
 
     @property
     def list_begun(self) -> bool:
-        """Has a list begun that has not ended?"""
-        return bool(self._begun)
+        """Whether the first lines of an indented list have arrived, but not its end."""
+        return bool(self._partial_list)
 
     @property
     def watching(self) -> bool:
-        """Is the next call a watch, or one for the whole list?"""
+        """Whether the next request is a watch; otherwise it requests the whole list."""
         return self.version is not None
 
     def target(self) -> str:
-        """Return the path and query of the next call, and begin reading anew."""
-        self._begun = b""
+        """Return path and query of the next request, and discard a partial list."""
+        self._partial_list = b""
         return PATH if self.version is None else f"{PATH}?watch=1&after={self.version}"
 
     def read_line(self, line: bytes) -> EndpointList | None:
-        """Read a line of a watch. None for a heartbeat, or while an indented list goes on.
+        """Read a line of a watch.
 
-        Raises WatchError.
+        Returns None for a heartbeat, or if an indented list is still incomplete. Raises WatchError.
         """
         line = line.strip()
         if not line:
             return None
-        text = self._begun + line
+        text = self._partial_list + line
         if len(text) > MAX_BYTES:
             raise WatchError(f"a list over {MAX_BYTES >> 20} MiB")
         if not line.endswith(b"}"):
-            self._begun = text  # only a brace can end it
+            self._partial_list = text  # only a closing brace can end a list
             return None
         try:
-            members = DECODER.decode(text)
+            endpoint_list = DECODER.decode(text)
         except msgspec.MsgspecError as error:
             if str(error) != TRUNCATED:
                 raise WatchError(f"a line that can't be read: {error}") from None
-            self._begun = text
+            self._partial_list = text
             return None
-        return self._accept(members)
+        return self._accept(endpoint_list)
 
     def read_list(self, text: bytes) -> EndpointList:
-        """Read a list that has ended, whole or of changes. Raises WatchError, and keeps the known version."""
+        """Read a complete response with a list. Raises WatchError if it is too long or invalid."""
         if len(text) > MAX_BYTES:
             raise WatchError(f"a list over {MAX_BYTES >> 20} MiB")
         try:
@@ -86,15 +87,17 @@
         except msgspec.MsgspecError as error:
             raise WatchError(f"a list that can't be read: {error}") from None
 
-    def _accept(self, members: EndpointList) -> EndpointList:
-        self._begun = b""
-        if not members.all and self.version is not None and members.rev < self.version:
+    def _accept(self, endpoint_list: EndpointList) -> EndpointList:
+        self._partial_list = b""
+        if not endpoint_list.all and self.version is not None and endpoint_list.rev < self.version:
             known, self.version = self.version, None
-            raise WatchError(f"version {members.rev} after {known}: it counts anew, the list is read whole")
-        self.version = members.rev
-        return members
+            raise WatchError(
+                f"version {endpoint_list.rev} after {known}: it counts anew, the list is read whole"
+            )
+        self.version = endpoint_list.rev
+        return endpoint_list
 
 
-def update_kind(members: EndpointList) -> ListUpdateKind:
-    """Return what kind of update this list is for the decision module."""
-    return ListUpdateKind.FULL if members.all else ListUpdateKind.CHANGES
+def update_kind(endpoint_list: EndpointList) -> ListUpdateKind:
+    """Return the kind of update that a list is for the decision module."""
+    return ListUpdateKind.FULL if endpoint_list.all else ListUpdateKind.CHANGES
--- a/tests/config/test_checks.py
+++ b/tests/config/test_checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values: errors have the key, and what it must be."""
+"""Checks of single values: errors name the key and the requirement."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from puffindeck.config.checks import number, parse_seed, require
 
 
-def test_a_missing_key_is_named_with_its_table() -> None:
+def test_missing_key_is_named_with_its_table() -> None:
     with pytest.raises(MissingKeyError) as raised:
         require({"rules": {}}, "rules.coldFrom")
     assert (raised.value.location, raised.value.key) == ("settings", "rules.coldFrom")
@@ -16,7 +16,7 @@
 
 
 @pytest.mark.parametrize("value", [True, "1", -1, float("inf"), float("nan"), None])
-def test_a_number_that_cannot_be_used_is_named_with_its_requirement(value: object) -> None:
+def test_error_for_invalid_number_has_key_and_requirement(value: object) -> None:
     with pytest.raises(InvalidValueError) as raised:
         number({"a": value}, "a")
     assert (raised.value.key, raised.value.requirement) == ("settings: a", "must be a number of 0 or more")
@@ -26,17 +26,17 @@
     ("text", "address"),
     [("127.0.0.1:0", ("127.0.0.1", 0)), ("[::1]:65535", ("::1", 65535)), ("box:7", ("box", 7))],
 )
-def test_an_address_is_a_host_and_a_port(text: str, address: tuple[str, int]) -> None:
+def test_address_is_split_into_host_and_port(text: str, address: tuple[str, int]) -> None:
     assert parse_address(text, "listen") == address
 
 
 @pytest.mark.parametrize("text", ["", "box", "box:", ":7", "box:65536", "box:-1", "box:\u0664"])
-def test_what_is_no_address_names_the_key(text: str) -> None:
+def test_error_for_invalid_address_names_the_key(text: str) -> None:
     with pytest.raises(InvalidValueError, match=r"^listen must be HOST:PORT, not "):
         parse_address(text, "listen")
 
 
-def test_a_seed_is_hexadecimal() -> None:
+def test_seed_is_parsed_as_hexadecimal() -> None:
     assert parse_seed("ff") == 255
     with pytest.raises(InvalidValueError, match=r"^seed must be a hexadecimal number, not 'x'"):
         parse_seed("x")
--- a/tests/config/test_node_config.py
+++ b/tests/config/test_node_config.py
@@ -1,4 +1,4 @@
-"""A node's whole configuration."""
+"""A node's whole configuration, from shipped operators' files."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 ROOT = Path(__file__).parents[2]
 
 
-def test_the_operators_files_that_are_shipped_are_read() -> None:
+def test_shipped_operator_files_are_valid() -> None:
     node_config = config.load_node_config({}, str(ROOT / "deploy/operator-pools.toml"))
     assert node_config.routing is not None
     assert {pool.name for pool in node_config.routing.pools} == {"claims", "partners"}
--- a/tests/config/test_routing.py
+++ b/tests/config/test_routing.py
@@ -1,4 +1,4 @@
-"""The routing table: each fault is named by its key."""
+"""The routing table: each error names the invalid key."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from puffindeck import config
 from puffindeck.importer import haproxy
 
-ROUTED = '[routing.pools.a]\nmembers = ["x"]\n[[routing.routes]]\npool = "a"\n'
+POOL_AND_ROUTE = '[routing.pools.a]\nmembers = ["x"]\n[[routing.routes]]\npool = "a"\n'
 
 
 @pytest.mark.parametrize(
-    ("line", "key"),
+    ("lines", "message"),
     [
         ("[routing.pools.a]\nmembers = []\n", "routing.pools.a.members"),
         ('[routing.pools.a]\nmembers = ["x"]\nbackups = [["x"]]\n', "routing.pools.a: x is listed twice"),
@@ -23,14 +23,14 @@
         ('[routing.pools.a]\nmembers = ["x"]\ncolour = 1\n', "colour"),
         ('[routing]\ndefault = "b"\n[routing.pools.a]\nmembers = ["x"]\n', "no pool b"),
         (
-            ROUTED + 'when = [[{on = "port", is = ["no"]}]]\n',
+            POOL_AND_ROUTE + 'when = [[{on = "port", is = ["no"]}]]\n',
             r"routing.routes\[0\].when\[0\]\[0\]: 'no' is no number",
         ),
         ('[routing.pools.a]\nmembers = ["x"]\n[[routing.routes]]\npool = "a"\nwhen = [[]]\n', "empty group"),
     ],
 )
-def test_routing_that_cannot_be_used_names_its_key(line: str, key: str, tmp_path: Path) -> None:
+def test_error_for_invalid_routing_names_the_key(lines: str, message: str, tmp_path: Path) -> None:
     table, _ = haproxy.convert("h.cfg", "backend a\n server x 127.0.0.1:1\n")
-    (tmp_path / "o.toml").write_bytes(msgspec.toml.encode(table) + b"\n" + line.encode())
-    with pytest.raises(config.ConfigError, match=key):
+    (tmp_path / "o.toml").write_bytes(msgspec.toml.encode(table) + b"\n" + lines.encode())
+    with pytest.raises(config.ConfigError, match=message):
         config.load_node_config({}, str(tmp_path / "o.toml"))
--- a/tests/core/test_generational_arena.py
+++ b/tests/core/test_generational_arena.py
@@ -1,4 +1,4 @@
-"""Slots that are given away again."""
+"""Slots of the arena that are reused."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from tests.support.node_story import Story
 
 
-class ArenaStories(Story):
-    """A late callback of the engine."""
+class GenerationalArenaTest(Story):
+    """Callbacks of the engine that arrive after their request has ended."""
 
-    def test_a_late_callback_finds_no_one_in_a_slot_given_away_again(self) -> None:
+    def test_late_callback_does_not_reach_new_item_of_reused_slot(self) -> None:
         self.build()
         slots = self.node.engine.requests
         first = slots.add(object())  # type: ignore[arg-type]
--- a/tests/core/test_reactor_clock.py
+++ b/tests/core/test_reactor_clock.py
@@ -1,4 +1,4 @@
-"""Timers go by the monotonic clock, and a timer that is stuck on another clock is set anew."""
+"""Timers run by the monotonic clock, and a timer that is stuck on the wall clock is replaced."""
 
 from __future__ import annotations
 
@@ -15,49 +15,49 @@
 from puffindeck.core.timer_queue import TimerQueue
 
 
-def reactor() -> Any:
+def new_reactor() -> Any:
     return EPollReactor()
 
 
-def test_a_timer_runs_in_its_time_though_the_wall_clock_is_set_back() -> None:
-    of_its_own = reactor()
-    use_monotonic_clock(of_its_own)
-    done: list[int] = []
-    of_its_own.callLater(0.01, done.append, 1)
+def test_timer_runs_on_time_although_the_wall_clock_is_set_back() -> None:
+    reactor = new_reactor()
+    use_monotonic_clock(reactor)
+    calls: list[int] = []
+    reactor.callLater(0.01, calls.append, 1)
     began = time.monotonic()
     with patch("time.time", return_value=1.0):
-        while not done and time.monotonic() < began + 5:
-            of_its_own.iterate(0.01)
-    assert done == [1]
-    use_monotonic_clock(of_its_own)  # once more changes nothing
+        while not calls and time.monotonic() < began + 5:
+            reactor.iterate(0.01)
+    assert calls == [1]
+    use_monotonic_clock(reactor)  # a second call changes nothing
 
 
-def test_a_reactor_whose_timers_wait_already_is_left_as_it_is() -> None:
-    of_its_own = reactor()
-    of_its_own.callLater(60, str)
+def test_reactor_with_pending_timers_is_rejected() -> None:
+    reactor = new_reactor()
+    reactor.callLater(60, str)
     with pytest.raises(PendingTimersError, match="1 timers") as raised:
-        use_monotonic_clock(of_its_own)
+        use_monotonic_clock(reactor)
     assert "start of the program" in raised.value.remedy
 
 
-class SetClock(Clock):
-    """A clock that a test sets."""
+class ManualClock(Clock):
+    """A clock whose time the test sets."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.moment = super().now()
+        self.time = super().now()
 
     def now(self) -> Any:
-        return self.moment
+        return self.time
 
 
-def test_a_timer_that_is_long_overdue_is_set_anew_with_the_next_deadline() -> None:
-    """In a program of somebody else's, whose reactor measures timers on the wall clock."""
-    clock, timers = SetClock(), FakeTimers()
+def test_long_overdue_timer_is_replaced_when_the_next_deadline_is_added() -> None:
+    """This happens in a program that uses the package as a library on a reactor with the wall clock."""
+    clock, timers = ManualClock(), FakeTimers()
     deadlines = TimerQueue(clock, timers)
-    done: list[str] = []
-    deadlines.after(milliseconds(100), done.append, "first")
-    clock.moment += milliseconds(500)  # and the reactor's clock stands still
-    deadlines.after(milliseconds(100), done.append, "second")
+    calls: list[str] = []
+    deadlines.after(milliseconds(100), calls.append, "first")
+    clock.time += milliseconds(500)  # the reactor's clock does not advance
+    deadlines.after(milliseconds(100), calls.append, "second")
     timers.advance(0)
-    assert done == ["first"]
+    assert calls == ["first"]
