--- a/puffindeck/config/checks.py
+++ b/puffindeck/config/checks.py
@@ -25,12 +25,12 @@
 def number(
     table: Any,
     path: str,
-    low: float = 0.0,
+    minimum: float = 0.0,
     default: float | None = None,
     where: str = "settings",
-    above: bool = False,
+    exclusive: bool = False,
 ) -> float:
-    """Return a finite number of at least `low`, or greater than `low` if `above` is set.
+    """Return a finite number of at least `minimum`, or greater than `minimum` if `exclusive` is set.
 
     `default` is returned if the last key of the path is missing or null. Raises MissingKeyError, and
     InvalidValueError for any other value.
@@ -40,10 +40,10 @@
     if default is not None and isinstance(inner, dict) and inner.get(last) is None:
         return default
     value = require(table, path, where)
-    if isinstance(value, bool) or not isinstance(value, (int, float)) or not low <= value < float("inf"):
-        raise InvalidValueError(f"{where}: {path}", f"must be a number of {low:g} or more")
-    if above and value == low:
-        raise InvalidValueError(f"{where}: {path}", f"must be above {low:g}")
+    if isinstance(value, bool) or not isinstance(value, (int, float)) or not minimum <= value < float("inf"):
+        raise InvalidValueError(f"{where}: {path}", f"must be a number of {minimum:g} or more")
+    if exclusive and value == minimum:
+        raise InvalidValueError(f"{where}: {path}", f"must be above {minimum:g}")
     return float(value)
 
 
--- a/puffindeck/config/client_config.py
+++ b/puffindeck/config/client_config.py
@@ -67,13 +67,11 @@
     """The checked table `rpc`: how calls become requests."""
 
     class_number: int  # the class of calls whose method is not in `methods`
-    methods: dict[
-        str, int
-    ]  # class numbers by "/package.Service/Method", or "/package.Service/" for all methods
+    methods: dict[str, int]  # class numbers by "/package.Service/Method" or, for all, "/package.Service/"
     key_metadata: str
     group_metadata: str
     max_subchannels: int  # endpoints that a channel is connected to at the same time
-    idle_timeout: timedelta  # a connection without calls is closed after it
+    idle_timeout: timedelta  # a connection is closed after this time without calls
     max_replayed_messages: int  # messages of a request stream that are buffered for another attempt
     tls: TlsConfig | None
 
--- a/puffindeck/config/fleet.py
+++ b/puffindeck/config/fleet.py
@@ -60,7 +60,9 @@
         raise InvalidValueError("fleet.name", "must not be empty")
     for name in (instance, *table.peers):
         if not name or len(name.encode()) > MAX_NAME_OCTETS:
-            raise ConfigError(f"fleet.peers.{name}: an instance's name has 1 to {MAX_NAME_OCTETS} octets")
+            raise ConfigError(
+                f"fleet.peers.{name}: an instance's name must have 1 to {MAX_NAME_OCTETS} octets"
+            )
     bind = parse_address(table.bind, "fleet.bind")
     if bind[1] == 0:
         raise InvalidValueError("fleet.bind", "must name a port, because other members send to it")
--- a/puffindeck/config/node_config.py
+++ b/puffindeck/config/node_config.py
@@ -136,9 +136,7 @@
         return None
     if not is_operator_file:  # the platform forbids messages between instances
         raise ConfigError("fleet, quota and residency are an operator's file's only")
-    from puffindeck.config.fleet import (
-        parse_fleet_member,  # not loaded by a node that is no member of a fleet
-    )
+    from puffindeck.config.fleet import parse_fleet_member  # loaded only by fleet members
 
     fleet_member = parse_fleet_member(file.fleet, file.quota, file.residency, name)
     if file.residency is not None and (file.routing is not None or settings.evenness):
--- a/puffindeck/config/policy_settings.py
+++ b/puffindeck/config/policy_settings.py
@@ -22,7 +22,7 @@
         raise ConfigError(f"{at}.repeat or .group has an unknown value")
     return ClassSettings(
         latency_objective_ms=number(table, "aimMs", where=at),
-        deadline_ms=number(table, "hardLimitMs", where=at, above=True),
+        deadline_ms=number(table, "hardLimitMs", where=at, exclusive=True),
         priority_weight=number(table, "worth", default=1.0, where=at),
         effect=EFFECTS[effect],
         scope=SCOPES[scope],
--- a/puffindeck/config/quic.py
+++ b/puffindeck/config/quic.py
@@ -41,8 +41,8 @@
     listen: tuple[str, int]
     class_number: int  # the index in the settings of the request class of all connections
     deadline: timedelta  # time from a client's first Initial packet to the answer
-    idle_timeout: timedelta  # a flow without datagrams is removed after it
-    silence_timeout: timedelta  # a flow whose endpoint sends nothing is removed after it
+    idle_timeout: timedelta  # a flow is removed after this time without datagrams
+    silence_timeout: timedelta  # a flow is removed after this time without an answer of its endpoint
     config_id: int
     server_id_length: int  # octets
     nonce_length: int  # octets
--- a/puffindeck/config/reload.py
+++ b/puffindeck/config/reload.py
@@ -12,16 +12,11 @@
 from puffindeck.config.errors import ConfigError
 from puffindeck.config.node_config import NodeConfig, NodeFile, load_node_config
 
-FREE_FORM_KEYS = (
-    "known",
-    "quic.boxes",
-    "fleet.peers",
-    "quota",
-    "residency",
-)  # a new file may lack entries below these keys
+# A new file may lack entries below these keys that the running file has.
+FREE_FORM_KEYS = ("known", "quic.boxes", "fleet.peers", "quota", "residency")
 # Keys whose changes a running node applies; without discovery it also applies changes of `known`.
 RELOADED_KEYS = ("discovery", "limits", "settings", "quota", "residency")
-START_ONLY_KEYS = ("seed", "known")  # used at the start only; changes are not reported
+START_ONLY_KEYS = ("seed", "known")  # not reported as changed, since they are used at a start
 
 
 class ReloadedConfig(NamedTuple):
--- a/puffindeck/core/local_resource_errors.py
+++ b/puffindeck/core/local_resource_errors.py
@@ -1,4 +1,4 @@
-"""Errors of system calls that are caused by this machine and not by the remote host.
+"""Errors of system calls that say nothing about the remote host, such as a shortage on this machine.
 
 The errors are listed in the Linux manual pages accept(2), socket(2), connect(2), recv(2) and send(2).
 """
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -56,7 +56,7 @@
 
 
 class Request(NamedTuple):
-    """A client's request, as a front hands it to the engine."""
+    """A client's request, as a front passes it to the engine."""
 
     class_number: int  # the index of the request class in the settings
     key: int  # the number of the key by which the endpoint is chosen
@@ -106,6 +106,4 @@
         self.attempt_started = ZERO
         self.link: UpstreamLink | None = None
         self.attempt_expiry: Deadline | None = None
-        self.deadline_guard: Deadline | None = (
-            None  # fails the request if the decision module does not answer it
-        )
+        self.deadline_guard: Deadline | None = None  # fails a request that has no answer in time
--- a/puffindeck/service_discovery/start_times.py
+++ b/puffindeck/service_discovery/start_times.py
@@ -10,8 +10,9 @@
 
 from collections.abc import Iterable
 
-MAX_NOTIFICATION_DELAY_MS = 6000.0  # between a change and a list with it (discovery protocol)
-HEARTBEAT_INTERVAL_MS = 2000.0  # on a watch without changes (discovery protocol)
+# Both are defined by the discovery protocol.
+MAX_NOTIFICATION_DELAY_MS = 6000.0  # maximum delay between a change and a list that contains it
+HEARTBEAT_INTERVAL_MS = 2000.0  # interval of empty lines on a watch without changes
 
 
 class StartTimes:
