--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -25,8 +25,8 @@
     WatchState,
 )
 from tests.net.test_discovery import ListStory, chunk, listing
-from tests.support.gateway import SETTINGS, Gateway, listed
-from tests.support.node_story import Peer
+from tests.support.gateway import SETTINGS, Gateway, list_update
+from tests.support.node_test_case import Peer
 
 TOLD = milliseconds(6000)
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -50,9 +50,9 @@
 def test_however_often_it_failed_a_list_is_asked_for_within_a_second(seed: int) -> None:
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=60000), seed=seed)
     for failed in range(30):
-        gateway.do(listed(kind=ListUpdateKind.FAILED))
+        gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
         most = to_ms(MOST_WAIT if failed else FIRST_WAIT)
-        assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(most)), failed
+        assert any(isinstance(a, WatchEndpoints) for a in gateway.advance(most)), failed
 
 
 class AskedStories(ListStory):
@@ -77,7 +77,7 @@
             + b"Transfer-Encoding: chunked\r\n\r\n"
             + chunk(listing(60, False, self.target("h0", "DRAINING")) + b"\n")
         )
-        await self.until(lambda: (ListUpdateKind.CHANGES, 60) in self.lists(), "the drain")
+        await self.wait_until(lambda: (ListUpdateKind.CHANGES, 60) in self.lists(), "the drain")
         self.assertLess(self.node.deadlines.clock.now() - since, TOLD / 10)
 
     async def test_a_call_lost_in_the_return_of_discovery_after_many_failures(self) -> None:
@@ -93,20 +93,20 @@
 
     async def test_an_answer_that_stalls_behind_its_headers(self) -> None:
         self.quick()
-        await self.watched()
+        await self.accept_watch()
         await self.drained(self.node.deadlines.clock.now())
 
     async def test_a_watch_that_falls_silent(self) -> None:
         self.quick()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
-        await self.until(lambda: self.node.lifecycle.is_ready, "the empty line")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "the empty line")
         await self.drained(self.node.deadlines.clock.now())
 
     async def test_a_list_that_trickles_in_is_one_that_does_not_come(self) -> None:
         # each octet was a sign of life, and the start of a line waited for its end for good
         self.quick()
-        watch = await self.watched()
+        watch = await self.accept_watch()
         begun = self.node.deadlines.clock.now()
         while len(self.discovery.peers) == 1:
             watch.write(chunk(b"{"))
@@ -115,7 +115,7 @@
 
     async def test_a_whole_list_whose_octets_buy_time(self) -> None:
         self.quick()
-        await self.watched()
+        await self.accept_watch()
         self.reload_to_whole()
         slow = await self.discovery.next()
         begun = self.node.deadlines.clock.now()
@@ -126,7 +126,7 @@
             await self.pause(0.01)
         self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(1000))
         await self.whole(70, self.target("h1"))
-        await self.until(lambda: (ListUpdateKind.FULL, 70) in self.lists(), "the whole list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 70) in self.lists(), "the whole list")
 
     def reload_to_whole(self) -> None:
         """As a new configuration does where discovery has another address."""
@@ -138,31 +138,31 @@
     async def test_versions_that_count_anew_bring_the_whole_list(self) -> None:
         # a lower version was passed over by the module, drains with it
         self.quick()
-        watch = await self.watched()
-        self.news(watch, 40, True, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
-        self.news(watch, 3, False, self.target("h0", "DRAINING"))
+        watch = await self.accept_watch()
+        self.send_update(watch, 40, True, *self.all())
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
+        self.send_update(watch, 3, False, self.target("h0", "DRAINING"))
         await self.whole(4, self.target("h1"))
-        await self.until(lambda: (ListUpdateKind.FULL, 4) in self.lists(), "the list of the new count")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 4) in self.lists(), "the list of the new count")
         self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_what_the_older_discovery_says_after_a_reload_is_not_heard(self) -> None:
         self.quick()
-        watch = await self.watched()
-        self.news(watch, 40, True, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
+        watch = await self.accept_watch()
+        self.send_update(watch, 40, True, *self.all())
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.write(chunk(listing(41, False, self.target("h0", "DRAINING")) + b"\n"))  # on its way
         self.reload_to_whole()
         await self.whole(7, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 7) in self.lists(), "the new list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 7) in self.lists(), "the new list")
         await watch.ended()
         self.assertNotIn((ListUpdateKind.CHANGES, 41), self.lists())
 
     async def test_a_watch_that_ends_in_the_moment_of_a_reload_fails_nothing_of_the_new_one(self) -> None:
         self.quick()
-        watch = await self.watched()
-        self.news(watch, 40, True, *self.all())
-        await self.until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
+        watch = await self.accept_watch()
+        self.send_update(watch, 40, True, *self.all())
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 40) in self.lists(), "the list")
         watch.transport.abortConnection()
         self.reload_to_whole()
         await self.whole(7, *self.all())
@@ -188,7 +188,7 @@
         self.assertEqual(await ping.line(), b"PONG")  # an agent that is silent keeps nobody from being ready
         body = listing(50, True, self.target("h1"))
         back.write(OK + b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
-        await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
         await lost.ended()  # one list is enough
         await self.followed(50)
 
@@ -198,7 +198,7 @@
         await self.silent()
         body = listing(50, True, *self.all())
         slow.write(OK + b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
-        await self.until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
+        await self.wait_until(lambda: (ListUpdateKind.FULL, 50) in self.lists(), "the list")
 
     async def test_a_silent_agent_is_asked_by_a_few_calls_at_once(self) -> None:
         with patch.object(discovery, "AGENT_ANSWER_TIMEOUT", milliseconds(20)):
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -16,15 +16,15 @@
 from puffindeck.net.client import ClientProtocol
 from puffindeck.net.connection_state import ConnectionState
 from puffindeck.net.graceful_shutdown import RESTART, UPGRADE, DrainSchedule, GracefulShutdown
-from tests.support.crossing_story import ASK, CrossingStory
-from tests.support.node_story import ASK as ROUTED_ASK
-from tests.support.node_story import SETTINGS, Listener, Peer, Story, reactor
+from tests.support.node_test_case import REQUEST as ROUTED_REQUEST
+from tests.support.node_test_case import SETTINGS, Listener, NodeTestCase, Peer, reactor
+from tests.support.raw_client_test_case import REQUEST, RawClientTestCase
 
 OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
 
 
-class StopStories(CrossingStory):
+class StopStories(RawClientTestCase):
     """A node that ends."""
 
     def leaving(self, pace: DrainSchedule = OVER_NOW) -> GracefulShutdown:
@@ -36,44 +36,44 @@
     async def moving_with_half_a_line(self) -> tuple[Peer, ClientProtocol, Peer]:
         """A client that is to move and has half a line, the node's side of it, and its host."""
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         host.write(b"half of a li")
-        await self.until(lambda: client.left(b"half of a li"), "the half")
+        await self.wait_until(lambda: client.has_partial_line(b"half of a li"), "the half")
         self.node.engine.migrate_before_stop(line.request)
         return client, line, host
 
     async def test_who_waits_at_the_port_is_answered_before_it_closes(self) -> None:
         self.build()
         self.node.lifecycle.is_accepting = False
-        waiting = [self.raw() for _ in range(40)]  # more than one turn accepts
+        waiting = [self.connect_raw() for _ in range(40)]  # more than one turn accepts
         for plain in waiting:
-            plain.sendall(ASK.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
+            plain.sendall(REQUEST.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
         self.assertFalse(self.node.listeners.close_when_empty(False))
         for plain in waiting:
-            self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
+            self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
             plain.close()
-        await self.until(lambda: not self.node.connections.clients, "their ends")
+        await self.wait_until(lambda: not self.node.connections.clients, "their ends")
         self.assertTrue(self.node.listeners.close_when_empty(False))
         self.assertFalse(self.main_port.connected)
 
     async def test_who_waits_at_the_port_when_time_is_up_is_answered_too(self) -> None:
         self.build()
-        plain = self.raw()
-        plain.sendall(ASK.encode() + b"\r\n")
+        plain = self.connect_raw()
+        plain.sendall(REQUEST.encode() + b"\r\n")
         self.node.lifecycle.is_accepting = False
         self.leaving()._check()
         self.assertFalse(self.main_port.connected)
-        self.assertRegex(await self.reads(plain), rb"^BUSY \d+\r\n$")
+        self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
 
     async def test_a_request_at_a_hung_host_is_refused_at_the_end_where_that_is_harmless(self) -> None:
-        client, host = await self.hung()
+        client, host = await self.connect_unanswered()
         self.leaving()._check()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_its_attempt_is_given_up_too_where_the_settings_know_no_cancelling(self) -> None:
-        client, host = await self.hung(told={"can_cancel": False})
+        client, host = await self.connect_unanswered(told={"can_cancel": False})
         (link,) = self.node.connections.upstreams
         self.leaving()._check()
         self.assertTrue(link.done)  # at once, not with its deadline
@@ -81,18 +81,20 @@
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_that_may_have_run_and_must_not_run_twice_is_failed_at_the_end(self) -> None:
-        client, host = await self.hung(effect=Effect.NOT_IDEMPOTENT)
+        client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_one_whose_repeats_only_a_zone_discards_is_failed_at_the_end(self) -> None:
-        client, _ = await self.hung(effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0)
+        client, _ = await self.connect_unanswered(
+            effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0
+        )
         self.leaving()._check()
         self.assertEqual(await client.line(), b"ERR")
 
     async def test_a_request_is_answered_at_the_end_though_the_module_fails(self) -> None:
-        client, host = await self.hung()
+        client, host = await self.connect_unanswered()
         with patch.object(self.node.engine.balancer, "handle", side_effect=ZeroDivisionError):
             self.leaving()._check()
             self.assertEqual(await client.line(), b"ERR")
@@ -101,9 +103,9 @@
 
     async def test_who_asks_whether_it_is_ready_is_told_no_when_it_ends_before_that(self) -> None:
         self.build()
-        plain, line = await self.met()
+        plain, line = await self.connect_accepted()
         plain.sendall(b"PING\r\n")
-        await self.until(lambda: self.node.lifecycle._waiting, "the question")
+        await self.wait_until(lambda: self.node.lifecycle._waiting, "the question")
         with patch.object(
             node_module,
             "RESTART",
@@ -112,7 +114,7 @@
             self.node.stop()
         self.assertIs(line.state, ConnectionState.IDLE)
         plain.shutdown(socket.SHUT_WR)
-        self.assertEqual(await self.reads(plain), b"BUSY\r\n")
+        self.assertEqual(await self.read_to_end(plain), b"BUSY\r\n")
         self.shutdown.cancel()
 
     async def test_a_line_that_does_not_end_before_the_end_gets_no_move_into_it(self) -> None:
@@ -121,52 +123,52 @@
         self.assertIs(line.state, ConnectionState.MOVING)
         self.leaving()._check()
         self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.left(b"half of a li"))
+        self.assertTrue(client.has_partial_line(b"half of a li"))
         self.assertEqual(await host.ended(), "ConnectionDone")
 
     async def test_a_host_that_ends_in_the_middle_of_the_line_before_a_move(self) -> None:
         client, _, host = await self.moving_with_half_a_line()
         host.transport.loseConnection()
         self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.left(b"half of a li"))
+        self.assertTrue(client.has_partial_line(b"half of a li"))
 
     async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
-        await self.until(lambda: line.relay._line_open, "the half")
+        await self.wait_until(lambda: line.relay._line_open, "the half")
         line.relay.hold_lines()
         host.write(b"f\r\nnext")
-        await self.until(lambda: line.relay._held_start == b"next", "the next")
+        await self.wait_until(lambda: line.relay._held_start == b"next", "the next")
         self.node.engine.migrate_before_stop(line.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
-        self.assertTrue(client.left(b""))
+        self.assertTrue(client.has_partial_line(b""))
 
     async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
         )
         line.relay.hold_lines()
         host.write(b"half")
-        await self.until(lambda: line.relay._held_start, "the half")
+        await self.wait_until(lambda: line.relay._held_start, "the half")
         leaving.cancel()
-        await self.until(lambda: client.left(b"half"), "the half at the client")
+        await self.wait_until(lambda: client.has_partial_line(b"half"), "the half at the client")
         host.write(b" a line\r\n")
         self.assertEqual(await client.line(), b"half a line")
 
     async def test_moves_are_held_for_in_time(self) -> None:
         self.build()
-        await self.served(ASK)
+        await self.establish(REQUEST)
         (line,) = self.node.connections.clients
         leaving = self.leaving(
             DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
         )
         leaving._plan_moves()
-        await self.until(lambda: line.state is ConnectionState.HOLDING_LINE, "the hold")
+        await self.wait_until(lambda: line.state is ConnectionState.HOLDING_LINE, "the hold")
         leaving.cancel()
         self.assertIs(line.state, ConnectionState.RELAYING)
 
@@ -181,7 +183,7 @@
 
     async def test_a_lame_duck_that_is_stopped_ends(self) -> None:
         self.build()
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(REQUEST)
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
@@ -199,12 +201,12 @@
             self.assertFalse(self.node.lifecycle.undrain())  # there is no way back
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
         self.assertTrue(all(deadline.callback is None for deadline in lame._pending))
 
     async def test_a_reload_while_it_ends_moves_discovery(self) -> None:
         self.build()
-        await self.watched()
+        await self.accept_watch()
         other = Listener()
         self.addCleanup(other.port.stopListening)
         host, port = other.address.split(":")
@@ -227,8 +229,8 @@
 
     async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
         self.build()
-        await self.watched()
-        client, _, host = await self.served(ASK)
+        await self.accept_watch()
+        client, _, host = await self.establish(REQUEST)
         other = Listener()
         self.addCleanup(other.port.stopListening)
         name, port = other.address.split(":")
@@ -250,7 +252,7 @@
             call = await other.next()
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
         await call.ended()  # nothing is asked any more
 
     async def test_a_stop_before_the_start_ends_it(self) -> None:
@@ -266,18 +268,18 @@
             ),
         ):
             fresh.stop()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
         self.assertIsNone(fresh.listeners.main)
 
 
-class MoveStories(Story):
+class MoveStories(NodeTestCase):
     """A node that moves its clients."""
 
     async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
         self.build()
-        client, _, host = await self.served(ROUTED_ASK)
+        client, _, host = await self.establish(ROUTED_REQUEST)
         host.write(b"half a ")
-        await self.until(lambda: client.buffer, "the half line")
+        await self.wait_until(lambda: client.buffer, "the half line")
         slow = await self.client()
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
@@ -289,18 +291,20 @@
             patch.object(program, "stop") as stop,
         ):
             self.node.stop()
-            late, _, _ = await self.served(ROUTED_ASK)  # other nodes may be stopping too, or not be back yet
+            late, _, _ = await self.establish(
+                ROUTED_REQUEST
+            )  # other nodes may be stopping too, or not be back yet
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
-            await self.until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
-            slow.write(ROUTED_ASK.encode() + b"\r\n")
+            await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
+            slow.write(ROUTED_REQUEST.encode() + b"\r\n")
             self.assertRegex(await slow.line(), rb"^BUSY \d+$")
             self.assertEqual(client.end, None)
             self.assertEqual(await late.line(), b"MOVE")
             host.write(b"line\r\nand more\r\n")
             self.assertEqual([await client.line(), await client.line()], [b"half a line", b"MOVE"])
             self.assertEqual(await host.ended(), "ConnectionDone")
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
 
 
 def test_all_is_moved_before_the_kill_whatever_the_longest_deadline() -> None:
@@ -314,13 +318,13 @@
         assert pace.before_kill(milliseconds(3000)) == pace
 
 
-class ShortDeadlineStories(Story):
+class ShortDeadlineStories(NodeTestCase):
     """A node that is told to stop where requests have half a second."""
 
     async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
         chat = replace(SETTINGS.classes[0], deadline_ms=500)
         self.build(classes=(chat,))
-        client, _, host = await self.served(ROUTED_ASK.replace("d=1100", "d=450"))
+        client, _, host = await self.establish(ROUTED_REQUEST.replace("d=1100", "d=450"))
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
@@ -330,5 +334,5 @@
             self.assertEqual(await client.line(), b"MOVE")
             self.assertEqual(await host.ended(), "ConnectionDone")
             client.transport.loseConnection()
-            await self.until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "its end")
             self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(500 + 700))
--- a/tests/policy/test_slow_start_of_all_gateways.py
+++ b/tests/policy/test_slow_start_of_all_gateways.py
@@ -24,7 +24,7 @@
     Send,
     Settings,
 )
-from tests.support.gateway import SETTINGS, Gateway, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update
 
 COLD = replace(
     SETTINGS,
@@ -64,7 +64,7 @@
             at = self.random.randrange(self.gateways)
             self.where[self.came] = at, self.fleet[at].connect(self.came, **self.who())
         for gateway in self.fleet:
-            gateway.wait(20000)  # long enough to save up whatever may be saved
+            gateway.advance(20000)  # long enough to save up whatever may be saved
         self.begun = self.fleet[0].now
 
     def who(self) -> dict[str, int]:
@@ -82,10 +82,10 @@
             for gateway in self.fleet:
                 gateway.now = self.begun
         for gateway in self.fleet:
-            gateway.do(listed(*news, kind=ListUpdateKind.FULL, version=2))
+            gateway.handle_events(list_update(*news, kind=ListUpdateKind.FULL, version=2))
         for n in () if gateways_too else lost:
             at, _ = self.where[n]
-            self.fleet[at].end(n, Outcome.RESET, final=True)
+            self.fleet[at].end_attempt(n, Outcome.RESET, final=True)
         return [self.begun + 1000 * self.random.random() for _ in lost]
 
     def play(self, coming: list[float], rate: float) -> list[tuple[float, int]]:
@@ -105,13 +105,13 @@
                 asks.setdefault(self.random.randrange(self.gateways), []).append(self.came)
             for i, gateway in enumerate(self.fleet):
                 before = len(gateway.actions)
-                gateway.wait(now - gateway.now)
+                gateway.advance(now - gateway.now)
                 for n in asks.get(i, ()):
-                    gateway.ask(n, **self.who())
+                    gateway.submit(n, **self.who())
                 for action in gateway.actions[before:]:
                     if isinstance(action, Send):
                         sent.append((now, action.endpoint))
-                        gateway.begin(action.request)
+                        gateway.establish(action.request)
                     elif isinstance(action, Reject | Fail):
                         heappush(coming, now + 100 + 900 * self.random.random())
         return sent
@@ -168,9 +168,9 @@
     for seed in (1, 2, 3, 4):
         crowd = Crowd(gateways, COLD, seed)
         for gateway in crowd.fleet:
-            gateway.do(EndpointDetached(1))
-            gateway.wait(5000)
-            gateway.do(EndpointAttached(1))
+            gateway.handle_events(EndpointDetached(1))
+            gateway.advance(5000)
+            gateway.handle_events(EndpointAttached(1))
         crowd.begun = crowd.fleet[0].now
         sent = crowd.play([], rate=4.0)
         assert held_to(crowd, sent, range(1, 2)) > 0
