--- a/puffindeck/interface/__init__.py
+++ b/puffindeck/interface/__init__.py
@@ -1,7 +1,7 @@
-"""What the decision module is given and returns: settings, events and actions. No logic is here.
+"""Input and output types of the decision module: settings, events and actions. This package has no logic.
 
-Times are in milliseconds. The numbers of requests, endpoints, zones, kinds, cells, classes and tenants are
-plain integers that mean nothing beyond being equal or not.
+Times are in milliseconds. Requests, endpoints, zones, machine kinds, cells, classes and tenants are
+identified by integers, which have no meaning beyond equality.
 """
 
 from puffindeck.interface.actions import (
--- a/puffindeck/interface/actions.py
+++ b/puffindeck/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what the decision module wants done."""
+"""Actions that the decision module returns to its caller, which carries them out."""
 
 from __future__ import annotations
 
@@ -11,28 +11,30 @@
 
     request: int
     endpoint: int
-    timeout_ms: float  # after which the attempt is given up
-    start_within_ms: float = 0.0  # within which its first byte may be sent; 0: as long as the attempt has
+    timeout_ms: float  # the attempt is given up after this time
+    start_within_ms: float = (
+        0.0  # the request's first byte may be sent within this time; 0: until the timeout
+    )
 
 
 @dataclass(slots=True)
 class Reject:
-    """Final answer: the request was not processed, and a retry is safe."""
+    """Give the final answer that the request was not processed, which makes a retry safe."""
 
     request: int
-    retry_after_ms: float  # 0: none is told
+    retry_after_ms: float  # delay that the client is told to wait before it retries; 0: none is given
 
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: the request may have been processed."""
+    """Give the final answer that the request has failed and may have been processed."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Cancel an attempt and wait for it no longer."""
+    """Cancel a pending attempt."""
 
     request: int
     attempt: int
@@ -40,7 +42,7 @@
 
 @dataclass(slots=True)
 class Migrate:
-    """Close an open connection gracefully; its client connects again."""
+    """Close an open connection gracefully, upon which its client reconnects."""
 
     request: int
 
@@ -55,12 +57,12 @@
 
 @dataclass(slots=True)
 class WatchEndpoints:
-    """Deliver changes of the endpoint list from now on."""
+    """Subscribe to the endpoint list: deliver its updates from now on."""
 
 
 @dataclass(slots=True)
 class Log:
-    """Write a line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/puffindeck/interface/events.py
+++ b/puffindeck/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what the decision module is told of."""
+"""Events that are delivered to the decision module."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class EndpointStatus(IntEnum):
-    """What the endpoint list says of an endpoint's process."""
+    """State of an endpoint's process according to the endpoint list."""
 
     GONE = 0
     READY = 1
@@ -17,10 +17,10 @@
 
 
 class ListUpdateKind(IntEnum):
-    """How an update of the endpoint list is to be read."""
+    """What the entries of an endpoint list update are."""
 
     FULL = 0  # the complete list
-    FAILED = 1  # the source of the list can't be reached
+    FAILED = 1  # none: the source of the list can't be reached
     CACHED = 2  # a complete list that may be outdated
     CHANGES = 4  # only the entries that have changed
 
@@ -35,32 +35,32 @@
     CONNECT_FAILED = 5
     RESET = 6
     CANCELLED = 7
-    MOOT = 8  # it was not begun, as the request had ended
-    NO_RESOURCE = (
-        9  # this machine had no descriptor, port or memory to begin it: the endpoint is not at fault
-    )
+    MOOT = 8  # not started, because the request had already ended
+    # Not started, because the gateway's machine had no descriptor, port or memory left. The endpoint is not
+    # at fault.
+    NO_RESOURCE = 9
 
 
-# After these no endpoint has processed the request, so that a retry is safe.
+# Outcomes after which no endpoint has processed the request, which makes a retry safe.
 NOT_PROCESSED = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.NO_RESOURCE})
 
 
 @dataclass(slots=True)
 class EndpointEntry:
-    """One endpoint in the endpoint list."""
+    """An endpoint in the endpoint list."""
 
     endpoint: int
     zone: int
-    kind: int  # of machine
+    kind: int  # machine kind
     cell: int
     state: EndpointStatus
-    weight: float
-    started_ms: float  # on the clock of `handle`
+    weight: float  # size relative to other endpoints, used if `Settings.uses_weights`
+    started_ms: float  # start time of the process, on the clock of `Balancer.handle`
 
 
 @dataclass(slots=True)
 class EndpointListUpdated:
-    """The endpoint list, or a change of it, has arrived."""
+    """The endpoint list or a change to it has arrived, or a request for the list has failed."""
 
     kind: ListUpdateKind
     version: int
@@ -69,13 +69,13 @@
 
 @dataclass(slots=True, frozen=True)
 class ConnectionInfo:
-    """What a front knows of a client's connection, for routes. Unknown fields are empty or 0."""
+    """Properties of a client's connection that routes can match. Unknown fields are empty or 0."""
 
     source: str = ""  # the client's IP address
     source_port: int = 0
     port: int = 0  # the local port
-    listener: str = ""  # the name of the local port's listener
-    server_name: str = ""  # of TLS, where a front sees it
+    listener: str = ""  # the name of the listener on the local port
+    server_name: str = ""  # the TLS server name (SNI), if the listener can read it
 
 
 @dataclass(slots=True)
@@ -85,18 +85,18 @@
     request: int
     cls: int
     tenant: int
-    key: int  # which the endpoint is chosen by
-    remaining_ms: float  # until its deadline
-    load_hint: float  # expected load, in work a second; 0: not known
-    group: int  # requests of one group prefer the same endpoints; 0: none
-    mid_flow: bool = False  # it continues work that an endpoint may have already
-    returning: bool = False  # the client says that it has asked before
+    key: int  # hashed to choose the endpoint
+    remaining_ms: float  # time until the request's deadline
+    load_hint: float  # expected load, in units of work per second; 0: unknown
+    group: int  # requests of the same group prefer the same endpoints; 0: no group
+    mid_flow: bool = False  # the request continues a flow for which an endpoint may already have state
+    returning: bool = False  # the client says that it is retrying
     connection_info: ConnectionInfo | None = None
 
 
 @dataclass(slots=True)
 class ConnectionRestored:
-    """A connection was open through this gateway when the instance started."""
+    """A connection through this gateway was already open when this instance started."""
 
     request: int
     endpoint: int
@@ -113,7 +113,7 @@
 
     request: int
     endpoint: int
-    elapsed_ms: float  # since the attempt began
+    elapsed_ms: float  # time since the attempt began
     attempt: int
 
 
@@ -123,12 +123,12 @@
 
     request: int
     endpoint: int
-    load: float  # in work a second
+    load: float  # in units of work per second
 
 
 @dataclass(slots=True)
 class LatencyReported:
-    """An endpoint has reported how long a message of a connection takes."""
+    """An endpoint has reported the message latency of a connection."""
 
     request: int
     endpoint: int
@@ -137,64 +137,64 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt has ended; `final` if the request has ended too."""
+    """An attempt or its established connection has ended. If `final`, the request has ended with it."""
 
     request: int
     outcome: Outcome
     endpoint: int
     attempt: int
     final: bool
-    elapsed_ms: float  # since the attempt began
+    elapsed_ms: float  # time since the attempt began
 
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client no longer waits."""
+    """The client has disconnected and waits for no answer."""
 
     request: int
 
 
 @dataclass(slots=True)
 class RequestAborted:
-    """The gateway shuts down: the request needs its final answer now, whatever it waits for."""
+    """The gateway is shutting down, and the request needs its final answer now."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer of `ScheduleTimer` is due."""
+    """A timer that `ScheduleTimer` requested has fired."""
 
     token: int
 
 
 @dataclass(slots=True)
 class EndpointDetached:
-    """An operator has taken an endpoint out: nothing new goes there, and its connections migrate."""
+    """An operator has detached an endpoint. It gets no new requests, and its connections are migrated."""
 
     endpoint: int
 
 
 @dataclass(slots=True)
 class EndpointAttached:
-    """An operator has put an endpoint back. It was restarted meanwhile, and is in slow start."""
+    """An operator has reattached an endpoint, which was restarted meanwhile and is in slow start."""
 
     endpoint: int
 
 
 @dataclass(slots=True)
 class LoadLimitRestored:
-    """The process that this one replaces had found the most load that an endpoint takes from this gateway."""
+    """An endpoint's load limit, as learned by the process that this one replaces."""
 
     endpoint: int
-    load_limit: float  # in work a second
+    load_limit: float  # most load from this gateway, in units of work per second
 
 
 @dataclass(slots=True)
 class SettingsChanged:
-    """Other settings from now on. Requests and connections keep the rules that they began with.
+    """New settings apply from now on. Existing requests and connections keep the rules that they began with.
 
-    A class keeps its number as long as a request or connection has it.
+    A class keeps its number for as long as a request or connection of that class exists.
     """
 
     settings: Settings
--- a/puffindeck/interface/settings.py
+++ b/puffindeck/interface/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the decision module."""
+"""Settings of the decision module."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 
 class Effect(IntEnum):
-    """What a second run of the same request would do."""
+    """Effect of processing the same request a second time."""
 
-    IDEMPOTENT = 0  # repeating changes nothing
-    IDEMPOTENCY_KEY = 1  # repeats are discarded by the endpoints of one scope, for a while
-    NOT_IDEMPOTENT = 2  # repeating would act twice
+    IDEMPOTENT = 0  # a repeat changes nothing
+    IDEMPOTENCY_KEY = 1  # endpoints within a scope discard repeats for a limited time
+    NOT_IDEMPOTENT = 2  # a repeat takes effect a second time
 
 
 class Scope(IntEnum):
-    """Which endpoints discard repeats of a request with an idempotency key."""
+    """Endpoints that discard repeats of a request with an idempotency key."""
 
     ALL = 0
     ZONE = 1
@@ -24,49 +24,49 @@
 
 @dataclass(slots=True, frozen=True)
 class ClassSettings:
-    """The settings of one class of requests."""
+    """Settings of a class of requests."""
 
     latency_objective_ms: float
-    deadline_ms: float  # from the request's arrival to its final answer
+    deadline_ms: float  # longest time from a request's arrival to its final answer
     priority_weight: float = 1.0
     effect: Effect = Effect.IDEMPOTENT
     scope: Scope = Scope.ALL
-    window_ms: float = 0.0  # how long an idempotency key is remembered
-    message_latency_objective_ms: float = 0.0  # of one message on an open connection; 0: none
+    window_ms: float = 0.0  # how long endpoints remember an idempotency key
+    message_latency_objective_ms: float = 0.0  # objective for a message on an open connection; 0: none
     name: str = ""
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """The settings of one instance of the decision module."""
+    """Settings of an instance of the decision module."""
 
     classes: tuple[ClassSettings, ...]
-    gateways: int  # instances that share the endpoints
-    zone: int  # of this instance
-    max_attempts: int  # for each request
-    drain_grace_ms: float  # how long attempts may still begin at an endpoint that drains
-    answer_slack_ms: float  # how late after its deadline a final answer still counts
-    slow_start_initial_fraction: float  # of its full load, for an endpoint that has just started
-    slow_start_ms: float
-    slow_start_load_multiple: float  # of its present capacity, at which an endpoint in slow start fails
-    slow_start_window_ms: float  # how long such an overload takes to make it fail
-    period_ms: float = 1.0  # the least time between two decisions
+    gateways: int  # number of instances that share the endpoints
+    zone: int  # zone of this instance
+    max_attempts: int  # attempts per request
+    drain_grace_ms: float  # how long attempts may still begin at a draining endpoint
+    answer_slack_ms: float  # how long after its deadline a final answer still counts as on time
+    slow_start_initial_fraction: float  # part of its full capacity that a newly started endpoint has
+    slow_start_ms: float  # time that a newly started endpoint takes to reach its full capacity
+    slow_start_load_multiple: float  # load at which an endpoint in slow start fails, in present capacities
+    slow_start_window_ms: float  # how long such an overload takes to make the endpoint fail
+    period_ms: float = 1.0  # shortest time between two decisions
     connect_timeout_ms: float = 250.0
     must_watch_endpoints: bool = False  # the endpoint list is sent only after `WatchEndpoints`
-    watch_deadline_ms: float = 10000.0  # within which `WatchEndpoints` has to be asked for
+    watch_deadline_ms: float = 10000.0  # the decision module has to return `WatchEndpoints` within this time
     can_cancel: bool = False  # `Cancel` is supported
-    uses_weights: bool = False  # weights in the endpoint list say how large an endpoint is
-    cross_zone_cost: float = 0.0  # of an attempt in another zone; 0: none
+    uses_weights: bool = False  # weights in the endpoint list give the relative sizes of endpoints
+    cross_zone_cost: float = 0.0  # cost of an attempt in another zone; 0: none
     over_quota_weight: float = 1.0  # priority weight of a connection beyond its tenant's quota
-    tenant_connection_quotas: tuple[float, ...] = ()  # open connections by tenant, all gateways together
+    tenant_connection_quotas: tuple[
+        float, ...
+    ] = ()  # open connections through all gateways, by tenant number
     reports_load: bool = False  # endpoints send `LoadReported`
     reports_latency: bool = False  # endpoints send `LatencyReported`
-    bound: float = (
-        0.0  # the bounded load of consistent hashing, as a multiple of the mean; 0: the module's own
-    )
-    evenness: float = (
-        0.0  # the largest arc of an endpoint on the ring, as a multiple of its due; 0: not limited
-    )
-    max_retry_after_ms: float = 0.0  # the longest delay that a rejected client is told; 0: it is told none
-    zones: tuple[str, ...] = ()  # names by zone number
-    kinds: tuple[str, ...] = ()  # names by machine kind number
+    # Bound of consistent hashing with bounded loads, as a multiple of the mean; 0: the default of the policy.
+    bound: float = 0.0
+    # Largest part of the ring that an endpoint may own, as a multiple of its fair part; 0: not limited.
+    evenness: float = 0.0
+    max_retry_after_ms: float = 0.0  # longest delay that a rejected client is given; 0: no delay is given
+    zones: tuple[str, ...] = ()  # zone names, by zone number
+    kinds: tuple[str, ...] = ()  # machine kind names, by kind number
--- a/puffindeck/policy/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -1,4 +1,4 @@
-"""One gateway's decisions: events in, actions out."""
+"""The entry point of the policy: takes a gateway's events and returns its actions."""
 
 from __future__ import annotations
 
@@ -39,27 +39,27 @@
 from puffindeck.policy.send_rules import SendRules
 from puffindeck.policy.strategies import GatewayState, Strategies, StrategyFactory
 
-WATCH_RETRY_MS = 250.0  # how soon a list that failed is asked for again, about
+WATCH_RETRY_MS = 250.0  # mean delay before the endpoint list is requested again after a first failure
 MAX_WATCH_RETRY_MS = 650.0
 MAX_WATCH_BACKOFF_EXPONENT = 9
-WATCH_DEADLINE_PART = 4  # the wait is at most one part in so many of the deadline of the settings
-DETACH_MS = 1200.0  # over how long the connections of an endpoint that is detached are migrated
+WATCH_DEADLINE_DIVISOR = 4  # the mean delay is at most the watch deadline of the settings divided by this
+DETACH_MIGRATION_MS = 1200.0  # period over which the connections of a detached endpoint are migrated
 
 
 def default_strategies(state: GatewayState) -> Strategies:
-    """The strategies of a gateway that replaces nothing."""
+    """Return the strategies of a gateway that replaces no part of the decisions."""
     return Strategies()
 
 
 def no_minimum() -> float:
-    """Connections that need a place besides the gateway's own: none."""
+    """Return the default lower bound on connections to place, which is 0."""
     return 0.0
 
 
 class Balancer:
-    """One gateway's decisions. `handle` is given all that has happened at one moment.
+    """Makes the decisions of a gateway. `handle` takes all events of one moment.
 
-    The attributes are its parts, each the one owner of its state: `context` (moment, settings, random
+    Each attribute is the only owner of its part of the state: `context` (current time, settings, random
     numbers), `state` (endpoints, loads, capacities, requests), `outliers`, `rules` and `plan`.
     """
 
@@ -70,37 +70,40 @@
         strategies: StrategyFactory = default_strategies,
         minimum_connections: Callable[[], float] = no_minimum,
     ) -> None:
-        """`strategies` replaces parts of the decisions; `minimum_connections` is CapacityModel's."""
+        """Create the balancer of a gateway.
+
+        `strategies` replaces parts of the decisions. `minimum_connections` is passed to `CapacityModel`.
+        """
         self.context = DecisionContext(settings, seed)
         self.state = state = GatewayState(self.context, minimum_connections)
         self.registry = state.registry
-        replaced = strategies(state)
-        self._listeners = replaced.listeners
-        self._ring = replaced.ring or state.hash_ring
-        self._wake_at_ms = INF  # when the timer fires that was asked for last
-        self._wake_count = 0
-        self._build(replaced)
+        replacements = strategies(state)
+        self._listeners = replacements.listeners
+        self._ring = replacements.ring or state.hash_ring
+        self._timer_due_ms = INF  # when the timer that was requested last fires
+        self._timer_token = 0
+        self._build(replacements)
         self._handlers = self._event_handlers()
 
-    def _build(self, replaced: Strategies) -> None:
+    def _build(self, replacements: Strategies) -> None:
         context = self.context
         state = self.state
         self._rebalancer = Rebalancer(
             context, state.timers, state.registry, state.capacities, state.loads, state.shares
         )
         self.outliers = OutlierDetector(
-            context, state.registry, state.capacities, state.loads, self._rebalancer, replaced.restarts
+            context, state.registry, state.capacities, state.loads, self._rebalancer, replacements.restarts
         )
         self.rules = SendRules(
-            context, state.registry, replaced.slow_start or state.slow_start, replaced.endpoint_filter
+            context, state.registry, replacements.slow_start or state.slow_start, replacements.endpoint_filter
         )
         self.plan = GroupPlan(context, state.registry, state.capacities, state.hash_ring, state.shares)
-        retries = RetryPolicy(context, state.loads, self.rules, replaced.jitter or RequestJitter(context))
+        retries = RetryPolicy(context, state.loads, self.rules, replacements.jitter or RequestJitter(context))
         self._lifecycle = RequestLifecycle(
-            state, replaced, self.outliers, self._rebalancer, self._placement(replaced), retries
+            state, replacements, self.outliers, self._rebalancer, self._placement(replacements), retries
         )
 
-    def _placement(self, replaced: Strategies) -> EndpointChooser:
+    def _placement(self, replacements: Strategies) -> EndpointChooser:
         state = self.state
         placement = Placement(
             self.context,
@@ -112,12 +115,12 @@
             self.rules,
             self.plan,
             self._ring,
-            replaced.shares or state.shares,
-            replaced.scope,
+            replacements.shares or state.shares,
+            replacements.scope,
         )
-        if replaced.wrap_placement is None:
+        if replacements.wrap_placement is None:
             return placement
-        return replaced.wrap_placement(placement, self.rules, replaced.endpoint_filter)
+        return replacements.wrap_placement(placement, self.rules, replacements.endpoint_filter)
 
     def _event_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
         return {
@@ -139,30 +142,30 @@
 
     @property
     def random(self) -> Random:
-        """The seeded generator of all its draws."""
+        """The seeded generator of all random numbers."""
         return self.context.random
 
     @property
     def endpoints(self) -> dict[int, Endpoint]:
-        """All endpoints that this gateway knows, by their ids."""
+        """All known endpoints, by id."""
         return self.registry.endpoints
 
     @property
     def ready(self) -> dict[int, Endpoint]:
-        """The endpoints that may be sent to: ready by the list, and not detached."""
+        """The endpoints that may be sent requests: ready according to the list, and not detached."""
         return self.registry.ready
 
     @property
     def requests(self) -> dict[int, Request]:
-        """The requests and connections of this gateway, by their ids."""
+        """The requests and connections of this gateway, by id."""
         return self.state.requests
 
     def load_limits(self) -> dict[int, float]:
-        """What endpoints have been seen to bear, for the process that follows this one; INF: no limit."""
+        """Return learned load limits by endpoint (INF: no limit), for the process that replaces this one."""
         return self.state.loads.load_limits()
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Take in what has happened at this moment, in milliseconds, and return what is to be done."""
+        """Process the events of this moment (in milliseconds) and return the actions to carry out."""
         context = self.context
         timers = self.state.timers
         context.now_ms = now_ms
@@ -178,17 +181,17 @@
             handlers[type(event)](event)
         timers.run_due(now_ms)
         due_ms = timers.next_due_ms()
-        if due_ms < self._wake_at_ms:
-            self._wake_at_ms = due_ms
-            self._wake_count += 1
-            actions.append(ScheduleTimer(due_ms - now_ms, self._wake_count))
+        if due_ms < self._timer_due_ms:
+            self._timer_due_ms = due_ms
+            self._timer_token += 1
+            actions.append(ScheduleTimer(due_ms - now_ms, self._timer_token))
         return actions
 
     def _on_timer_fired(self, event: TimerFired) -> None:
-        if event.token == self._wake_count:  # not by the clock: a timer may fire a hair before its time
-            self._wake_at_ms = INF
+        if event.token == self._timer_token:  # the token, not the clock, as a timer may fire slightly early
+            self._timer_due_ms = INF
 
-    # The list of endpoints
+    # Endpoint list
 
     def _watch(self, _: None) -> None:
         self.context.actions.append(WatchEndpoints())
@@ -217,23 +220,23 @@
         self._update_ready()
 
     def _watch_again(self) -> None:
-        """Ask for the list again, with growing waits.
+        """Request the endpoint list again, with exponential backoff.
 
-        A change counts as known 6 s after it could be had: a call that was lost, a wait and an answer have to
-        fit in that, however often it has failed before.
+        A change to the list has to take effect within 6 s of the moment when it can be fetched. A lost call,
+        a backoff delay and a response have to fit into that time, whatever the number of failed calls before.
         """
         context = self.context
         wait_ms = min(
             WATCH_RETRY_MS * 2 ** min(self.registry.list_failures, MAX_WATCH_BACKOFF_EXPONENT),
             MAX_WATCH_RETRY_MS,
-            context.settings.watch_deadline_ms / WATCH_DEADLINE_PART,
+            context.settings.watch_deadline_ms / WATCH_DEADLINE_DIVISOR,
         )
         self.registry.list_failures += 1
-        again_ms = context.now_ms + wait_ms * (0.5 + context.random.random())
-        self.state.timers.schedule(again_ms, self._watch, None)
+        retry_at_ms = context.now_ms + wait_ms * (0.5 + context.random.random())
+        self.state.timers.schedule(retry_at_ms, self._watch, None)
 
     def _update_ready(self) -> None:
-        """Take up a change of the endpoints that may be sent to."""
+        """Recompute the ready endpoints and everything that is derived from them."""
         before = self.registry.ready
         self.registry.refresh_ready()
         self.state.hash_ring.update(before.keys(), self.registry.ready.keys())
@@ -241,7 +244,7 @@
         self.plan.invalidate()
         self.state.capacities.measure()
 
-    # Operators and settings
+    # Operator commands and settings
 
     def _on_endpoint_detached(self, event: EndpointDetached) -> None:
         if event.endpoint in self.registry.detached_since_ms:
@@ -250,13 +253,15 @@
         self.registry.detached_since_ms[event.endpoint] = now_ms
         self.state.slow_start.end_trial(event.endpoint)
         self._update_ready()
-        leaving = list(self.registry.get_or_add(event.endpoint).connections.values())
-        for i, request in enumerate(leaving):  # before it is restarted, and not as one storm
-            migrate_ms = now_ms + DETACH_MS * i / len(leaving)
+        # Migrations are spread over time to keep the clients from reconnecting all at once. They have to end
+        # before the endpoint is restarted.
+        migrating = list(self.registry.get_or_add(event.endpoint).connections.values())
+        for i, request in enumerate(migrating):
+            migrate_ms = now_ms + DETACH_MIGRATION_MS * i / len(migrating)
             self.state.timers.schedule(migrate_ms, self._rebalancer.migrate_if_detached, request)
 
     def _on_endpoint_attached(self, event: EndpointAttached) -> None:
-        """It is cold since the start that the list tells of, or since now, as the list may be late."""
+        """Begin slow start at the start time in the list, or now if the list doesn't have that start yet."""
         if event.endpoint in self.registry.detached_since_ms:
             endpoint = self.registry.get_or_add(event.endpoint)
             detached_ms = self.registry.detached_since_ms.pop(event.endpoint)
--- a/puffindeck/policy/capacity.py
+++ b/puffindeck/policy/capacity.py
@@ -1,4 +1,4 @@
-"""Capacities of endpoints and zones, relative to each other and lower during slow start."""
+"""Relative capacities of endpoints and zones, reduced during slow start."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CapacityModel:
-    """How much of its capacity each ready endpoint has by now, and what zones have in sum."""
+    """Computes the present capacity of each ready endpoint, and the total capacity of each zone."""
 
     __slots__ = (
         "_context",
@@ -33,19 +33,23 @@
         requests: Mapping[int, Request],
         minimum_connections: Callable[[], float],
     ) -> None:
-        """`minimum_connections` is a lower bound on the connections that are known to need a place."""
+        """Create the model; `measure` computes the capacities.
+
+        `minimum_connections` returns a lower bound on the connections that have to be placed.
+        """
         self._context = context
         self._registry = registry
         self._requests = requests
         self._minimum_connections = minimum_connections
-        self.zone_capacities: dict[int | None, float] = {None: 0.0}  # of ready endpoints; None: all zones
-        self.warming_capacity = 0.0  # of the endpoints in slow start, in sum
-        self.all_warm = False
-        self.mean_connections = 0.0  # an endpoint's from this gateway, now or recently
+        # Total capacity of the ready endpoints by zone; None: of all zones.
+        self.zone_capacities: dict[int | None, float] = {None: 0.0}
+        self.warming_capacity = 0.0  # total capacity of the endpoints in slow start
+        self.all_warm = False  # whether no ready endpoint is in slow start
+        self.mean_connections = 0.0  # mean connections per endpoint from this gateway, now or recently
         self._mean_connections_ms = 0.0
 
     def warmth(self, endpoint: Endpoint) -> float:
-        """The part of its capacity, from 0 to 1, that an endpoint has by now at least."""
+        """Return the part of its full capacity, from 0 to 1, that an endpoint has reached at least."""
         settings = self._context.settings
         age_ms = self._context.now_ms - endpoint.started_ms
         if endpoint.started_ms <= 0 or age_ms >= settings.slow_start_ms:
@@ -56,7 +60,7 @@
         )
 
     def measure(self) -> None:
-        """Compute all capacities anew."""
+        """Recompute all capacities."""
         self._update_mean_connections()
         ready = self._registry.ready.values()
         uses_weights = self._context.settings.uses_weights
@@ -76,11 +80,15 @@
         self.zone_capacities = zones
 
     def _update_mean_connections(self) -> None:
-        """Requests that wait count too, and recent connections that a restart of endpoints has ended."""
+        """Update the mean number of connections per known endpoint.
+
+        Requests that wait for an endpoint are included. The mean decays slowly, in order to include
+        connections that a recent restart of endpoints has closed.
+        """
         connections = max(float(len(self._requests)), self._minimum_connections())
         known = sum(endpoint.state != EndpointStatus.GONE for endpoint in self._registry.endpoints.values())
         now_ms = self._context.now_ms
-        fade_ms = max(1.0, self._context.settings.slow_start_ms)
-        faded = self.mean_connections * math.exp((self._mean_connections_ms - now_ms) / fade_ms)
-        self.mean_connections = max(connections / max(1, known), faded)
+        decay_ms = max(1.0, self._context.settings.slow_start_ms)
+        decayed = self.mean_connections * math.exp((self._mean_connections_ms - now_ms) / decay_ms)
+        self.mean_connections = max(connections / max(1, known), decayed)
         self._mean_connections_ms = now_ms
--- a/puffindeck/policy/context.py
+++ b/puffindeck/policy/context.py
@@ -1,4 +1,4 @@
-"""What every part of a decision reads: the moment, the settings, the random numbers, the actions so far."""
+"""State that all parts of a decision share: current time, settings, random numbers and actions so far."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 
 from puffindeck.interface import Action, Settings
 
-DEFAULT_BOUND = 1.25  # c of consistent hashing with bounded loads; the example of the paper
-DEFAULT_MESSAGE_LATENCY_OBJECTIVE_MS = 100.0  # where no class sets one
+# c of "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam), as in the paper's example.
+DEFAULT_BOUND = 1.25
+DEFAULT_MESSAGE_LATENCY_OBJECTIVE_MS = 100.0  # applies if no class has an objective
 
 
 class DecisionContext:
-    """The moment that is being decided for. `Balancer` moves it on; the other parts read it."""
+    """The context of the current batch of events. `Balancer` updates it, and the other parts read it."""
 
     __slots__ = ("actions", "bound", "message_latency_objective_ms", "now_ms", "random", "settings")
 
@@ -22,7 +23,7 @@
         self.apply(settings)
 
     def apply(self, settings: Settings) -> None:
-        """Put settings in force. A request keeps its class's rules and attempts from its arrival on."""
+        """Apply new settings. Existing requests keep the class rules and attempt limit of their arrival."""
         self.settings = settings
         self.bound = settings.bound or DEFAULT_BOUND
         objectives = [
--- a/puffindeck/policy/group_plan.py
+++ b/puffindeck/policy/group_plan.py
@@ -1,4 +1,4 @@
-"""Over how many endpoints each busy group is spread, computed alike by all gateways."""
+"""Plan of how many endpoints each busy group is spread over. All gateways compute the same plan."""
 
 from __future__ import annotations
 
@@ -14,14 +14,15 @@
 from puffindeck.policy.traffic_shares import TrafficShares
 
 PLAN_LIFETIME_MS = 500.0
-PLANNED_GROUPS = 64  # those seen most
+PLANNED_GROUPS = 64  # the groups with the most requests are planned
 
 
 @dataclass(slots=True, frozen=True)
 class GroupSpread:
-    """How many endpoints a group's share fills, and the part of all load that earlier groups take of each."""
+    """The endpoints that a group is planned to be placed on."""
 
-    endpoint_count: int = 1
+    endpoint_count: int = 1  # number of endpoints that the group's share of the load fills
+    # Shares of the load that groups earlier in the plan place on each endpoint.
     taken_shares: dict[int, float] = field(default_factory=dict)
 
 
@@ -30,12 +31,14 @@
 
 
 class GroupPlan:
-    """Bounded loads, as expected: groups in one order at all gateways, each clockwise into the room left.
+    """Places the expected load of the busy groups, by consistent hashing with bounded loads.
 
-    No gateway's own counts tell that where each of many holds few connections.
+    All gateways take the groups in the same order. Each group fills the capacity that earlier groups have
+    left, clockwise from its hash. The plan is needed where many gateways have few connections each, because
+    the connection counts of a single gateway then don't show which endpoints are full.
     """
 
-    __slots__ = ("_capacities", "_context", "_hash_ring", "_registry", "_shares", "_spreads", "made_ms")
+    __slots__ = ("_capacities", "_context", "_hash_ring", "_registry", "_shares", "_spreads", "computed_ms")
 
     def __init__(
         self,
@@ -51,19 +54,19 @@
         self._hash_ring = hash_ring
         self._shares = shares
         self._spreads: dict[int, GroupSpread] = {}
-        self.made_ms = -INF
+        self.computed_ms = -INF
 
     def invalidate(self) -> None:
-        """Compute the plan anew when it is next needed."""
-        self.made_ms = -INF
+        """Have the plan recomputed when it is next needed."""
+        self.computed_ms = -INF
 
     def spread_of(self, group: int) -> GroupSpread:
-        """The spread of a group, from a plan that is at most PLAN_LIFETIME_MS old."""
+        """Return the spread of a group, from a plan that is at most PLAN_LIFETIME_MS old."""
         now_ms = self._context.now_ms
-        is_missing = group not in self._spreads and len(self._spreads) < PLANNED_GROUPS
-        if now_ms - self.made_ms > PLAN_LIFETIME_MS or is_missing:
+        is_unplanned = group not in self._spreads and len(self._spreads) < PLANNED_GROUPS
+        if now_ms - self.computed_ms > PLAN_LIFETIME_MS or is_unplanned:
             self._compute()
-            self.made_ms = now_ms
+            self.computed_ms = now_ms
         return self._spreads.get(group, UNPLANNED)
 
     def _compute(self) -> None:
@@ -74,7 +77,7 @@
             self._spreads[group] = self._fill(group, used)
 
     def _fill(self, group: int, used: dict[int, float]) -> GroupSpread:
-        """Fill endpoints clockwise with a group's share; `used` is updated."""
+        """Distribute a group's share over endpoints clockwise, and add it to their `used` shares."""
         scale = self._context.bound / max(1e-9, self._capacities.zone_capacities[None])
         before = used.copy()
         rest = self._shares.group_share(group)
--- a/puffindeck/policy/hash_ring.py
+++ b/puffindeck/policy/hash_ring.py
@@ -1,4 +1,4 @@
-"""The ring of virtual nodes: which endpoints come first, clockwise from a key's hash."""
+"""The hash ring of virtual nodes, which orders the endpoints clockwise from a key's hash."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 from puffindeck.hashes import ring_positions
 from puffindeck.policy.records import Endpoint
 
-HASH_SHIFT = 34  # from the 64 bits of a key's hash to the 30 of a point on the ring
+HASH_SHIFT = 34  # bits by which the 64-bit hash of a key is shifted right to get a 30-bit point on the ring
 
 
 class Ring(NamedTuple):
-    """Points in ascending order, and the endpoint that each belongs to."""
+    """The points of a ring in ascending order, and the endpoint of each point."""
 
     points: list[int]
     owners: dict[int, int]
 
 
 class RingProvider(Protocol):
-    """The ring on which requests are placed."""
+    """Provides the ring on which requests are placed."""
 
     def ring_for(self, zone: int | None) -> Ring:
-        """The ring of a zone (None: of all). It may hold endpoints of other zones too."""
+        """Return the ring of a zone (None: of all zones). It may contain endpoints of other zones, too."""
 
     def invalidate(self) -> None:
-        """Endpoints or settings have changed."""
+        """Discard cached rings, because endpoints or settings have changed."""
 
 
 class HashRing:
-    """The ring of the ready endpoints, as their points fall. A RingProvider."""
+    """The ring of the ready endpoints with unmodified hash positions. A RingProvider."""
 
     __slots__ = ("ring",)
 
@@ -39,14 +39,14 @@
         self.ring = Ring([], {})
 
     def ring_for(self, zone: int | None) -> Ring:
-        """The one ring that all zones share."""
+        """Return the ring, which is the same for all zones."""
         return self.ring
 
     def invalidate(self) -> None:
-        """Nothing is cached."""
+        """Do nothing, because no ring is cached."""
 
     def update(self, before: Set[int], after: Set[int]) -> None:
-        """Remove the points of endpoints that are ready no more, add those of the ones that are now."""
+        """Remove the points of endpoints that are no longer ready, and add those of newly ready endpoints."""
         positions, owners = self.ring
         if before - after:
             owners = {point: endpoint for point, endpoint in owners.items() if endpoint in after}
@@ -60,7 +60,7 @@
 
 
 def clockwise(ring: Ring, start: int, endpoints: Mapping[int, Endpoint]) -> Iterator[Endpoint]:
-    """The endpoints on a ring, each once, clockwise from a hash."""
+    """Yield the endpoints on a ring in clockwise order from a hash, each of them once."""
     positions, owners = ring
     seen = set[int]()
     first = bisect_left(positions, start >> HASH_SHIFT)
--- a/puffindeck/policy/load_accounting.py
+++ b/puffindeck/policy/load_accounting.py
@@ -1,4 +1,4 @@
-"""The load that this gateway has at each endpoint, by connection, group and class."""
+"""Accounting of the load that this gateway places on each endpoint, by connection, group and class."""
 
 from __future__ import annotations
 
@@ -9,13 +9,16 @@
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.records import INF, Endpoint, Request
 
-GROUP_COST = 2.5  # mean connections that an endpoint pays for a group's first one; a guess, reported nowhere
+# Load that a group's first connection adds to an endpoint, in mean connections. An assumption, as no endpoint
+# reports this load.
+GROUP_COST = 2.5
 MINIMUM_MEAN_LOAD = 1e-9
-FULL_SAMPLE = 20  # connections with a reported load from which a class's mean is taken over at once
+# Connections with a reported load that are enough to replace the mean of their class at once.
+FULL_SAMPLE = 20
 
 
 class LoadAccounting:
-    """Loads of endpoints and classes, attempts that are pending, and requests by tenant."""
+    """Tracks the loads of endpoints and classes, the pending attempts, and the requests of each tenant."""
 
     __slots__ = (
         "_class_loads",
@@ -33,25 +36,27 @@
         self._context = context
         self._requests = requests
         self._class_names = [c.name for c in context.settings.classes]
-        self._class_loads = [0.0] * len(self._class_names)  # means as reported; 0: none yet
-        self.mean_load = 1.0  # of a connection
+        self._class_loads = [0.0] * len(
+            self._class_names
+        )  # mean reported load by class; 0: none reported yet
+        self.mean_load = 1.0  # mean load of a connection
         self.in_use: dict[int, Endpoint] = {}  # endpoints with connections or a load limit
-        self.placed_requests = 0  # with an established connection, or an attempt that is pending
+        self.placed_requests = 0  # requests with a pending attempt or an established connection
         self.pending_attempts = 0
-        self.tenant_requests: dict[int, int] = {}
+        self.tenant_requests: dict[int, int] = {}  # number of requests by tenant
 
     def apply(self, settings: Settings) -> None:
-        """Keep the loads of classes by their names where settings number them anew."""
+        """Apply new settings. Class loads are stored by class name, as settings may renumber the classes."""
         known = dict(zip(self._class_names, self._class_loads, strict=True))
         self._class_names = [c.name for c in settings.classes]
         self._class_loads = [known.get(name, 0.0) for name in self._class_names]
 
     def class_load(self, cls: int) -> float:
-        """The load that a connection of a class is expected to bring."""
+        """Return the expected load of a connection of a class."""
         return self._class_loads[cls] or self.mean_load
 
     def group_cost(self, request: Request, endpoint: Endpoint) -> float:
-        """What an endpoint would pay for a request's group, over the request's own load."""
+        """Return the load that a request's group would add to an endpoint, beyond the request's own load."""
         if not request.group or request.group in endpoint.groups:
             return 0.0
         return GROUP_COST * self.mean_load
@@ -61,17 +66,17 @@
         self.tenant_requests[request.tenant] = self.tenant_requests.get(request.tenant, 0) + 1
 
     def remove_request(self, request: Request) -> None:
-        """A request is over."""
+        """Remove a finished request from its tenant's count."""
         self.tenant_requests[request.tenant] -= 1
 
     def begin_attempt(self, request: Request, endpoint: Endpoint) -> None:
-        """An attempt is sent to an endpoint."""
+        """Record that an attempt is sent to an endpoint."""
         endpoint.pending_attempts += 1
         self.pending_attempts += 1
         self.add_connection(request, endpoint)
 
-    def establish(self, endpoint: Endpoint) -> None:
-        """A pending attempt's connection is established."""
+    def remove_pending_attempt(self, endpoint: Endpoint) -> None:
+        """Record that an attempt is no longer pending."""
         endpoint.pending_attempts -= 1
         self.pending_attempts -= 1
 
@@ -89,7 +94,7 @@
                 endpoint.load += GROUP_COST * self.mean_load
 
     def remove_connection(self, request: Request) -> None:
-        """Take a request's load off its endpoint, if it has one."""
+        """Remove a request's load from its endpoint, if it has one."""
         endpoint = request.endpoint
         if endpoint is None or endpoint.connections.pop(request.id, None) is None:
             return
@@ -97,7 +102,7 @@
         request.endpoint = None
         endpoint.load -= request.load
         if not request.established:
-            self.establish(endpoint)
+            self.remove_pending_attempt(endpoint)
         if request.group:
             count = endpoint.groups[request.group] - 1
             if count:
@@ -107,7 +112,7 @@
                 endpoint.load -= GROUP_COST * self.mean_load
 
     def on_load_reported(self, event: LoadReported) -> None:
-        """A connection's load is now another."""
+        """Update the load of a connection."""
         request = self._requests.get(event.request)
         if request is None or request.endpoint is None:
             return
@@ -116,7 +121,7 @@
         request.load_is_reported = True
 
     def recompute_loads(self) -> None:
-        """Compute class means from the reported loads, then each endpoint's load from its connections."""
+        """Recompute the class means from reported loads, then each endpoint's load from its connections."""
         self._update_class_loads()
         for endpoint in self.in_use.values():
             endpoint.load = GROUP_COST * self.mean_load * len(endpoint.groups)
@@ -143,25 +148,26 @@
     # Load limits
 
     def has_capacity(self, endpoint: Endpoint, request: Request) -> bool:
-        """Whether a request, with its group's cost where that is new there, fits under the load limit."""
+        """Return whether a request fits under an endpoint's load limit, including the cost of a new group."""
         if endpoint.load_limit == INF:
             return True
         extra = self.group_cost(request, endpoint)
         if endpoint.connections:
             return endpoint.load + extra + request.load <= endpoint.load_limit
-        # An empty one by chance, the same at each try: gateways that all round up would fill it again.
+        # An empty endpoint accepts a request with a probability in proportion to its limit. If all gateways
+        # rounded up to one connection, they would overload it again. The hash gives retries the same result.
         return hash_fraction(request.id, endpoint.id) * (extra + request.load) <= endpoint.load_limit
 
     def restore_limit(self, endpoint: Endpoint, load_limit: float) -> None:
-        """Take over a load limit that an earlier process has found."""
+        """Set a load limit that an earlier process has learned."""
         self.in_use[endpoint.id] = endpoint
         endpoint.load_limit = min(endpoint.load_limit, load_limit)
         endpoint.load_limit_lowered_ms = self._context.now_ms
 
     def load_limits(self) -> dict[int, float]:
-        """What endpoints have been seen to bear, for the process that follows this one; INF: no limit."""
+        """Return the learned load limits by endpoint; INF: no limit."""
         return {endpoint.id: endpoint.load_limit for endpoint in self.in_use.values()}
 
     def forget(self, endpoint: int) -> None:
-        """An endpoint is known no more."""
+        """Remove an endpoint that is no longer known or in use."""
         self.in_use.pop(endpoint, None)
--- a/puffindeck/policy/outlier_detection.py
+++ b/puffindeck/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Ejects endpoints that fail, and lowers the load limit of those that are strained."""
+"""Outlier detection: ejects failing endpoints, and lowers the load limits of overloaded ones."""
 
 from __future__ import annotations
 
@@ -9,42 +9,41 @@
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.endpoint_registry import EndpointRegistry
 from puffindeck.policy.load_accounting import LoadAccounting
-from puffindeck.policy.rebalancing import STRAIN_FRACTION, Rebalancer
+from puffindeck.policy.rebalancing import OVERLOAD_LATENCY_FRACTION, Rebalancer
 from puffindeck.policy.records import INF, Endpoint, Request
 
-EJECTION_MS = 1000.0  # of the first failure; each further one in a row doubles it
+EJECTION_MS = 1000.0  # duration of the first ejection; doubles with each consecutive failure
 MAX_EJECTION_MS = 8000.0
-RECENT_MS = 2000.0  # how long an outcome counts when failures of several endpoints are compared
-SHARED_FAULT_ENDPOINTS = 3  # that fail at once, from which what they share may be at fault
-RESET_WINDOW_MS = 1000.0  # in which resets of established connections are counted
-LIMIT_INTERVAL_MS = (
-    900.0  # a load limit is lowered this often at most: what has queued up takes time to drain
-)
-MINIMUM_LIMIT = 0.5  # mean loads: no limit is lowered under that
-NEW_CONNECTION_MS = 2000.0  # how long a connection is new
-HASTY_TICK_PART = 0.2  # of a tick: when an endpoint with few new connections is relieved
-CONCURRENCY_INTERVAL_MS = 300.0  # the concurrency limit is lowered this often at most
-CONCURRENCY_FACTOR = 0.7  # by which it is lowered
-MINIMUM_CONCURRENCY = 2.0  # attempts
-
-RESET_LIMIT_FACTOR = 0.95  # by which the load limit is lowered when an endpoint resets a connection
-FULL_LIMIT_FACTOR = 0.9  # the same when it says that it is full
-LATENCY_LIMIT_FACTOR = 0.9  # the same at a message latency over STRAIN_FRACTION of the objective
-HIGH_LATENCY = 1.5  # objectives
+RECENT_MS = 2000.0  # how long an outcome counts when the failures of several endpoints are compared
+SHARED_FAULT_ENDPOINTS = 3  # number of endpoints failing at once that points to a dependency that they share
+RESET_WINDOW_MS = 1000.0  # period in which resets of established connections are counted
+LIMIT_INTERVAL_MS = 900.0  # shortest time between two cuts of a load limit, as a queue takes time to drain
+MINIMUM_LIMIT = 0.5  # lowest load limit that a cut can set, in mean loads of a connection
+NEW_CONNECTION_MS = 2000.0  # age up to which a connection counts as new
+# Part of a tick within which an overloaded endpoint with few new connections is relieved.
+EARLY_TICK_FRACTION = 0.2
+CONCURRENCY_INTERVAL_MS = 300.0  # shortest time between two cuts of the concurrency limit
+CONCURRENCY_FACTOR = 0.7  # factor of each cut of the concurrency limit
+MINIMUM_CONCURRENCY = 2.0  # lowest concurrency limit, in attempts
+
+RESET_LIMIT_FACTOR = 0.95  # factor of the load limit's cut when an endpoint resets a connection
+FULL_LIMIT_FACTOR = 0.9  # factor of the cut when an endpoint reports that it is full
+LATENCY_LIMIT_FACTOR = 0.9  # factor of the cut at a message latency above OVERLOAD_LATENCY_FRACTION
+HIGH_LATENCY = 1.5  # message latency, in objectives, from which the next factor applies
 HIGH_LATENCY_LIMIT_FACTOR = 0.75
-EXTREME_LATENCY = 6.0  # objectives
+EXTREME_LATENCY = 6.0  # message latency, in objectives, from which the next factor applies
 EXTREME_LATENCY_LIMIT_FACTOR = 0.6
 
 
 class RestartInference(Protocol):
-    """Says when an endpoint that was out of reach is taken to have been restarted."""
+    """Decides when an endpoint that was unreachable is taken to have been restarted."""
 
     def connect_failures_needed(self) -> float:
-        """Connects in a row that must have failed before one that is established; INF: never inferred."""
+        """Return how many consecutive failed connects before a successful one imply a restart; INF: never."""
 
 
 class OutlierDetector:
-    """The endpoints that fail, and how many attempts may be pending while many fail at once."""
+    """Tracks failing endpoints, and limits the pending attempts while many endpoints fail at once."""
 
     __slots__ = (
         "_capacities",
@@ -74,13 +73,13 @@
         self._loads = loads
         self._rebalancer = rebalancer
         self._restarts = restarts
-        self.failing: dict[int, Endpoint] = {}  # not established to since their last failure
-        self._recent: dict[int, Endpoint] = {}  # with an outcome within RECENT_MS
-        self.concurrency_limit = INF  # attempts that may be pending
+        self.failing: dict[int, Endpoint] = {}  # endpoints with no established attempt since they last failed
+        self._recent: dict[int, Endpoint] = {}  # endpoints with an outcome within RECENT_MS
+        self.concurrency_limit = INF  # most attempts that may be pending
         self._concurrency_lowered_ms = -INF
 
     def avoided(self) -> dict[int, Endpoint]:
-        """The ready endpoints that are left out now; none, where that would be most of them."""
+        """Return the ready endpoints that get no requests now. If these are the majority, none is avoided."""
         ready = self._registry.ready
         now_ms = self._context.now_ms
         found = {
@@ -91,7 +90,7 @@
         return {} if 2 * len(found) > len(ready) else found
 
     def record_outcome(self, endpoint: Endpoint, request: Request, event: AttemptEnded) -> None:
-        """Take in how an attempt or an established connection has ended."""
+        """Record how an attempt or an established connection has ended."""
         outcome = event.outcome
         if outcome == Outcome.RESET and request.established:
             self._record_reset(endpoint)
@@ -103,14 +102,19 @@
         elif request.established:
             return
         elif outcome in (Outcome.RESET, Outcome.ERROR):
-            # A request that no endpoint can read or use must not count against each of them: the evidence is
-            # that another endpoint serves it.
+            # No endpoint may be able to read or serve this request, and then none of them is at fault. The
+            # failure counts against the endpoint once another endpoint has served the request.
             request.inconclusive_failures.append(endpoint)
         elif outcome == Outcome.TIMEOUT and event.elapsed_ms >= request.rules.latency_objective_ms:
-            self.record_failure(endpoint)  # a time-out after less time tells nothing
+            # An earlier timeout than the latency objective would be no evidence against the endpoint.
+            self.record_failure(endpoint)
 
     def _record_reset(self, endpoint: Endpoint) -> None:
-        """One dropped connection is an endpoint shedding load; many at once are its end."""
+        """Record the reset of an established connection.
+
+        A single reset shows that the endpoint sheds load. Resets of most connections at once show that it has
+        stopped.
+        """
         now_ms = self._context.now_ms
         if now_ms - endpoint.resets_since_ms > RESET_WINDOW_MS:
             endpoint.resets = 0
@@ -122,7 +126,7 @@
             self._lower_load_limit(endpoint, RESET_LIMIT_FACTOR)
 
     def record_failure(self, endpoint: Endpoint) -> None:
-        """An attempt has failed, and the endpoint or what it depends on is at fault."""
+        """Record a failed attempt where the endpoint or one of its dependencies is at fault."""
         now_ms = self._context.now_ms
         endpoint.last_failure_ms = now_ms
         self._recent[endpoint.id] = endpoint
@@ -132,17 +136,17 @@
             if now_ms - max(other.last_failure_ms, other.last_success_ms) < RECENT_MS
         }
         failing = sum(other.last_failure_ms > other.last_success_ms for other in self._recent.values())
-        serving = len(self._recent) - failing
-        if failing < SHARED_FAULT_ENDPOINTS or failing <= serving:
+        succeeding = len(self._recent) - failing
+        if failing < SHARED_FAULT_ENDPOINTS or failing <= succeeding:
             self.eject(endpoint)
         elif now_ms - self._concurrency_lowered_ms > CONCURRENCY_INTERVAL_MS:
-            # many endpoints at once: what they share (a store, the network) is slow or down, not they
+            # Many endpoints fail at once, which points to a shared dependency (a store, the network).
             self._concurrency_lowered_ms = now_ms
             pending = min(self.concurrency_limit, float(self._loads.pending_attempts))
             self.concurrency_limit = max(MINIMUM_CONCURRENCY, pending * CONCURRENCY_FACTOR)
 
     def record_success(self, endpoint: Endpoint, request: Request) -> None:
-        """An attempt was established. What one endpoint serves the others could have served, too."""
+        """Record an established attempt, and the failures of other endpoints at the same request."""
         self.concurrency_limit += 1.0 / max(1.0, self.concurrency_limit)
         self.clear(endpoint)
         endpoint.last_success_ms = self._context.now_ms
@@ -152,15 +156,15 @@
             if other is not endpoint:
                 self.record_failure(other)
 
-    def quicker_endpoints(self, sent_ms: float) -> int:
-        """How many endpoints have established an attempt that was sent after this moment."""
+    def count_faster_endpoints(self, sent_ms: float) -> int:
+        """Return how many endpoints have established an attempt that was sent after this moment."""
         return sum(endpoint.newest_established_sent_ms > sent_ms for endpoint in self._recent.values())
 
     def clear(self, endpoint: Endpoint) -> None:
-        """Trust an endpoint again. One that was out of reach may have been restarted without notice."""
+        """Clear an endpoint's failures, and begin its slow start if a restart is inferred from them."""
         if self._restarts is not None:
-            needed = self._restarts.connect_failures_needed()
-            if endpoint.connect_failures >= needed and self._capacities.warmth(endpoint) >= 1.0:
+            failures_needed = self._restarts.connect_failures_needed()
+            if endpoint.connect_failures >= failures_needed and self._capacities.warmth(endpoint) >= 1.0:
                 endpoint.started_ms = endpoint.reattached_ms = self._context.now_ms
                 self._capacities.measure()
         endpoint.consecutive_failures = 0
@@ -169,17 +173,17 @@
         self.failing.pop(endpoint.id, None)
 
     def reset(self, endpoint: Endpoint) -> None:
-        """A new process: what the old one did is no guide."""
+        """Clear the failures and the load limit of an endpoint that was restarted."""
         self.clear(endpoint)
         endpoint.load_limit = INF
 
     def forget(self, endpoint: int) -> None:
-        """An endpoint is known no more."""
+        """Remove an endpoint that is no longer known."""
         self.failing.pop(endpoint, None)
         self._recent.pop(endpoint, None)
 
     def eject(self, endpoint: Endpoint) -> None:
-        """Leave an endpoint out for a while, longer each time in a row."""
+        """Eject an endpoint for a time that doubles with each consecutive failure."""
         if self._context.now_ms < endpoint.ejected_until_ms:
             return
         endpoint.consecutive_failures += 1
@@ -187,20 +191,20 @@
         ejection_ms = min(MAX_EJECTION_MS, EJECTION_MS * 2 ** (endpoint.consecutive_failures - 1))
         endpoint.ejected_until_ms = self._context.now_ms + ejection_ms
         if endpoint.consecutive_failures == 2:
-            text = f"server {endpoint.id}: failing, skipped and tried again now and then"
+            text = f"server {endpoint.id}: ejected after consecutive failures, retried periodically"
             self._context.actions.append(Log(text))
 
     def on_latency_reported(self, event: LatencyReported) -> None:
-        """A message takes this long at an endpoint now."""
+        """Record an endpoint's message latency, and lower its load limit if it is overloaded."""
         endpoint = self._registry.endpoints.get(event.endpoint)
         if endpoint is None:
             return
-        is_draining = event.latency_ms < 0.9 * endpoint.message_latency_ms
-        is_draining = is_draining and self._rebalancer.is_latency_current(endpoint)
+        is_recovering = event.latency_ms < 0.9 * endpoint.message_latency_ms
+        is_recovering = is_recovering and self._rebalancer.is_latency_current(endpoint)
         endpoint.message_latency_ms = event.latency_ms
         endpoint.latency_reported_ms = self._context.now_ms
         objectives = event.latency_ms / self._context.message_latency_objective_ms
-        if objectives <= STRAIN_FRACTION or is_draining:
+        if objectives <= OVERLOAD_LATENCY_FRACTION or is_recovering:
             return
         if objectives < HIGH_LATENCY:
             self._lower_load_limit(endpoint, LATENCY_LIMIT_FACTOR)
@@ -210,7 +214,7 @@
             self._lower_load_limit(endpoint, EXTREME_LATENCY_LIMIT_FACTOR)
 
     def _lower_load_limit(self, endpoint: Endpoint, factor: float) -> None:
-        """The endpoint has shown that it bears less than its load: keep it under a limit."""
+        """Limit an endpoint's load to a factor of its present load or limit, as it is overloaded."""
         now_ms = self._context.now_ms
         if now_ms - endpoint.load_limit_lowered_ms < LIMIT_INTERVAL_MS:
             return
@@ -218,10 +222,13 @@
         load = min(endpoint.load_limit, endpoint.load)
         endpoint.load_limit = max(MINIMUM_LIMIT * self._loads.mean_load, load * factor)
         self._loads.in_use[endpoint.id] = endpoint
-        # what many new connections bring at once passes by itself; what has been open longer does not
+        # The extra load of many new connections passes by itself. The load of older connections does not, so
+        # that they are migrated soon.
         new = sum(
             now_ms - request.sent_ms < NEW_CONNECTION_MS
             for request in endpoint.connections.values()
             if request.sent_ms
         )
-        self._rebalancer.hasten(HASTY_TICK_PART if 5 * new <= len(endpoint.connections) else 1.0)
+        self._rebalancer.schedule_tick_within(
+            EARLY_TICK_FRACTION if 5 * new <= len(endpoint.connections) else 1.0
+        )
--- a/puffindeck/policy/rebalancing.py
+++ b/puffindeck/policy/rebalancing.py
@@ -1,4 +1,4 @@
-"""Migrates connections off endpoints that bear no more, on a periodic tick."""
+"""Migrates connections away from overloaded endpoints, on a periodic tick."""
 
 from __future__ import annotations
 
@@ -13,18 +13,21 @@
 from puffindeck.policy.timer_queue import TimerQueue
 from puffindeck.policy.traffic_shares import TrafficShares
 
-TICK_MS = 1000.0  # how often loads are computed anew and connections migrated, while there is trouble
-CALM_TICKS = 4  # ticks that pass for one while there is none
-TRAFFIC_MEMORY_MS = 60000.0  # how long what was seen of the shares of keys counts
-STRAIN_FRACTION = 0.35  # of the latency objective: from a third on, what queues up grows fast
-LIMIT_GROWTH = 1.02  # of a load limit, each second in which nothing says that the endpoint is strained
-LIMIT_HEADROOM = 4.0  # of the load: a limit over that limits nothing
-CONNECT_FAILURES_TO_RELIEVE = 2  # in a row, from which a part of the connections is migrated
-RELIEVED_PART = 4  # one part in so many
+# Period of recomputing loads and migrating connections, while any endpoint is limited or failing.
+TICK_MS = 1000.0
+IDLE_TICKS = 4  # multiple of the period while no endpoint is limited, failing or in slow start
+TRAFFIC_MEMORY_MS = 60000.0  # time constant of the decay of traffic shares
+# Part of the message latency objective above which an endpoint counts as overloaded. Queues grow fast from
+# about a third of the objective on.
+OVERLOAD_LATENCY_FRACTION = 0.35
+LIMIT_GROWTH = 1.02  # growth of a load limit per second in which the endpoint shows no sign of overload
+LIMIT_HEADROOM = 4.0  # multiple of an endpoint's load above which its load limit is lifted
+CONNECT_FAILURES_TO_RELIEVE = 2  # consecutive connect failures after which some connections are migrated
+RELIEF_DIVISOR = 4  # one part in this many of the load is migrated on each tick while connects fail
 
 
 class Rebalancer:
-    """Runs the tick. On it load limits grow again, and what exceeds them is migrated."""
+    """Runs the periodic tick, which migrates load beyond the load limits and lets these limits grow again."""
 
     __slots__ = (
         "_capacities",
@@ -56,16 +59,16 @@
         self._tick_at_ms = INF  # INF: not started
 
     def is_started(self) -> bool:
-        """Whether ticks are scheduled."""
+        """Return whether ticks are scheduled."""
         return self._tick_at_ms < INF
 
     def start(self) -> None:
-        """Schedule the first tick, at a random moment: gateways must not act in step."""
+        """Schedule the first tick after a random delay, which keeps gateways from acting in step."""
         self._last_tick_ms = self._context.now_ms
         self._schedule_tick(TICK_MS * self._context.random.random())
 
-    def hasten(self, part: float) -> None:
-        """Have the next tick within that part of its period, at a random moment."""
+    def schedule_tick_within(self, part: float) -> None:
+        """Have the next tick after a random delay of at most this part of the period."""
         if self._tick_at_ms > self._context.now_ms + TICK_MS * part:
             self._schedule_tick(TICK_MS * part * self._context.random.random())
 
@@ -75,48 +78,51 @@
 
     def _tick(self, due_ms: float) -> None:
         if due_ms != self._tick_at_ms:
-            return  # replaced by an earlier one
+            return  # an earlier tick has replaced this one
         now_ms = self._context.now_ms
-        passed_s = (now_ms - self._last_tick_ms) / 1000.0
+        elapsed_s = (now_ms - self._last_tick_ms) / 1000.0
         self._last_tick_ms = now_ms
         self._loads.recompute_loads()
-        self._shares.fade(math.exp(-1000.0 * passed_s / TRAFFIC_MEMORY_MS))
+        self._shares.fade(math.exp(-1000.0 * elapsed_s / TRAFFIC_MEMORY_MS))
         self._capacities.measure()
-        is_calm = self._capacities.all_warm
+        is_idle = self._capacities.all_warm
         for endpoint in list(self._loads.in_use.values()):
             self._migrate_excess_load(endpoint)
-            self._raise_load_limit(endpoint, passed_s)
+            self._raise_load_limit(endpoint, elapsed_s)
             is_unlimited = endpoint.load_limit == INF and not endpoint.connect_failures
-            is_calm = is_calm and is_unlimited
+            is_idle = is_idle and is_unlimited
             if is_unlimited and not endpoint.connections:
                 self._loads.forget(endpoint.id)
-        self._schedule_tick(TICK_MS * CALM_TICKS if is_calm else TICK_MS)
+        self._schedule_tick(TICK_MS * IDLE_TICKS if is_idle else TICK_MS)
 
     def is_latency_current(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint's message latency was reported within the last tick, about."""
+        """Return whether the endpoint's message latency was reported within about the last tick."""
         return self._context.now_ms - endpoint.latency_reported_ms < 1.5 * TICK_MS
 
-    def _raise_load_limit(self, endpoint: Endpoint, passed_s: float) -> None:
-        """Let a limit grow where nothing says that the endpoint is strained, and lift a high one."""
+    def _raise_load_limit(self, endpoint: Endpoint, elapsed_s: float) -> None:
+        """Raise the limit of an endpoint that shows no overload, and lift a limit far above the load."""
         if endpoint.load_limit == INF:
             return
         objective_ms = self._context.message_latency_objective_ms
-        if self.is_latency_current(endpoint) and endpoint.message_latency_ms > STRAIN_FRACTION * objective_ms:
+        if (
+            self.is_latency_current(endpoint)
+            and endpoint.message_latency_ms > OVERLOAD_LATENCY_FRACTION * objective_ms
+        ):
             return
         if self._context.now_ms - endpoint.load_limit_lowered_ms > 2 * TICK_MS:
-            endpoint.load_limit *= LIMIT_GROWTH**passed_s
+            endpoint.load_limit *= LIMIT_GROWTH**elapsed_s
             if endpoint.load_limit > LIMIT_HEADROOM * endpoint.load + self._loads.mean_load:
                 endpoint.load_limit = INF
 
     def _migrate_excess_load(self, endpoint: Endpoint) -> None:
         since_lowered_ms = self._context.now_ms - endpoint.load_limit_lowered_ms
         if endpoint.connect_failures >= CONNECT_FAILURES_TO_RELIEVE:
-            self._migrate_load(endpoint, endpoint.load / RELIEVED_PART)
+            self._migrate_load(endpoint, endpoint.load / RELIEF_DIVISOR)
         elif endpoint.load > endpoint.load_limit and since_lowered_ms <= TICK_MS:
             self._migrate_load(endpoint, endpoint.load - endpoint.load_limit)
 
     def _migrate_load(self, endpoint: Endpoint, excess: float) -> None:
-        """Migrate connections worth this much load, those first that cost most for their class."""
+        """Migrate connections with this much load in total, the most costly for their class first."""
         costs = {request.id: self._cost(request, endpoint) for request in endpoint.connections.values()}
         for request in sorted(endpoint.connections.values(), key=lambda r: (-costs[r.id], r.id)):
             if excess <= 0:
@@ -126,22 +132,27 @@
                 if endpoint.groups.get(request.group) == 1:
                     relief += GROUP_COST * self._loads.mean_load
                 if self._context.random.random() * relief > excess:
-                    break  # with few connections each, gateways that all round up would empty the endpoint
+                    # Rounding is by chance: if all gateways with few connections rounded up, they would
+                    # migrate every connection of the endpoint.
+                    break
                 excess -= relief
                 self.migrate(request)
 
     def _cost(self, request: Request, endpoint: Endpoint) -> float:
-        """A connection's load and its part of its group's cost: a lone member costs its endpoint most."""
+        """Return a connection's load and its part of its group's cost, scaled by the load of its class.
+
+        The only connection of a group costs its endpoint most.
+        """
         mean_load = self._loads.mean_load
         shared = GROUP_COST * mean_load / endpoint.groups[request.group] if request.group else 0.0
         usual = max(1e-9, self._loads.class_load(request.cls) * mean_load)
         return (request.load + shared) / math.sqrt(usual)
 
     def migrate(self, request: Request) -> None:
-        """Have a request's client come again, for another endpoint."""
+        """Close a request's connection gracefully, upon which its client reconnects to another endpoint."""
         if request.established and not request.answered:
             request.answered = True
-            self._loads.remove_connection(request)  # on its way out: it must not be migrated a second time
+            self._loads.remove_connection(request)  # it must not be migrated a second time
             self._context.actions.append(Migrate(request.id))
 
     def migrate_if_detached(self, request: Request) -> None:
--- a/puffindeck/policy/request_lifecycle.py
+++ b/puffindeck/policy/request_lifecycle.py
@@ -26,8 +26,8 @@
 from puffindeck.policy.retry_policy import RETRY_MS, RetryPolicy
 from puffindeck.policy.strategies import GatewayState, Strategies, Verdict
 
-QUICKER_ENDPOINTS = 2  # that have established later attempts, from which a slow attempt is cancelled
-QUICKER_ENDPOINTS_ON_TRIAL = 1  # the same where its endpoint has failed before
+FASTER_ENDPOINTS = 2  # that have established later attempts, from which a slow attempt is cancelled
+FASTER_ENDPOINTS_IF_FAILING = 1  # the same where its endpoint has failed before
 
 
 class SentAttempt(NamedTuple):
@@ -115,7 +115,7 @@
             return
         request.established = True
         endpoint = request.endpoint
-        self._loads.establish(endpoint)
+        self._loads.remove_pending_attempt(endpoint)
         self._state.slow_start.end_trial(endpoint.id)
         self._outliers.record_success(endpoint, request)
         if request.answered:
@@ -244,8 +244,8 @@
             return True
         if endpoint.newest_established_sent_ms >= request.sent_ms:
             return False
-        needed = QUICKER_ENDPOINTS_ON_TRIAL if endpoint.consecutive_failures else QUICKER_ENDPOINTS
-        return self._outliers.quicker_endpoints(request.sent_ms) >= needed
+        needed = FASTER_ENDPOINTS_IF_FAILING if endpoint.consecutive_failures else FASTER_ENDPOINTS
+        return self._outliers.count_faster_endpoints(request.sent_ms) >= needed
 
     def _retry(self, request: Request, outcome: Outcome) -> None:
         if outcome == Outcome.NO_RESOURCE:
--- a/tests/policy/test_many_gateways.py
+++ b/tests/policy/test_many_gateways.py
@@ -78,10 +78,10 @@
     for number in range(1, 3 * PLANNED_GROUPS):
         gateway.connect(number, group=number % PLANNED_GROUPS + 1, key=number)
     gateway.connect(1000, group=5000)
-    made = gateway.balancer.plan.made_ms
+    made = gateway.balancer.plan.computed_ms
     gateway.advance(PLAN_LIFETIME_MS / 2)
     gateway.connect(1001, group=5000)
-    assert gateway.balancer.plan.made_ms == made
+    assert gateway.balancer.plan.computed_ms == made
     gateway.advance(PLAN_LIFETIME_MS)
     gateway.connect(1002, group=5000)
-    assert gateway.balancer.plan.made_ms > made
+    assert gateway.balancer.plan.computed_ms > made
