--- a/puffindeck/policy/placement.py
+++ b/puffindeck/policy/placement.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint of a request: the first clockwise that is under its bound."""
+"""Placement: chooses the first endpoint clockwise from a request's hash that is below its load bound."""
 
 from __future__ import annotations
 
@@ -18,47 +18,48 @@
 from puffindeck.policy.slow_start import REATTACHED_MS, SlowStartBudget
 from puffindeck.policy.traffic_shares import ShareEstimator
 
-BOUND_RELAXATIONS = (1.0, 1.5, 2.5)  # factors of the bound, tried in turn before the first fit endpoint
-PROBE_LIMIT = 8  # endpoints that are looked at for a key without a group
-GROUP_PROBE_MARGIN = 3  # endpoints that are looked at for a group beyond those that its share fills
-MINIMUM_BOUND = 2.0  # mean connections: near-empty counts must not scatter the keys
-MINIMUM_CAPACITY = 1e-9  # in divisions
+# Factors of the bound, tried in turn. If all of them fail, the first endpoint below its load limit is chosen.
+BOUND_RELAXATIONS = (1.0, 1.5, 2.5)
+PROBE_LIMIT = 8  # number of candidate endpoints for a request without a group
+GROUP_PROBE_MARGIN = 3  # number of candidate endpoints for a group beyond those that its share fills
+MINIMUM_BOUND = 2.0  # lowest bound, in mean loads, which keeps keys together while endpoints are nearly empty
+MINIMUM_CAPACITY = 1e-9  # avoids division by zero
 
 
 class Choice(NamedTuple):
-    """An endpoint for a request, and whether it was found within the bound; None where there is none."""
+    """The endpoint that was chosen for a request."""
 
-    endpoint: Endpoint | None
-    within_bound: bool
+    endpoint: Endpoint | None  # None: no endpoint may be sent the request now
+    within_bound: bool  # False: every candidate exceeded the unrelaxed bound
 
 
 class LoadAndCapacity(NamedTuple):
-    """Of several endpoints, in sum: this gateway's load, and their relative capacity."""
+    """Totals over several endpoints."""
 
-    load: float
-    capacity: float
+    load: float  # load from this gateway
+    capacity: float  # relative capacity
 
 
 class ZonePass(NamedTuple):
-    """The candidates of a zone in their order, and what bounds them."""
+    """The candidates of a zone in clockwise order, and the values that their bounds are computed from."""
 
     candidates: list[Endpoint]
-    mean: float  # load by capacity
-    capacity: float
+    mean: float  # mean load per capacity
+    capacity: float  # total capacity
 
 
 class EndpointChooser(Protocol):
     """Chooses the endpoints of requests."""
 
     def choose(self, request: Request) -> Choice:
-        """The endpoint for a request."""
+        """Return the endpoint for a request."""
 
 
 class PlacementScope(Protocol):
-    """Narrows the endpoints whose mean load bounds a request."""
+    """Restricts the endpoints from whose mean load the bound is computed."""
 
     def endpoints(self) -> list[Endpoint] | None:
-        """The ready endpoints that count now; None: all."""
+        """Return the ready endpoints that count at present; None: all."""
 
 
 class Placement:
@@ -105,7 +106,7 @@
         self._scope = scope
 
     def choose(self, request: Request) -> Choice:
-        """The endpoint for a request."""
+        """Return the endpoint for a request."""
         avoided = self._outliers.avoided()
         if self._slow_start.reattached_ms:
             on_trial = self._reattached_for(request)
@@ -117,19 +118,25 @@
         candidates = passes[0].candidates
         if len(passes) > 1:
             candidates = [endpoint for zone_pass in passes for endpoint in zone_pass.candidates]
-        if not candidates or request.mid_flow:  # the first on the ring is the likeliest to hold its state
+        if not candidates or request.mid_flow:  # the first on the ring is the most likely to have its state
             return Choice(candidates[0] if candidates else None, True)
         has_capacity = self._loads.has_capacity
-        fit = {endpoint.id for endpoint in candidates if has_capacity(endpoint, request)}
+        with_capacity = {endpoint.id for endpoint in candidates if has_capacity(endpoint, request)}
         for relaxation in BOUND_RELAXATIONS:
-            found = self._within_bound(request, passes, fit, share, spread, relaxation)
+            found = self._within_bound(request, passes, with_capacity, share, spread, relaxation)
             if found is not None:
                 return Choice(found, relaxation == 1.0)
-        # all at their load limits: more would serve nobody; else the first one that is fit takes it
-        return Choice(next((endpoint for endpoint in candidates if endpoint.id in fit), None), False)
+        # No endpoint meets the relaxed bound. If all are at their load limits, the request gets none, because
+        # more load would make them fail.
+        return Choice(
+            next((endpoint for endpoint in candidates if endpoint.id in with_capacity), None), False
+        )
 
     def _reattached_for(self, request: Request) -> Endpoint | None:
-        """A reattached endpoint that is to show whether it serves: its keys have gone elsewhere."""
+        """Return a reattached endpoint that the request is to try, if any.
+
+        Such an endpoint is tried before the ring, because its keys have moved to other endpoints.
+        """
         now_ms = self._context.now_ms
         for number, since_ms in self._slow_start.reattached_ms.items():
             endpoint = self._registry.get_or_add(number)
@@ -142,21 +149,23 @@
     def _zone_passes(
         self, request: Request, avoided: dict[int, Endpoint], spread: GroupSpread
     ) -> list[ZonePass]:
-        """The candidates of this gateway's zone where crossing costs, then those of all zones."""
+        """Return the candidates in this gateway's zone if other zones have a cost, then those in any zone."""
         settings = self._context.settings
-        # a strained fleet must not spread each group over all endpoints, which would all pay for it
+        # The limit keeps a group from spreading over all endpoints when they are overloaded, as each endpoint
+        # that serves any of the group adds the group's cost to the total load.
         limit = GROUP_PROBE_MARGIN + spread.endpoint_count if request.group else PROBE_LIMIT
-        everywhere = self._load_and_capacity(None, avoided)
+        all_zones = self._load_and_capacity(None, avoided)
         passes = []
-        # a group would be paid for once in each zone
+        # A group has no preferred zone, as its cost would arise once in each zone.
         prefers_zone = not request.group and settings.cross_zone_cost > 0
         if prefers_zone and settings.zone in self._capacities.zone_capacities:
-            # a zone with few endpoints may be given no more than the fleet's mean, were gateways alike
-            fair = (everywhere.load + request.load) * settings.gateways
-            fair /= max(MINIMUM_CAPACITY, everywhere.capacity)
-            here = self._load_and_capacity(settings.zone, avoided)
-            passes.append(self._zone_pass(request, settings.zone, avoided, limit, here, fair))
-        passes.append(self._zone_pass(request, None, avoided, limit, everywhere, None))
+            # The endpoints of a small zone must not get more than the mean load of all endpoints, which is
+            # estimated on the assumption that all gateways have the same load as this one.
+            mean_limit = (all_zones.load + request.load) * settings.gateways
+            mean_limit /= max(MINIMUM_CAPACITY, all_zones.capacity)
+            own_zone = self._load_and_capacity(settings.zone, avoided)
+            passes.append(self._zone_pass(request, settings.zone, avoided, limit, own_zone, mean_limit))
+        passes.append(self._zone_pass(request, None, avoided, limit, all_zones, None))
         return passes
 
     def _zone_pass(
@@ -166,17 +175,17 @@
         avoided: dict[int, Endpoint],
         limit: int,
         total: LoadAndCapacity,
-        fair: float | None,
+        mean_limit: float | None,
     ) -> ZonePass:
         candidates = self._eligible(request, zone, avoided.keys() | request.tried, limit)
         if not candidates:
             candidates = self._eligible(request, zone, avoided.keys(), limit)
         capacity = max(MINIMUM_CAPACITY, total.capacity)
         mean = (total.load + request.load) / capacity
-        return ZonePass(candidates, mean if fair is None else min(mean, fair), capacity)
+        return ZonePass(candidates, mean if mean_limit is None else min(mean, mean_limit), capacity)
 
     def _eligible(self, request: Request, zone: int | None, skip: Set[int], limit: int) -> list[Endpoint]:
-        """The first endpoints of a zone (None: any) clockwise from a request's hash that may be sent it."""
+        """Return the first endpoints of a zone (None: any), clockwise, that may be sent the request."""
         found: list[Endpoint] = []
         is_eligible = self._rules.is_eligible
         for endpoint in clockwise(self._ring.ring_for(zone), request.hash, self._registry.endpoints):
@@ -189,7 +198,7 @@
         return found
 
     def _load_and_capacity(self, zone: int | None, avoided: dict[int, Endpoint]) -> LoadAndCapacity:
-        """This gateway's load at the ready endpoints of a zone (None: everywhere), and their capacity."""
+        """Return this gateway's load on the ready endpoints of a zone (None: any), and their capacity."""
         scope = self._scope.endpoints() if self._scope is not None else None
         if scope is not None:
             counted = [e for e in scope if zone in (None, e.zone) and e.id not in avoided]
@@ -211,13 +220,14 @@
         self,
         request: Request,
         passes: list[ZonePass],
-        fit: set[int],
+        with_capacity: set[int],
         share: float,
         spread: GroupSpread,
         relaxation: float,
     ) -> Endpoint | None:
-        """The first candidate under its bound, which is relaxed by a factor."""
-        # near-empty counts (a restart, a storm) must not scatter keys: a group's own cost is in the minimum
+        """Return the first candidate below its bound, which is relaxed by a factor."""
+        # Keys must not scatter while endpoints are nearly empty, as after a restart, when all clients
+        # reconnect. The minimum includes the group's own cost for the same reason.
         minimum = MINIMUM_BOUND + (GROUP_COST if request.group else 0.0)
         minimum *= self._loads.mean_load
         bound_factor = self._context.bound
@@ -225,14 +235,18 @@
         taken_shares = spread.taken_shares
         for candidates, mean, capacity in passes:
             mean_bound = bound_factor * mean
-            rest = share
+            remaining_share = share
             for endpoint in candidates:
-                # With many gateways no count reaches the bound, and all would fill a busy group's first
-                # endpoint: each takes its bounded part of the expected share, by lot; the rest spills on.
+                # With many gateways, no gateway's own load reaches the bound, and all of them would fill the
+                # first endpoint of a busy group. Each endpoint therefore gets its bounded part of the group's
+                # expected share, at random by hash, and the rest goes to the next endpoints.
                 part = share_factor * endpoint.capacity / capacity - taken_shares.get(endpoint.id, 0.0)
                 bound = mean_bound * endpoint.capacity
-                if bound < minimum and rest * hash_fraction(request.spread_key, endpoint.id) > part:
-                    rest -= max(0.0, part)
-                elif endpoint.id in fit and endpoint.load < relaxation * max(bound, minimum):
+                if (
+                    bound < minimum
+                    and remaining_share * hash_fraction(request.spread_key, endpoint.id) > part
+                ):
+                    remaining_share -= max(0.0, part)
+                elif endpoint.id in with_capacity and endpoint.load < relaxation * max(bound, minimum):
                     return endpoint
         return None
--- a/puffindeck/policy/rebalancing.py
+++ b/puffindeck/policy/rebalancing.py
@@ -83,7 +83,7 @@
         elapsed_s = (now_ms - self._last_tick_ms) / 1000.0
         self._last_tick_ms = now_ms
         self._loads.recompute_loads()
-        self._shares.fade(math.exp(-1000.0 * elapsed_s / TRAFFIC_MEMORY_MS))
+        self._shares.decay(math.exp(-1000.0 * elapsed_s / TRAFFIC_MEMORY_MS))
         self._capacities.measure()
         is_idle = self._capacities.all_warm
         for endpoint in list(self._loads.in_use.values()):
--- a/puffindeck/policy/request_lifecycle.py
+++ b/puffindeck/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request from its arrival to its one final answer and the end of its connection."""
+"""The lifecycle of a request, from its arrival to its final answer and the end of its connection."""
 
 from __future__ import annotations
 
@@ -26,19 +26,20 @@
 from puffindeck.policy.retry_policy import RETRY_MS, RetryPolicy
 from puffindeck.policy.strategies import GatewayState, Strategies, Verdict
 
-FASTER_ENDPOINTS = 2  # that have established later attempts, from which a slow attempt is cancelled
-FASTER_ENDPOINTS_IF_FAILING = 1  # the same where its endpoint has failed before
+FASTER_ENDPOINTS = 2  # a slow attempt is cancelled once this many endpoints have established later attempts
+# The number if the slow attempt's endpoint has failed since it last succeeded.
+FASTER_ENDPOINTS_IF_FAILING = 1
 
 
 class SentAttempt(NamedTuple):
-    """An attempt that is looked at again while it is pending."""
+    """A pending attempt that is due for a review."""
 
     request: Request
-    number: int  # from 1
+    number: int  # number of the attempt within the request, from 1
 
 
 class RequestLifecycle:
-    """When a request is sent, retried, rejected or given up."""
+    """Decides when a request is sent, retried, rejected or failed."""
 
     __slots__ = (
         "_context",
@@ -97,7 +98,7 @@
         self._place(request)
 
     def on_connection_restored(self, event: ConnectionRestored) -> None:
-        """Take over a connection from before the start of this instance."""
+        """Record a connection that was open before this instance started."""
         if event.request in self._requests:
             return
         load = event.load_hint or self._loads.class_load(event.cls)
@@ -109,7 +110,7 @@
         self._loads.add_connection(request, self._state.registry.get_or_add(event.endpoint))
 
     def on_attempt_established(self, event: AttemptEstablished) -> None:
-        """The connection of a pending attempt is established."""
+        """Record that a pending attempt has become an established connection."""
         request = self._requests.get(event.request)
         if request is None or request.endpoint is None or request.established:
             return
@@ -124,7 +125,7 @@
             self._rebalancer.migrate_if_detached(request)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """An attempt or a connection has ended: place the request again, or remove it."""
+        """Retry or remove the request of an attempt or connection that has ended."""
         request = self._requests.get(event.request)
         if request is None:
             return
@@ -138,7 +139,7 @@
         if endpoint is not None:
             self._outliers.record_outcome(endpoint, request, event)
         if event.outcome in NOT_PROCESSED and request.first_run_ms == request.sent_ms:
-            request.first_run_endpoint = None  # the first that may have run did not
+            request.first_run_endpoint = None  # the attempt that may have been processed was not
         if event.outcome == Outcome.NO_RESOURCE:
             request.max_attempts += 1
         if event.final or request.answered:
@@ -147,13 +148,16 @@
             self._retry(request, event.outcome)
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """The client does not wait any more."""
+        """Close the request of a client that has disconnected."""
         request = self._requests.get(event.request)
         if request is not None:
             self._close(request)
 
     def on_request_aborted(self, event: RequestAborted) -> None:
-        """The gateway ends. What is safe to retry may be rejected too while an attempt is pending."""
+        """Give a request its final answer, because the gateway is shutting down.
+
+        A request that is safe to retry is rejected even if an attempt is pending.
+        """
         request = self._requests.get(event.request)
         if request is not None and not request.answered and not request.established:
             self._answer(request, request.is_safe_to_retry())
@@ -168,7 +172,7 @@
         self._state.shares.record(request)
 
     def _place(self, request: Request) -> None:
-        """Send a request to an endpoint, or have it wait while one may still appear."""
+        """Send a request to an endpoint, or have it wait if an endpoint may still become available."""
         if request.answered or request.in_progress or request.id not in self._requests:
             return
         for gate in self._gates:
@@ -177,7 +181,7 @@
                 self._answer(request)
                 return
             if verdict is Verdict.RELEASE:
-                request.answered = True  # here; its answer is owed elsewhere
+                request.answered = True  # the gate becomes responsible for the answer
                 self._remove(request)
                 gate.release(request)
                 return
@@ -192,11 +196,11 @@
     def _choose(self, request: Request) -> None:
         endpoint, within_bound = self._placement.choose(request)
         if endpoint is None:
-            if self._retries.has_waited_enough(request, within_bound):
+            if self._retries.should_stop_waiting(request, within_bound):
                 self._answer(request)
             else:
-                again_ms = self._context.now_ms + self._retries.waiting_ms(request)
-                self._timers.schedule(again_ms, self._place, request)
+                retry_at_ms = self._context.now_ms + self._retries.placement_delay_ms(request)
+                self._timers.schedule(retry_at_ms, self._place, request)
         elif not within_bound and request.attempts == 0 and self._retries.is_over_quota(request):
             self._answer(request)
         else:
@@ -206,7 +210,7 @@
         now_ms = self._context.now_ms
         timeout_ms = self._retries.attempt_timeout_ms(request)
         if self._context.settings.can_cancel and self._retries.can_retry_after_slow_attempt(request):
-            # whether this endpoint is slow, or all of them, shows only later
+            # Whether only this endpoint is slow or all of them are is known only later.
             sent = SentAttempt(request, request.attempts + 1)
             self._timers.schedule(now_ms + request.rules.latency_objective_ms, self._review_slow, sent)
         if endpoint.started_ms > 0 and self._state.capacities.warmth(endpoint) < 1.0:
@@ -223,9 +227,9 @@
         self._context.actions.append(Send(request.id, endpoint.id, timeout_ms, start_within_ms))
 
     def _review_slow(self, sent: SentAttempt) -> None:
-        """Cancel a slow attempt where others, sent later, were established meanwhile.
+        """Cancel a slow attempt if attempts that were sent later have been established meanwhile.
 
-        An attempt cancelled while all are slow is work for nobody, and the next one more of it.
+        While all endpoints are slow, a cancelled attempt would be wasted work, and its retry would add more.
         """
         request, number = sent
         endpoint = request.endpoint
@@ -235,8 +239,8 @@
             self._outliers.record_failure(endpoint)
             self._context.actions.append(Cancel(request.id, number - 1))
         else:
-            again_ms = self._context.now_ms + request.rules.latency_objective_ms / 2
-            self._timers.schedule(again_ms, self._review_slow, sent)
+            retry_at_ms = self._context.now_ms + request.rules.latency_objective_ms / 2
+            self._timers.schedule(retry_at_ms, self._review_slow, sent)
 
     def _is_too_slow(self, request: Request, endpoint: Endpoint) -> bool:
         limit = self._slow_attempt_limit
@@ -244,8 +248,8 @@
             return True
         if endpoint.newest_established_sent_ms >= request.sent_ms:
             return False
-        needed = FASTER_ENDPOINTS_IF_FAILING if endpoint.consecutive_failures else FASTER_ENDPOINTS
-        return self._outliers.count_faster_endpoints(request.sent_ms) >= needed
+        endpoints_needed = FASTER_ENDPOINTS_IF_FAILING if endpoint.consecutive_failures else FASTER_ENDPOINTS
+        return self._outliers.count_faster_endpoints(request.sent_ms) >= endpoints_needed
 
     def _retry(self, request: Request, outcome: Outcome) -> None:
         if outcome == Outcome.NO_RESOURCE:
@@ -253,8 +257,8 @@
         elif outcome == Outcome.CONNECT_FAILED or request.attempts == 1:
             self._place(request)
         else:
-            again_ms = self._context.now_ms + self._retries.backoff_ms(request)
-            self._timers.schedule(again_ms, self._place, request)
+            retry_at_ms = self._context.now_ms + self._retries.backoff_ms(request)
+            self._timers.schedule(retry_at_ms, self._place, request)
 
     # Answers
 
@@ -263,7 +267,7 @@
             self._answer(request)
 
     def _answer(self, request: Request, reject: bool | None = None) -> None:
-        """Give the one final answer; a rejection only where a retry is known to do no harm."""
+        """Give a request its final answer: a rejection if a retry is known to be safe, else a failure."""
         if reject is None:
             reject = request.is_safe_to_retry() and not request.in_progress
         if reject:
@@ -273,7 +277,7 @@
         self._close(request)
 
     def _close(self, request: Request) -> None:
-        """Nothing more is owed; an attempt that is still pending is followed to its outcome."""
+        """Mark a request as answered, and remove it unless an attempt is still pending."""
         if request.answered:
             return
         request.answered = True
--- a/puffindeck/policy/retry_policy.py
+++ b/puffindeck/policy/retry_policy.py
@@ -1,4 +1,4 @@
-"""How long attempts may take, when the next one is sent, and when a rejected client may come again."""
+"""Timeouts of attempts, delays before retries, and the retry delays that rejected clients are given."""
 
 from __future__ import annotations
 
@@ -12,28 +12,29 @@
 from puffindeck.policy.records import INF, Request
 from puffindeck.policy.send_rules import SendRules
 
-RETRY_MS = 40.0  # how long a request waits before it is placed again
-WAITING_PART = 0.25  # of the time that a request has waited, by which the next wait is longer
-PATIENCE_PART = 0.5  # of the latency objective: the longest wait while all endpoints are at their limits
-SHORTEST_START_MS = 0.001  # 0 would mean no limit
+RETRY_MS = 40.0  # delay before a waiting request is placed again
+WAIT_GROWTH_FRACTION = 0.25  # part of the time that a request has waited, which is added to its next delay
+# Longest wait while all endpoints are at their limits, as a part of the latency objective.
+MAX_WAIT_FRACTION = 0.5
+MINIMUM_START_MS = 0.001  # greater than 0, because 0 means no limit
 
 
 class RetryJitter(Protocol):
-    """Spreads the clients that were rejected together."""
+    """Spreads the retries of clients that were rejected together."""
 
     def fraction(self, request: Request) -> float:
-        """A number from 0 to 1."""
+        """Return a number from 0 to 1."""
 
 
 class SlowAttemptLimit(Protocol):
-    """Limits how long an attempt that cannot be compared with others is waited for."""
+    """Limits the duration of an attempt that cannot be compared with other attempts."""
 
     def give_up_ms(self, request: Request) -> float:
-        """When an attempt that is not established is given up; INF: at its time-out."""
+        """Return when an attempt that is not established is cancelled; INF: only at its timeout."""
 
 
 class RequestJitter:
-    """By request and zone: gateways spread their clients without drawing random numbers. A RetryJitter."""
+    """Derives the jitter from request and zone instead of drawing random numbers. A RetryJitter."""
 
     __slots__ = ("_context",)
 
@@ -41,12 +42,12 @@
         self._context = context
 
     def fraction(self, request: Request) -> float:
-        """The same at each call."""
+        """Return the request's number from 0 to 1, which is the same at each call."""
         return hash_fraction(request.id, self._context.settings.zone)
 
 
 class RetryPolicy:
-    """All times of attempts and retries, in milliseconds."""
+    """Computes all timeouts and delays of attempts and retries, in milliseconds."""
 
     __slots__ = ("_context", "_jitter", "_loads", "_rules")
 
@@ -59,49 +60,56 @@
         self._jitter = jitter
 
     def can_retry_after_slow_attempt(self, request: Request) -> bool:
-        """Whether one more attempt may follow the one that is about to be sent."""
+        """Return whether another attempt may follow the one that is about to be sent."""
         return request.rules.effect != Effect.NOT_IDEMPOTENT and request.attempts + 1 < request.max_attempts
 
     def attempt_timeout_ms(self, request: Request) -> float:
-        """The time-out of an attempt that is about to be sent, so that another one fits where it may follow.
+        """Return the timeout of an attempt that is about to be sent.
 
-        Where attempts can be cancelled, a slow one is compared with others instead and has all the time.
+        It leaves time for another attempt if one may follow. If attempts can be cancelled, the timeout is all
+        of the remaining time, because a slow attempt is detected by comparing it with other attempts.
         """
-        left_ms = request.deadline_ms - self._context.now_ms
+        remaining_ms = request.deadline_ms - self._context.now_ms
         if self._context.settings.can_cancel or not self.can_retry_after_slow_attempt(request):
-            return left_ms
-        return min(left_ms, max(request.rules.latency_objective_ms, left_ms / 2))
+            return remaining_ms
+        return min(remaining_ms, max(request.rules.latency_objective_ms, remaining_ms / 2))
 
     def start_within_ms(self, request: Request) -> float:
-        """How long a repeat's first byte may yet go out, as a connect may take its time; 0: no limit."""
+        """Return the time within which the first byte of a retry may be sent; 0: no limit.
+
+        The limit is needed because the connect that precedes the first byte can take long.
+        """
         if request.first_run_endpoint is None:
             return 0.0
         until_ms = self._rules.repeats_until_ms(request)
-        return max(SHORTEST_START_MS, until_ms - self._context.now_ms) if until_ms < INF else 0.0
+        return max(MINIMUM_START_MS, until_ms - self._context.now_ms) if until_ms < INF else 0.0
 
-    def waiting_ms(self, request: Request) -> float:
-        """The wait of a request that no endpoint may take now: it is placed again less and less often."""
-        return RETRY_MS + (self._context.now_ms - request.arrived_ms) * WAITING_PART
+    def placement_delay_ms(self, request: Request) -> float:
+        """Return the delay, growing each time, before a request without an endpoint is placed again."""
+        return RETRY_MS + (self._context.now_ms - request.arrived_ms) * WAIT_GROWTH_FRACTION
 
-    def has_waited_enough(self, request: Request, within_bound: bool) -> bool:
-        """Whether a request that no endpoint may take now is to be answered."""
+    def should_stop_waiting(self, request: Request, within_bound: bool) -> bool:
+        """Return whether a request without an available endpoint is to be answered now."""
         now_ms = self._context.now_ms
         if request.first_run_endpoint is not None and now_ms >= self._rules.repeats_until_ms(request):
             return True
-        longest_ms = PATIENCE_PART * request.rules.latency_objective_ms
-        return not within_bound and now_ms - request.arrived_ms > longest_ms
+        max_wait_ms = MAX_WAIT_FRACTION * request.rules.latency_objective_ms
+        return not within_bound and now_ms - request.arrived_ms > max_wait_ms
 
     def backoff_ms(self, request: Request) -> float:
-        """The wait before the next attempt: those that fail fast must not be used up at once."""
+        """Return the delay before the next attempt, which keeps fast failures from using up all attempts."""
         return RETRY_MS * 2.0 ** (request.attempts - 2) * (0.5 + self._context.random.random())
 
     def retry_after_ms(self, request: Request) -> float:
-        """When a rejected client may come again: after a tick, when load limits may grow; not all at once."""
+        """Return the delay after which a rejected client may retry.
+
+        It is about a tick, because load limits grow on ticks. Jitter keeps clients from retrying all at once.
+        """
         wait_ms = TICK_MS * (0.5 + self._jitter.fraction(request))
         return min(self._context.settings.max_retry_after_ms, wait_ms)
 
     def is_over_quota(self, request: Request) -> bool:
-        """Whether this gateway has more of the tenant's connections than its part of the tenant's quota."""
+        """Return whether the tenant has more connections here than this gateway's part of its quota."""
         settings = self._context.settings
         if request.tenant >= len(settings.tenant_connection_quotas):
             return False
--- a/puffindeck/policy/send_rules.py
+++ b/puffindeck/policy/send_rules.py
@@ -1,4 +1,4 @@
-"""Which endpoints a request may be sent to at all: the rules on sends are kept here and nowhere else."""
+"""The rules that decide which endpoints a request may be sent to. They are enforced in this module only."""
 
 from __future__ import annotations
 
@@ -12,14 +12,19 @@
 
 
 class EndpointFilter(Protocol):
-    """Narrows the endpoints of requests further."""
+    """Restricts the endpoints of requests further."""
 
     def allows(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether the endpoint may be sent this request."""
+        """Return whether the endpoint may be sent this request."""
 
 
 class SendRules:
-    """Nothing to endpoints that drain, no retry where a second run could act twice, slow start's budget."""
+    """Enforces the rules on sends.
+
+    - Endpoints that are not ready, as they drain or are detached, get no requests.
+    - A request is not sent again if a second run could take effect twice.
+    - Endpoints in slow start get no more than their budget.
+    """
 
     __slots__ = ("_context", "_filter", "_registry", "_slow_start")
 
@@ -36,7 +41,7 @@
         self._filter = endpoint_filter
 
     def is_eligible(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether an endpoint may be sent a request now. Credit of slow start accrues with each question."""
+        """Return whether an endpoint may be sent a request now. Each call updates the slow start credit."""
         if self._filter is not None and not self._filter.allows(request, endpoint):
             return False
         if endpoint.id not in self._registry.ready:
@@ -50,7 +55,7 @@
         return True
 
     def _may_repeat(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether a request that may have run elsewhere may run at this endpoint, too."""
+        """Return whether a request that another endpoint may have processed may be sent to this endpoint."""
         if self._context.now_ms >= self.repeats_until_ms(request):
             return False
         first = request.first_run_endpoint
@@ -63,7 +68,11 @@
         return True
 
     def repeats_until_ms(self, request: Request) -> float:
-        """Until when a request that may have run may be sent again: repeats are discarded for a while."""
+        """Return until when a request that may have been processed may be sent again.
+
+        INF means always and -INF never. The time is limited for a request with an idempotency key, because
+        endpoints discard its repeats for a limited time.
+        """
         if request.rules.effect == Effect.IDEMPOTENCY_KEY:
             return request.first_run_ms + request.rules.window_ms - self._context.settings.period_ms
         return INF if request.rules.effect == Effect.IDEMPOTENT else -INF
--- a/puffindeck/policy/strategies.py
+++ b/puffindeck/policy/strategies.py
@@ -1,4 +1,4 @@
-"""What may be replaced in a Balancer: each strategy answers one question, and None keeps the usual answer."""
+"""Strategies, which replace parts of a Balancer's decisions. None selects the default for a part."""
 
 from __future__ import annotations
 
@@ -24,59 +24,59 @@
 
 
 class Verdict(Enum):
-    """What is to be done with a request that waits for a place."""
+    """What happens to a request that is about to be placed."""
 
-    PLACE = 1
-    ANSWER = 2  # finally: it has no place here
-    RELEASE = 3  # it goes on elsewhere, without an answer from here
+    PLACE = 1  # place it
+    ANSWER = 2  # give it its final answer without placing it
+    RELEASE = 3  # hand it over to the gate, without an answer from this balancer
 
 
 class PlacementGate(Protocol):
-    """Looks at each request that waits before it is placed."""
+    """Reviews each request before it is placed."""
 
     def review(self, request: Request) -> Verdict:
-        """What is to be done with it."""
+        """Return what happens to the request."""
 
     def release(self, request: Request) -> None:
-        """Take over a request that is to go on elsewhere. It has been removed here."""
+        """Take over a request that this balancer has removed without an answer."""
 
 
 class LifecycleListener:
-    """Is called at the steps of requests. Subclasses override what they need."""
+    """Is notified of the steps of requests. Subclasses override the methods that they need."""
 
     def batch_started(self) -> None:
-        """Events are about to be handled."""
+        """Called before a batch of events is handled."""
 
     def request_arrived(self) -> None:
-        """A request has come, perhaps one that is known already."""
+        """Called when a request has arrived, even if it is already known."""
 
     def request_accepted(self, request: Request) -> None:
-        """A request is recorded, and not placed yet."""
+        """Called when a request has been recorded, before it is placed."""
 
     def attempt_ended(self, request: Request, event: AttemptEnded) -> None:
-        """An attempt or connection of a known request has ended; nothing has been recorded of that yet."""
+        """Called when an attempt or connection of a known request has ended, before that is recorded."""
 
     def request_removed(self, request: Request) -> None:
-        """A request is over."""
+        """Called when a request has been removed."""
 
     def endpoints_listed(self) -> None:
-        """A list, or changes of one, have come."""
+        """Called when an endpoint list or changes to the list have arrived."""
 
     def endpoint_reattached(self, endpoint: int) -> None:
-        """An operator has put an endpoint back, and that is recorded."""
+        """Called when it has been recorded that an operator has reattached an endpoint."""
 
 
 class PlacementWrapper(Protocol):
-    """Makes a chooser that looks at some requests itself and leaves the others to the usual one."""
+    """Creates a chooser that handles some requests itself and delegates the others to the default chooser."""
 
     def __call__(
         self, fallback: EndpointChooser, rules: SendRules, endpoint_filter: EndpointFilter | None
     ) -> EndpointChooser:
-        """The chooser in its place."""
+        """Return the chooser that replaces `fallback`, which is the default one."""
 
 
 class GatewayState:
-    """The parts of a Balancer that stand on no strategy; strategies are given those that they need."""
+    """The parts of a Balancer that depend on no strategy, and from which strategies are created."""
 
     __slots__ = (
         "capacities",
@@ -93,7 +93,7 @@
     def __init__(self, context: DecisionContext, minimum_connections: Callable[[], float]) -> None:
         self.context = context
         self.timers = TimerQueue()
-        self.requests: dict[int, Request] = {}  # RequestLifecycle adds and removes
+        self.requests: dict[int, Request] = {}  # modified by RequestLifecycle only
         self.registry = EndpointRegistry()
         self.hash_ring = HashRing()
         self.shares = TrafficShares()
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class Strategies:
-    """The replacements of one Balancer."""
+    """The parts that are replaced in a Balancer. None selects the default."""
 
     ring: RingProvider | None = None
     shares: ShareEstimator | None = None
--- a/puffindeck/policy/timer_queue.py
+++ b/puffindeck/policy/timer_queue.py
@@ -1,4 +1,4 @@
-"""Timers of the policy, ordered by when they are due."""
+"""The timer queue of the policy."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Timer(NamedTuple):
-    """A call that is due at a moment. Those due at the same moment run in the order of their numbers."""
+    """A scheduled call. Calls that are due at the same time run in the order of their numbers."""
 
     due_ms: float
     number: int
@@ -19,7 +19,7 @@
 
 
 class TimerQueue:
-    """Calls to be made later. It has no clock: whoever owns it says what time it is."""
+    """A queue of scheduled calls. It has no clock of its own; the owner passes the current time."""
 
     __slots__ = ("_count", "_heap")
 
@@ -36,17 +36,17 @@
         heappush(self._heap, Timer(due_ms, self._count, callback, argument))
 
     def run_due(self, now_ms: float) -> None:
-        """Make all calls that are due, also those that these calls schedule."""
+        """Run all calls that are due, including due calls that these calls schedule."""
         heap = self._heap
         while heap and heap[0].due_ms <= now_ms:
             timer = heappop(heap)
             timer.callback(timer.argument)
 
     def next_due_ms(self) -> float:
-        """When the first call is due; INF where there is none."""
+        """Return when the first call is due; INF if there is none."""
         return self._heap[0].due_ms if self._heap else INF
 
     def drop_first_while(self, is_obsolete: Callable[[Any], bool]) -> None:
-        """Drop timers from the front for as long as their argument is obsolete."""
+        """Remove the first timer for as long as its argument is obsolete."""
         while self._heap and is_obsolete(self._heap[0].argument):
             heappop(self._heap)
--- a/puffindeck/policy/traffic_shares.py
+++ b/puffindeck/policy/traffic_shares.py
@@ -1,4 +1,4 @@
-"""How much of all requests each group or key brings, as far as this gateway has seen."""
+"""Shares of the traffic that each group or key accounts for, as observed by this gateway."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 from puffindeck.policy.records import Request
 
-KEY_PRIOR = 8.0  # requests: until more were seen, a key is taken to bring less than it seems to
-GROUP_PRIOR = 2.0  # the same for a group
-FORGOTTEN_BELOW = 0.1  # requests: a faded count under this is dropped
+KEY_PRIOR = 8.0  # requests added to the total, which lowers a key's estimate while few requests were observed
+GROUP_PRIOR = 2.0  # requests added to the total for a group's estimate
+MINIMUM_COUNT = 0.1  # requests; lower counts are removed
 
 
 class ShareEstimator(Protocol):
-    """Estimates the part of all load that a request's group or key brings."""
+    """Estimates the share of the total load that a request's group or key accounts for."""
 
     def share_of(self, request: Request) -> float:
-        """The estimate, from 0 to 1."""
+        """Return the estimate, from 0 to 1."""
 
 
 class TrafficShares:
-    """Counts of requests by group, else by key, that fade over time. A ShareEstimator."""
+    """Counts requests by group, or by key if they have no group. Counts decay over time. A ShareEstimator."""
 
     __slots__ = ("_total", "counts")
 
@@ -33,17 +33,17 @@
         if request.key:
             self.counts[request.key] = self.counts.get(request.key, 0.0) + 1
 
-    def fade(self, factor: float) -> None:
+    def decay(self, factor: float) -> None:
         """Multiply all counts by a factor under 1."""
         self._total *= factor
-        self.counts = {key: count * factor for key, count in self.counts.items() if count > FORGOTTEN_BELOW}
+        self.counts = {key: count * factor for key, count in self.counts.items() if count > MINIMUM_COUNT}
 
     def share_of(self, request: Request) -> float:
-        """The part of all load that a request's group or key brings."""
+        """Return the estimated share of the total load that a request's group or key accounts for."""
         if request.group:
             return self.group_share(request.group)
         return max(0.0, self.counts.get(request.key, 0.0) - 1) / (self._total + KEY_PRIOR)
 
     def group_share(self, group: int) -> float:
-        """The part of all load that a group brings."""
+        """Return the estimated share of the total load that a group accounts for."""
         return self.counts.get(group, 0.0) / (self._total + GROUP_PRIOR)
