--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -293,7 +293,7 @@
         gateway.submit(request, key=request * 31)
     gateway.advance(300)
     for request in range(1, 25):
-        gateway.end_attempt(request, Outcome.TIMEOUT, took=300.0)
+        gateway.end_attempt(request, Outcome.TIMEOUT, elapsed_ms=300.0)
     assert sum(s.is_avoided(gateway.now) for s in gateway.balancer.ready.values()) <= 3
     assert all(s.load_limit == float("inf") for s in gateway.balancer.ready.values())
     for request in range(100, 200):
@@ -552,7 +552,7 @@
     assert endpoint is not None
     gateway.handle_events(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
     assert not gateway.balancer.outliers.failing
-    gateway.end_attempt(50, Outcome.TIMEOUT, took=300.0)
+    gateway.end_attempt(50, Outcome.TIMEOUT, elapsed_ms=300.0)
     assert len(gateway.balancer.outliers.failing) == 1
 
 
--- a/tests/policy/test_send_rules.py
+++ b/tests/policy/test_send_rules.py
@@ -1,4 +1,4 @@
-"""The four rules, over random legal orders of events, checked apart from the policy's own records."""
+"""Checks the four rules on actions over random valid orders of events."""
 
 from __future__ import annotations
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -1,7 +1,14 @@
-"""Helpers: settings, events, and a checker of a balancer's actions against the four rules.
+"""Test helpers: settings, events, a gateway with a simulated clock, and a checker of the rules on actions.
 
-The checker knows only the events that it delivered and the actions that it got back. It simulates orders of
-events, not servers.
+The four rules are:
+
+- A request gets one final answer, by its deadline.
+- A draining or detached endpoint gets no requests.
+- A request is not sent again if a second run could take effect twice.
+- An endpoint in slow start gets no more than its budget.
+
+The checker knows only the events that it has delivered and the actions that were returned. It simulates
+random orders of events, but no endpoints.
 """
 
 from __future__ import annotations
@@ -42,7 +49,7 @@
 )
 from puffindeck.policy import Balancer
 
-FULL_LOAD_MULTIPLE = 3.75  # of the mean of connections: what an endpoint at capacity may get at most
+MAX_FULL_LOAD_MULTIPLE = 3.75  # most connections of an endpoint at capacity, as a multiple of the mean
 SETTINGS = Settings(
     classes=(ClassSettings(latency_objective_ms=300, deadline_ms=1200, message_latency_objective_ms=60),),
     gateways=2,
@@ -66,27 +73,31 @@
     cell: int = 0,
     started: float = 0,
 ) -> EndpointEntry:
+    """Return an entry of the endpoint list."""
     return EndpointEntry(endpoint, zone, 0, cell, state, 1.0, started)
 
 
 def list_update(
     *entries: EndpointEntry, kind: ListUpdateKind = ListUpdateKind.FULL, version: int = 1
 ) -> EndpointListUpdated:
+    """Return an event with an endpoint list or changes to the list."""
     return EndpointListUpdated(kind, version, list(entries))
 
 
 def request_arrived(
     request: int, *, group: int = 0, key: int = 0, remaining_ms: float = 1200, cls: int = 0
 ) -> RequestArrived:
+    """Return the event of a new request."""
     return RequestArrived(request, cls, 0, key, remaining_ms, 0.0, group)
 
 
 def sends(actions: list[Action]) -> list[Send]:
+    """Return the `Send` actions among these."""
     return [a for a in actions if isinstance(a, Send)]
 
 
 class Gateway:
-    """A balancer with its clock: timers that it asks for are handed back when they are due."""
+    """A balancer with a simulated clock, which fires the timers that the balancer schedules."""
 
     def __init__(
         self, settings: Settings = SETTINGS, endpoints: int = 6, seed: int = 1, balancer: Any = None
@@ -95,12 +106,13 @@
         self.now = 1000.0
         self.pending_timers: list[tuple[float, int]] = []
         self.actions: list[Action] = []
-        self.endpoint_of: dict[int, int] = {}  # request -> server of its last send
+        self.endpoint_of: dict[int, int] = {}  # endpoint of each request's latest attempt
         self.attempt_counts: dict[int, int] = {}
         if endpoints:
             self.handle_events(list_update(*(entry(i) for i in range(1, endpoints + 1))))
 
     def handle_events(self, *events: Event) -> list[Action]:
+        """Deliver events to the balancer, and return its actions."""
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, ScheduleTimer):
@@ -112,28 +124,31 @@
         return actions
 
     def advance(self, ms: float) -> list[Action]:
-        """Let time pass; what was done meanwhile."""
-        until, done = self.now + ms, len(self.actions)
-        while due := [w for w in self.pending_timers if w[0] <= until]:
+        """Advance the clock, and return the actions of the timers that have fired meanwhile."""
+        until, previous_actions = self.now + ms, len(self.actions)
+        while due := [timer for timer in self.pending_timers if timer[0] <= until]:
             first = min(due)
             self.pending_timers.remove(first)
             self.now = max(self.now, first[0])
             self.handle_events(TimerFired(first[1]))
         self.now = until
-        return self.actions[done:]
+        return self.actions[previous_actions:]
 
     def submit(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
-        """A new request; the server it was sent to."""
+        """Deliver a new request, and return the endpoint that it was sent to."""
         self.handle_events(request_arrived(request, group=group, key=key, cls=cls))
         return self.endpoint_of.get(request)
 
-    def establish(self, request: int, took: float = 20.0) -> None:
+    def establish(self, request: int, elapsed_ms: float = 20.0) -> None:
+        """Report that a request's attempt was established."""
         self.handle_events(
-            AttemptEstablished(request, self.endpoint_of[request], took, self.attempt_counts[request] - 1)
+            AttemptEstablished(
+                request, self.endpoint_of[request], elapsed_ms, self.attempt_counts[request] - 1
+            )
         )
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
-        """A connection that stands, with its load told."""
+        """Establish a connection for a new request, report its load, and return its endpoint."""
         endpoint = self.submit(request, group=group, key=key)
         assert endpoint is not None
         self.establish(request)
@@ -142,21 +157,30 @@
         return endpoint
 
     def end_attempt(
-        self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0
+        self, request: int, outcome: Outcome, *, final: bool = False, elapsed_ms: float = 50.0
     ) -> list[Action]:
+        """Report that a request's attempt or connection has ended, and return the actions."""
         return self.handle_events(
             AttemptEnded(
-                request, outcome, self.endpoint_of[request], self.attempt_counts[request] - 1, final, took
+                request,
+                outcome,
+                self.endpoint_of[request],
+                self.attempt_counts[request] - 1,
+                final,
+                elapsed_ms,
             )
         )
 
     def report_latency(self, endpoint: int, ms: float) -> list[Action]:
-        held = next(iter(self.balancer.endpoints[endpoint].connections), 0)
-        return self.handle_events(LatencyReported(held, endpoint, ms))
+        """Report an endpoint's message latency, and return the actions."""
+        request = next(iter(self.balancer.endpoints[endpoint].connections), 0)
+        return self.handle_events(LatencyReported(request, endpoint, ms))
 
 
 @dataclass
 class Attempt:
+    """An attempt that the balancer has sent."""
+
     endpoint: int
     sent: float
     until: float
@@ -166,10 +190,12 @@
 
 @dataclass
 class RequestRecord:
+    """What the checker knows about a request."""
+
     cls: ClassSettings
     deadline: float
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False  # finally, in whatever way
+    answered: bool = False  # whether the request has ended, in whatever way
     established: bool = False
 
     @property
@@ -178,7 +204,7 @@
 
 
 class RuleChecker:
-    """Random legal orders of events against one balancer, and the four rules checked on all it does."""
+    """Delivers random valid orders of events to a balancer, and checks its actions against the four rules."""
 
     def __init__(self, settings: Settings, random: Random, balancer: Any = None) -> None:
         self.settings, self.random = settings, random
@@ -187,8 +213,8 @@
         self.records: dict[int, RequestRecord] = {}
         self.timers: list[tuple[float, int]] = []
         self.endpoints: dict[int, EndpointEntry] = {}
-        self.unready_since: dict[int, float] = {}  # when the list last named an endpoint as not ready
-        self.detached_since: dict[int, float] = {}  # detached by an operator, since when
+        self.unready_since: dict[int, float] = {}  # when the list last changed an endpoint to not ready
+        self.detached_since: dict[int, float] = {}  # when an operator detached an endpoint
         self.sends: dict[int, list[float]] = {}
         self.connections, self.connections_at = 0.0, self.now
         self.next_id = 1
@@ -209,8 +235,8 @@
             self.check_send(action)
         elif isinstance(action, (Reject, Fail)):
             record = self.records[action.request]
-            assert not record.answered, "a second final answer"
-            assert self.now <= record.deadline + self.settings.answer_slack_ms, "answered too late"
+            assert not record.answered, "request has got a second final answer"
+            assert self.now <= record.deadline + self.settings.answer_slack_ms, "answered after the deadline"
             if isinstance(action, Reject):
                 self.check_rejection(record)
             record.answered = True
@@ -229,24 +255,24 @@
     def check_rejection(self, record: RequestRecord) -> None:
         keyed_to_some = record.cls.effect == Effect.IDEMPOTENCY_KEY and record.cls.scope != Scope.ALL
         if record.cls.effect == Effect.NOT_IDEMPOTENT or keyed_to_some:
-            assert not self.may_have_run(record), "rejected though it may have run"
+            assert not self.may_have_run(record), "rejected although it may have been processed"
 
     def check_send(self, action: Send) -> None:
         record = self.records[action.request]
-        assert not record.answered, "sent after its end"
-        assert record.pending is None, "two attempts out at once"
+        assert not record.answered, "sent after it has ended"
+        assert record.pending is None, "two attempts pending at once"
         assert len(record.attempts) < self.settings.max_attempts
         endpoint = self.endpoints[action.endpoint]
         assert action.endpoint not in self.detached_since, "sent to a detached endpoint"
         if endpoint.state != EndpointStatus.READY:
             grace_ends = self.unready_since[action.endpoint] + self.settings.drain_grace_ms
-            assert self.now <= grace_ends, "sent to a drained server"
+            assert self.now <= grace_ends, "sent to a drained endpoint"
         ran = self.may_have_run(record)
         if ran and record.cls.effect == Effect.NOT_IDEMPOTENT:
-            raise AssertionError("an unsafe request was tried again")
+            raise AssertionError("a request that is not idempotent was retried")
         if ran and record.cls.effect == Effect.IDEMPOTENCY_KEY:
             first = self.endpoints[ran[0].endpoint]
-            assert self.now <= ran[0].sent + record.cls.window_ms, "sent again after its window"
+            assert self.now <= ran[0].sent + record.cls.window_ms, "retried after its idempotency window"
             assert record.cls.scope != Scope.ZONE or endpoint.zone == first.zone
             assert record.cls.scope != Scope.CELL or endpoint.cell == first.cell
         if endpoint.started_ms > 0 and self.now - endpoint.started_ms < self.settings.slow_start_ms:
@@ -255,14 +281,14 @@
         record.attempts.append(Attempt(action.endpoint, self.now, until))
 
     def recent_connections(self) -> float:
-        """Requests and connections of this gateway, now or recently: what endpoints have shown to bear."""
+        """Return the number of requests and connections that the endpoints have now or had recently."""
         connections = sum(not c.answered or c.pending is not None for c in self.records.values())
-        fade = math.exp((self.connections_at - self.now) / self.settings.slow_start_ms)
-        self.connections, self.connections_at = max(float(connections), self.connections * fade), self.now
+        decay = math.exp((self.connections_at - self.now) / self.settings.slow_start_ms)
+        self.connections, self.connections_at = max(float(connections), self.connections * decay), self.now
         return self.connections
 
     def check_slow_start(self, endpoint: int, started: float) -> None:
-        """An endpoint that bears what this gateway's endpoints have fills no faster than it warms up."""
+        """Check that an endpoint in slow start fills up no faster than its capacity grows."""
         sent_ms = self.sends.setdefault(endpoint, [])
         sent_ms.append(self.now)
         s = self.settings
@@ -274,7 +300,7 @@
         connections = self.recent_connections()
         ready = sum(e.state == EndpointStatus.READY for e in self.endpoints.values())
         most = (
-            FULL_LOAD_MULTIPLE
+            MAX_FULL_LOAD_MULTIPLE
             * s.slow_start_load_multiple
             * warmth
             * max(1.0, connections / max(1, ready))
@@ -282,17 +308,17 @@
             / s.slow_start_ms
         )
         assert len(recent) <= most + 3, (
-            f"an endpoint in slow start got too much: {len(recent)} sends, at most {most:.1f}"
+            f"an endpoint in slow start got {len(recent)} requests, at most {most:.1f} are allowed"
         )
 
     def step(self) -> None:
-        """Five milliseconds: what is due, and perhaps something that happens."""
+        """Advance the clock by 5 ms, and deliver due timers and random events."""
         self.now += 5
-        random, events, left = self.random, list[Event](), list[int]()
+        random, events, disconnected = self.random, list[Event](), list[int]()
         if random.random() < 0.01:
             self.operator_action()
-        due = [w for w in self.timers if w[0] <= self.now]
-        self.timers = [w for w in self.timers if w[0] > self.now]
+        due = [timer for timer in self.timers if timer[0] <= self.now]
+        self.timers = [timer for timer in self.timers if timer[0] > self.now]
         events += [TimerFired(token) for _, token in due]
         for request, record in self.records.items():
             events += self.attempt_events(request, record)
@@ -309,17 +335,17 @@
         if random.random() < 0.02 and self.records:
             request = random.choice(list(self.records))
             if not self.records[request].established:
-                left.append(request)
+                disconnected.append(request)
                 events.append(ClientDisconnected(request))
         self.recent_connections()
         if events:
             self.deliver(events)
-        for request in left:  # what this batch says binds from the next on
+        for request in disconnected:  # a disconnect takes effect for the checks after its batch
             self.records[request].answered = True
         self.check_deadlines()
 
     def operator_action(self) -> None:
-        """Detach an endpoint, or attach one that was restarted meanwhile."""
+        """Detach an endpoint, or reattach a detached one, which was restarted meanwhile."""
         endpoint = self.random.choice(list(self.endpoints))
         since = self.detached_since.pop(endpoint, None)
         if since is None:
@@ -334,7 +360,7 @@
         attempt, number, random = record.pending, len(record.attempts) - 1, self.random
         if attempt is None:
             return []
-        took = self.now - attempt.sent
+        elapsed_ms = self.now - attempt.sent
         outcome: Outcome | None = None
         if attempt.cancelled:
             outcome = Outcome.CANCELLED
@@ -346,7 +372,7 @@
         elif random.random() < 0.1 and not record.answered:
             if random.random() < 0.5:
                 record.established = True
-                return [AttemptEstablished(request, attempt.endpoint, took, number)]
+                return [AttemptEstablished(request, attempt.endpoint, elapsed_ms, number)]
             outcome = random.choice(
                 [Outcome.ERROR, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.MOOT]
             )
@@ -355,17 +381,17 @@
         attempt.outcome = outcome
         if record.established:
             record.answered = True
-        return [AttemptEnded(request, outcome, attempt.endpoint, number, record.answered, took)]
+        return [AttemptEnded(request, outcome, attempt.endpoint, number, record.answered, elapsed_ms)]
 
     def arrival(self) -> Event:
         cls = self.random.randrange(len(self.settings.classes))
         rules = self.settings.classes[cls]
-        left = rules.deadline_ms * self.random.choice([0.02, 0.3, 1.0])
+        time_left_ms = rules.deadline_ms * self.random.choice([0.02, 0.3, 1.0])
         request, self.next_id = self.next_id, self.next_id + 1
-        self.records[request] = RequestRecord(rules, self.now + left)
+        self.records[request] = RequestRecord(rules, self.now + time_left_ms)
         group = self.random.randrange(4)
         return replace(
-            request_arrived(request, group=group, remaining_ms=left, cls=cls),
+            request_arrived(request, group=group, remaining_ms=time_left_ms, cls=cls),
             mid_flow=self.random.random() < 0.1,
         )
 
@@ -390,4 +416,6 @@
     def check_deadlines(self) -> None:
         for request, record in self.records.items():
             if not record.answered and not record.established:
-                assert self.now <= record.deadline + self.settings.answer_slack_ms, f"{request} has no answer"
+                assert self.now <= record.deadline + self.settings.answer_slack_ms, (
+                    f"request {request} has no answer"
+                )
