--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -1,4 +1,4 @@
-"""Operators' calls on the second address, over loopback: hosts taken out and put back, and a lame duck."""
+"""The admin API over loopback: readiness, detaching and attaching hosts, and draining."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.support.node_test_case import REQUEST, NodeTestCase, Peer
 
 
-class AdminApiStories(NodeTestCase):
-    """A node with a second address."""
+class AdminApiTests(NodeTestCase):
+    """A node with an admin API."""
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -27,8 +27,8 @@
         self.folder = Path(folder.name)
         super().build(hosts, **settings)
 
-    def adjust_config(self, told: NodeConfig) -> NodeConfig:
-        return msgspec.structs.replace(told, operator=("127.0.0.1", 0), folder=self.folder)
+    def adjust_config(self, config: NodeConfig) -> NodeConfig:
+        return msgspec.structs.replace(config, operator=("127.0.0.1", 0), folder=self.folder)
 
     async def close(self) -> None:
         for caller in list(self.node.admin_api.callers):
@@ -37,30 +37,31 @@
         await self.node.admin_port.stopListening()
         await super().close()
 
-    async def caller(self) -> Peer:
+    async def connect_caller(self) -> Peer:
         assert self.node.admin_port is not None
         return await self.client(port=self.node.admin_port.getHost().port)
 
     async def call(self, text: str, rest: str = "") -> int:
-        """A call; its status. Its connection has ended then."""
-        caller = await self.caller()
+        """Make a call, check that the connection is closed after it, and return its status."""
+        caller = await self.connect_caller()
         caller.write(f"{text} HTTP/1.1\r\nHost: n0\r\n{rest}\r\n".encode())
         status = int((await caller.line()).split(b" ")[1])
         self.assertEqual(await caller.ended(), "ConnectionDone")
         return status
 
-    async def serving(self) -> Peer:
+    async def make_ready(self) -> Peer:
+        """Make the node ready; return its watch."""
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
         await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
         return watch
 
-    async def test_ready_is_no_while_starting_and_draining_and_odd_calls_get_a_no(self) -> None:
+    async def test_ready_fails_while_starting_or_draining_and_invalid_calls_are_rejected(self) -> None:
         self.build()
         self.assertEqual(await self.call("GET /_ready"), 503)
-        await self.serving()
+        await self.make_ready()
         self.assertEqual(await self.call("GET /_ready"), 200)
-        for odd, status in (
+        for invalid, status in (
             ("GET /", 404),
             ("PUT /_ready", 405),
             ("GET /_lameduck/on", 405),
@@ -72,32 +73,34 @@
             ("PUT /_hosts/detach?member=..%2Fh0", 404),
             ("PUT /_hosts/attach?member=h7", 404),
         ):
-            self.assertEqual(await self.call(odd), status, odd)
+            self.assertEqual(await self.call(invalid), status, invalid)
         self.assertEqual(self.recorded_events(EndpointDetached), [])
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         self.assertEqual(await self.call("GET /_ready"), 503)
         self.assertEqual(await self.call("PUT /_lameduck/off", "Content-Length: 2\r\n\r\nhi"), 200)
         self.assertEqual(await self.call("GET /_ready"), 200)
 
-    async def test_callers_that_stall_keep_no_whole_call_out(self) -> None:
+    async def test_stalled_callers_do_not_block_a_complete_call(self) -> None:
         self.build()
-        await self.serving()
-        stalled = [await self.caller() for _ in range(2 * admin_api.MAX_CALLERS)]
+        await self.make_ready()
+        stalled = [await self.connect_caller() for _ in range(2 * admin_api.MAX_CALLERS)]
         stalled[-1].write(b"GET /_ready HT")
         self.assertEqual(await self.call("GET /_ready"), 200)
         await self.wait_until(
-            lambda: sum(p.end is not None for p in stalled) >= admin_api.MAX_CALLERS, "their end"
+            lambda: sum(p.end is not None for p in stalled) >= admin_api.MAX_CALLERS, "their eviction"
         )
         self.assertLessEqual(len(self.node.admin_api.callers), admin_api.MAX_CALLERS)
         with patch.object(admin_api, "CALL_TIMEOUT", milliseconds(50)):
-            late = await self.caller()
+            late = await self.connect_caller()
             await late.ended()
 
-    async def test_a_detached_host_gets_nothing_whatever_the_list_says_and_its_clients_move(self) -> None:
+    async def test_a_detached_host_gets_no_requests_whatever_the_list_says_and_its_clients_are_moved(
+        self,
+    ) -> None:
         self.build()
-        watch = await self.serving()
+        watch = await self.make_ready()
         client, uid, _ = await self.establish(REQUEST)
-        for _ in range(2):  # the call may arrive twice, and one call back undoes both
+        for _ in range(2):  # a repeated detach has no effect, and one attach undoes it
             self.assertEqual(await self.call(f"PUT /_hosts/detach?member={uid}"), 200)
         self.assertEqual(await client.line(), b"MOVE")
         self.send_update(watch, 3, False, self.target(uid))
@@ -108,16 +111,16 @@
         self.assertEqual(
             (len(self.recorded_events(EndpointDetached)), len(self.recorded_events(EndpointAttached))), (1, 1)
         )
-        await self.wait_until(lambda: self.back_in_use(uid), "its use")
+        await self.wait_until(lambda: self.is_reattached(uid), "its use")
 
-    def back_in_use(self, uid: str) -> bool:
+    def is_reattached(self, uid: str) -> bool:
         endpoint = self.node.engine.balancer.endpoints[self.node.directory.number(uid)]
         return (
             endpoint.started_ms > 0
             and endpoint.id in self.node.engine.balancer.state.slow_start.reattached_ms
         )
 
-    async def test_an_attempt_waiting_for_its_connect_is_not_written_to_a_detached_host(self) -> None:
+    async def test_an_attempt_still_connecting_is_not_written_to_a_detached_host(self) -> None:
         self.build(hosts=1, drain_grace_ms=0)
         number = self.node.directory.number("h0")
         client = await self.client(REQUEST)
@@ -129,21 +132,21 @@
         self.assertFalse(self.node.engine.may_reach(number))
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
 
-    async def test_what_another_process_was_told_holds_here_and_no_record_is_no_yes(self) -> None:
+    async def test_records_of_another_process_apply_here_and_a_call_without_its_record_fails(self) -> None:
         self.build()
-        await self.serving()
+        await self.make_ready()
         marker = self.folder / "detached" / b"h0".hex()
         marker.touch()
-        (self.folder / "detached" / "not ours").touch()
-        await self.wait_until(lambda: self.recorded_events(EndpointDetached), "the other's word")
+        (self.folder / "detached" / "not ours").touch()  # no marker: ignored
+        await self.wait_until(lambda: self.recorded_events(EndpointDetached), "the other process's detach")
         marker.unlink()
-        await self.wait_until(lambda: self.recorded_events(EndpointAttached), "the other's word")
+        await self.wait_until(lambda: self.recorded_events(EndpointAttached), "the other process's attach")
         number = self.node.directory.number("h0")
         records = self.folder / "detached"
         records.rename(self.folder / "away")
-        records.touch()  # no folder: nothing can be recorded
+        records.touch()  # a file in place of the folder: nothing can be recorded
         self.assertEqual(await self.call("PUT /_hosts/detach?member=h0"), 507)
-        # it counts 1 s after the call whatever was answered, so it holds here
+        # A call counts from 1 s after it was made, whatever the answer, so it takes effect in this process.
         self.assertEqual(len(self.recorded_events(EndpointDetached)), 2)
         self.assertIn(number, self.node.engine.reachability.detached_since)
         records.unlink()
@@ -153,17 +156,17 @@
         self.assertEqual(await self.call("PUT /_hosts/attach?member=h0"), 200)
         self.assertFalse(marker.exists())
 
-    async def test_a_folder_that_fails_for_a_moment_is_waited_for_before_the_yes(self) -> None:
+    async def test_a_call_is_answered_yes_only_after_a_transient_write_failure_has_passed(self) -> None:
         self.build()
-        await self.serving()
+        await self.make_ready()
         errors = [OSError(errno.ENOSPC, "No space left on device")] * 4
         with patch.object(self.node.detachment.store, "put", side_effect=[*errors, None]) as put:
             self.assertEqual(await self.call("PUT /_hosts/detach?member=h0"), 200)
         self.assertEqual(put.call_count, 5)
 
-    async def test_records_that_are_lost_with_their_folder_are_written_again(self) -> None:
+    async def test_records_deleted_with_their_folder_are_written_again(self) -> None:
         self.build()
-        await self.serving()
+        await self.make_ready()
         self.assertEqual(await self.call("PUT /_hosts/detach?member=h0"), 200)
         records = self.folder / "detached"
         marker = records / b"h0".hex()
@@ -172,9 +175,9 @@
         await self.wait_until(marker.exists, "its record")
         self.assertFalse(self.recorded_events(EndpointAttached))
 
-    async def test_a_lame_duck_says_no_serves_a_little_moves_all_and_takes_clients_again(self) -> None:
+    async def test_a_drain_rejects_pings_serves_briefly_moves_all_clients_and_can_be_cancelled(self) -> None:
         self.build()
-        await self.serving()
+        await self.make_ready()
         front = await self.client("PING")
         self.assertEqual(await front.line(), b"PONG")
         first, _, _ = await self.establish(REQUEST)
@@ -188,16 +191,16 @@
         self.assertEqual(await front.line(), b"BUSY")
         late, _, host = await self.establish(REQUEST)
         host.write(b"half a li")
-        half = await self.client(REQUEST)  # its hosts say nothing
-        leaving = self.node.lifecycle.shutdown
+        unanswered = await self.client(REQUEST)  # no host answers it
+        first_shutdown = self.node.lifecycle.shutdown
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
-        self.assertIs(self.node.lifecycle.shutdown, leaving)  # the clock goes on
+        self.assertIs(self.node.lifecycle.shutdown, first_shutdown)  # its schedule is not restarted
         self.assertEqual(await first.line(), b"MOVE")
         await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
         refused = await self.client(REQUEST)
         self.assertRegex(await refused.line(), rb"^BUSY \d+$")
-        self.assertEqual([await late.ended(), await half.ended()], ["ConnectionDone", "ConnectionDone"])
-        self.assertRegex(await half.line(), rb"^(BUSY \d+|MOVE)$")
+        self.assertEqual([await late.ended(), await unanswered.ended()], ["ConnectionDone", "ConnectionDone"])
+        self.assertRegex(await unanswered.line(), rb"^(BUSY \d+|MOVE)$")
         self.assertIsNone(front.end)
         self.assertEqual(await self.call("PUT /_lameduck/off"), 200)
         front.write(b"PING\r\n")
@@ -205,12 +208,12 @@
         for listener in self.hosts.values():
             while listener.accepted.pending:
                 await listener.next()
-        back, _, _ = await self.establish(REQUEST)
-        self.assertIsNone(back.end)
+        served_again, _, _ = await self.establish(REQUEST)
+        self.assertIsNone(served_again.end)
 
-    async def test_a_lame_duck_called_back_moves_nobody_more(self) -> None:
+    async def test_no_client_is_moved_after_a_drain_is_cancelled(self) -> None:
         self.build()
-        await self.serving()
+        await self.make_ready()
         client, _, host = await self.establish(REQUEST)
         with patch.object(
             lifecycle,
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -1,4 +1,4 @@
-"""Few descriptors, and many clients without a request."""
+"""Admission control with few descriptors and many clients without a request."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
-class AdmissionStories(NodeTestCase):
-    """Strangers that take descriptors."""
+class AdmissionTests(NodeTestCase):
+    """Clients without a request that occupy descriptors."""
 
-    async def test_hundreds_of_silent_clients_leave_room_for_the_usual_ones(self) -> None:
+    async def test_hundreds_of_silent_clients_leave_descriptors_for_served_ones(self) -> None:
         self.build()
         self.node.admission.set_descriptor_limit(256)
-        # a third of all, and their hosts
+        # A third of the descriptors is used by served clients, and as many by their hosts.
         with patch.object(self.node.admission, "_descriptors_in_use", lambda: 2 * 256 // 3):
             self.assertFalse(self.node.admission.is_out_of_descriptors())
-        told = [await self.client("PING") for _ in range(20)]
+        idle = [await self.client("PING") for _ in range(20)]
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
-        for front in told:
+        for front in idle:
             self.assertEqual(await front.line(), b"PONG")
-        usual = await self.client()  # its line takes its time
-        room = 256 - admission.RESERVED_FOR_NODE - admission.RESERVED_FOR_REQUESTS
-        rude = [await self.client() for _ in range(room - 1)]
-        await self.wait_until(lambda: all(front.end for front in told), "who was told PONG to go first")
-        self.assertEqual(sum(peer.end is not None for peer in (usual, *rude)), 0)
-        usual.write(REQUEST.encode() + b"\r\n")
+        slow = await self.client()  # sends its request later
+        limit = 256 - admission.RESERVED_FOR_NODE - admission.RESERVED_FOR_REQUESTS
+        silent = [await self.client() for _ in range(limit - 1)]
+        await self.wait_until(lambda: all(front.end for front in idle), "the eviction of the idle ones")
+        self.assertEqual(sum(peer.end is not None for peer in (slow, *silent)), 0)
+        slow.write(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
-        self.assertEqual(await usual.line(), b"UP r1")
+        self.assertEqual(await slow.line(), b"UP r1")
         more = [await self.client() for _ in range(40)]
         await self.wait_until(
-            lambda: sum(peer.end is not None for peer in rude) >= 40, "the first ones to go"
+            lambda: sum(peer.end is not None for peer in silent) >= 40, "the eviction of the oldest"
         )
-        self.assertEqual(len(self.node.admission.waiting), room - 2)  # a served one's two are taken off
-        self.assertIsNone(more[-1].end)  # who came last may yet ask
+        self.assertEqual(len(self.node.admission.waiting), limit - 2)  # a served client and its host use two
+        self.assertIsNone(more[-1].end)  # the newest may still send a request
         with patch.object(self.node.admission, "_descriptors_in_use", lambda: 300):
             await self.client()
             control = self.node.admission
-            await self.wait_until(lambda: len(control.waiting) == control.min_waiting, "its giving way")
+            await self.wait_until(lambda: len(control.waiting) == control.min_waiting, "the evictions")
 
-    async def test_descriptors_running_out_is_no_crash(self) -> None:
+    async def test_a_request_is_rejected_when_descriptors_run_out(self) -> None:
         self.build()
         client = await self.client()
         with patch("twisted.internet.tcp.Client.createInternetSocket", side_effect=OSError(24, "none left")):
             client.write(REQUEST.encode() + b"\r\n")
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
         await self.establish(REQUEST)
-        with patch.object(admission, "RESERVED_FOR_NODE", 1024):  # no room for a client and its host
+        with patch.object(admission, "RESERVED_FOR_NODE", 1024):  # no descriptors for a client and its host
             other = await self.client(REQUEST)
             self.assertRegex(await other.line(), rb"^BUSY \d+$")
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -1,4 +1,4 @@
-"""A client's first line over loopback: what is read of it, and what is answered at once."""
+"""A client's first line over loopback: parsing, and the answers that the node gives itself."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
-class FirstLineStories(NodeTestCase):
-    """Clients and their first lines."""
+class FirstLineTests(NodeTestCase):
+    """First lines that are valid, invalid, split or repeated."""
 
-    async def test_a_line_reads_the_same_wherever_it_is_cut(self) -> None:
+    async def test_a_line_is_read_the_same_wherever_it_is_split(self) -> None:
         self.build()
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
@@ -21,18 +21,18 @@
             for cut in range(1, len(line)):
                 client = await self.client()
                 client.write(line[:cut])
-                (stranger,) = self.node.admission.waiting
-                await self.wait_until(partial(self.held, stranger, line[:cut]), "its first piece")
+                (protocol,) = self.node.admission.waiting
+                await self.wait_until(partial(self.has_buffered, protocol, line[:cut]), "its first part")
                 client.write(line[cut:])
                 self.assertEqual(await client.line(), answer)
                 client.transport.abortConnection()
                 await self.wait_until(lambda: not self.node.connections.clients, "its end")
 
     @staticmethod
-    def held(stranger: Any, piece: bytes) -> bool:
-        return bool(stranger._buffer == piece)
+    def has_buffered(protocol: Any, part: bytes) -> bool:
+        return bool(protocol._buffer == part)
 
-    async def test_pong_comes_only_once_ready_and_not_while_stopping(self) -> None:
+    async def test_ping_is_answered_pong_only_once_the_node_is_ready(self) -> None:
         self.build()
         client = await self.client("PING")
         watch = await self.accept_watch()
@@ -41,7 +41,7 @@
         self.assertEqual(await client.line(), b"PONG")
         self.assertEqual(self.main_port.getHost().host, "127.0.0.1")
 
-    async def test_lines_that_cant_be_read_get_a_plain_failure(self) -> None:
+    async def test_invalid_lines_are_answered_err(self) -> None:
         self.build()
         for line in (
             "OPEN",
@@ -62,7 +62,7 @@
             await client.ended()
         await self.establish(REQUEST)
 
-    async def test_lines_sent_at_once_or_before_an_answer_reach_no_host(self) -> None:
+    async def test_further_lines_before_the_answer_are_an_error_and_end_the_attempt(self) -> None:
         self.build()
         client = await self.client("\r\n".join([REQUEST] * 300))
         self.assertEqual(await client.line(), b"ERR")
@@ -75,7 +75,7 @@
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(len(self.node.engine.requests), 0)
 
-    async def test_the_id_of_an_open_request_is_no_other_clients(self) -> None:
+    async def test_the_id_of_an_open_request_is_rejected_from_another_client(self) -> None:
         self.build()
         first, _, host = await self.establish(REQUEST.replace("9b1f03aa5c7e2d41", "77"))
         second = await self.client(REQUEST.replace("9b1f03aa5c7e2d41", "77"))
--- a/tests/net/test_connection_state.py
+++ b/tests/net/test_connection_state.py
@@ -5,8 +5,8 @@
 from puffindeck.net.connection_state import FINISHED, TRANSITIONS, ConnectionState
 
 
-def test_every_phase_has_its_ways_on_and_none_leads_back_from_the_end() -> None:
+def test_every_state_has_transitions_and_finished_states_are_never_left() -> None:
     assert set(TRANSITIONS) == set(ConnectionState)
-    last = ConnectionState.GONE
-    assert all(last in TRANSITIONS[state] for state in ConnectionState if state is not last)
+    final = ConnectionState.GONE
+    assert all(final in TRANSITIONS[state] for state in ConnectionState if state is not final)
     assert all(TRANSITIONS[state] <= FINISHED for state in FINISHED)
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""A node that ends, and what falls into its last moments."""
+"""Graceful shutdown, and events that coincide with its end."""
 
 from __future__ import annotations
 
@@ -20,159 +20,160 @@
 from tests.support.node_test_case import SETTINGS, Listener, NodeTestCase, Peer, reactor
 from tests.support.raw_client_test_case import REQUEST, RawClientTestCase
 
-OVER_NOW = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
+IMMEDIATE = DrainSchedule(milliseconds(0), milliseconds(0), milliseconds(0), milliseconds(0))
 LONG = DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000))
 
 
-class StopStories(RawClientTestCase):
-    """A node that ends."""
+class ShutdownTests(RawClientTestCase):
+    """A node that shuts down."""
 
-    def leaving(self, pace: DrainSchedule = OVER_NOW) -> GracefulShutdown:
+    def start_shutdown(self, schedule: DrainSchedule = IMMEDIATE) -> GracefulShutdown:
         done: list[int] = []
-        self.node.lifecycle.begin_shutdown(pace, lambda: done.append(1))
+        self.node.lifecycle.begin_shutdown(schedule, lambda: done.append(1))
         assert self.node.lifecycle.shutdown is not None
         return self.node.lifecycle.shutdown
 
-    async def moving_with_half_a_line(self) -> tuple[Peer, ClientProtocol, Peer]:
-        """A client that is to move and has half a line, the node's side of it, and its host."""
+    async def move_within_a_line(self) -> tuple[Peer, ClientProtocol, Peer]:
+        """Begin a MOVE within a line; return the client, the node's protocol for it, and its host."""
         self.build()
         client, _, host = await self.establish(REQUEST)
-        (line,) = self.node.connections.clients
+        (protocol,) = self.node.connections.clients
         host.write(b"half of a li")
-        await self.wait_until(lambda: client.has_partial_line(b"half of a li"), "the half")
-        self.node.engine.migrate_before_stop(line.request)
-        return client, line, host
+        await self.wait_until(lambda: client.has_partial_line(b"half of a li"), "the partial line")
+        self.node.engine.migrate_before_stop(protocol.request)
+        return client, protocol, host
 
-    async def test_who_waits_at_the_port_is_answered_before_it_closes(self) -> None:
+    async def test_pending_connections_are_answered_before_the_port_closes(self) -> None:
         self.build()
         self.node.lifecycle.is_accepting = False
-        waiting = [self.connect_raw() for _ in range(40)]  # more than one turn accepts
-        for plain in waiting:
-            plain.sendall(REQUEST.encode().replace(b"9b1f", b"%04d" % plain.fileno()) + b"\r\n")
+        pending = [self.connect_raw() for _ in range(40)]  # more than one turn accepts
+        for sock in pending:
+            sock.sendall(REQUEST.encode().replace(b"9b1f", b"%04d" % sock.fileno()) + b"\r\n")
         self.assertFalse(self.node.listeners.close_when_empty(False))
-        for plain in waiting:
-            self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
-            plain.close()
-        await self.wait_until(lambda: not self.node.connections.clients, "their ends")
+        for sock in pending:
+            self.assertRegex(await self.read_to_end(sock), rb"^BUSY \d+\r\n$")
+            sock.close()
+        await self.wait_until(lambda: not self.node.connections.clients, "their closes")
         self.assertTrue(self.node.listeners.close_when_empty(False))
         self.assertFalse(self.main_port.connected)
 
-    async def test_who_waits_at_the_port_when_time_is_up_is_answered_too(self) -> None:
+    async def test_a_pending_connection_is_answered_when_the_shutdown_is_overdue(self) -> None:
         self.build()
-        plain = self.connect_raw()
-        plain.sendall(REQUEST.encode() + b"\r\n")
+        sock = self.connect_raw()
+        sock.sendall(REQUEST.encode() + b"\r\n")
         self.node.lifecycle.is_accepting = False
-        self.leaving()._check()
+        self.start_shutdown()._check()
         self.assertFalse(self.main_port.connected)
-        self.assertRegex(await self.read_to_end(plain), rb"^BUSY \d+\r\n$")
+        self.assertRegex(await self.read_to_end(sock), rb"^BUSY \d+\r\n$")
 
-    async def test_a_request_at_a_hung_host_is_refused_at_the_end_where_that_is_harmless(self) -> None:
+    async def test_an_idempotent_request_at_an_unresponsive_host_is_rejected_at_the_end(self) -> None:
         client, host = await self.connect_unanswered()
-        self.leaving()._check()
+        self.start_shutdown()._check()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
-    async def test_its_attempt_is_given_up_too_where_the_settings_know_no_cancelling(self) -> None:
-        client, host = await self.connect_unanswered(told={"can_cancel": False})
+    async def test_the_attempt_is_abandoned_even_if_the_settings_do_not_allow_cancelling(self) -> None:
+        client, host = await self.connect_unanswered(settings={"can_cancel": False})
         (link,) = self.node.connections.upstreams
-        self.leaving()._check()
-        self.assertTrue(link.is_finished)  # at once, not with its deadline
+        self.start_shutdown()._check()
+        self.assertTrue(link.is_finished)  # at once, not at its deadline
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
-    async def test_one_that_may_have_run_and_must_not_run_twice_is_failed_at_the_end(self) -> None:
+    async def test_a_request_that_is_not_idempotent_and_may_have_run_is_failed_at_the_end(self) -> None:
         client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
-        self.leaving()._check()
+        self.start_shutdown()._check()
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
-    async def test_one_whose_repeats_only_a_zone_discards_is_failed_at_the_end(self) -> None:
+    async def test_a_request_deduplicated_only_within_a_zone_is_failed_at_the_end(self) -> None:
         client, _ = await self.connect_unanswered(
             effect=Effect.IDEMPOTENCY_KEY, scope=Scope.ZONE, window_ms=5000.0
         )
-        self.leaving()._check()
+        self.start_shutdown()._check()
         self.assertEqual(await client.line(), b"ERR")
 
-    async def test_a_request_is_answered_at_the_end_though_the_module_fails(self) -> None:
+    async def test_a_request_is_answered_at_the_end_although_the_decision_module_fails(self) -> None:
         client, host = await self.connect_unanswered()
         with patch.object(self.node.engine.balancer, "handle", side_effect=ZeroDivisionError):
-            self.leaving()._check()
+            self.start_shutdown()._check()
             self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
-        self.assertGreaterEqual(len(self.flushLoggedErrors(ZeroDivisionError)), 2)  # the word, and its end
+        # The module fails at the abort, and at the attempt's end.
+        self.assertGreaterEqual(len(self.flushLoggedErrors(ZeroDivisionError)), 2)
 
-    async def test_who_asks_whether_it_is_ready_is_told_no_when_it_ends_before_that(self) -> None:
+    async def test_a_ping_is_answered_busy_if_the_node_stops_before_readiness(self) -> None:
         self.build()
-        plain, line = await self.connect_accepted()
-        plain.sendall(b"PING\r\n")
-        await self.wait_until(lambda: self.node.lifecycle._waiting, "the question")
+        sock, protocol = await self.connect_accepted()
+        sock.sendall(b"PING\r\n")
+        await self.wait_until(lambda: self.node.lifecycle._waiting, "the PING")
         with patch.object(
             node_module,
             "RESTART",
             DrainSchedule(milliseconds(5000), milliseconds(5000), milliseconds(0), milliseconds(5000)),
         ):
             self.node.stop()
-        self.assertIs(line.state, ConnectionState.IDLE)
-        plain.shutdown(socket.SHUT_WR)
-        self.assertEqual(await self.read_to_end(plain), b"BUSY\r\n")
+        self.assertIs(protocol.state, ConnectionState.IDLE)
+        sock.shutdown(socket.SHUT_WR)
+        self.assertEqual(await self.read_to_end(sock), b"BUSY\r\n")
         self.shutdown.cancel()
 
-    async def test_a_line_that_does_not_end_before_the_end_gets_no_move_into_it(self) -> None:
-        # "half of a liMOVE" is a line that no host has sent
-        client, line, host = await self.moving_with_half_a_line()
-        self.assertIs(line.state, ConnectionState.MOVING)
-        self.leaving()._check()
+    async def test_no_move_is_written_into_a_line_that_does_not_end_before_the_shutdown_does(self) -> None:
+        # The client would read "half of a liMOVE", a line that no host has sent.
+        client, protocol, host = await self.move_within_a_line()
+        self.assertIs(protocol.state, ConnectionState.MOVING)
+        self.start_shutdown()._check()
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.has_partial_line(b"half of a li"))
         self.assertEqual(await host.ended(), "ConnectionDone")
 
-    async def test_a_host_that_ends_in_the_middle_of_the_line_before_a_move(self) -> None:
-        client, _, host = await self.moving_with_half_a_line()
+    async def test_no_move_is_written_if_the_host_closes_within_the_line(self) -> None:
+        client, _, host = await self.move_within_a_line()
         host.transport.loseConnection()
         self.assertEqual(await client.ended(), "ConnectionDone")
         self.assertTrue(client.has_partial_line(b"half of a li"))
 
-    async def test_a_line_that_begins_before_a_move_is_not_begun_at_the_client(self) -> None:
+    async def test_a_partial_line_before_a_move_is_not_sent_to_the_client(self) -> None:
         self.build()
         client, _, host = await self.establish(REQUEST)
-        (line,) = self.node.connections.clients
+        (protocol,) = self.node.connections.clients
         host.write(b"whole\r\nhal")
-        await self.wait_until(lambda: line.relay._line_open, "the half")
-        line.relay.hold_lines()
+        await self.wait_until(lambda: protocol.relay._line_open, "the partial line")
+        protocol.relay.hold_lines()
         host.write(b"f\r\nnext")
-        await self.wait_until(lambda: line.relay._buffered_start == b"next", "the next")
-        self.node.engine.migrate_before_stop(line.request)
+        await self.wait_until(lambda: protocol.relay._buffered_start == b"next", "the buffered line")
+        self.node.engine.migrate_before_stop(protocol.request)
         self.assertEqual([await client.line() for _ in range(3)], [b"whole", b"half", b"MOVE"])
         self.assertTrue(client.has_partial_line(b""))
 
-    async def test_a_line_held_back_passes_when_nobody_is_moved_after_all(self) -> None:
+    async def test_a_buffered_line_is_sent_when_the_shutdown_is_cancelled(self) -> None:
         self.build()
         client, _, host = await self.establish(REQUEST)
-        (line,) = self.node.connections.clients
-        leaving = self.leaving(
+        (protocol,) = self.node.connections.clients
+        shutdown = self.start_shutdown(
             DrainSchedule(milliseconds(0), milliseconds(60000), milliseconds(0), milliseconds(60000))
         )
-        line.relay.hold_lines()
+        protocol.relay.hold_lines()
         host.write(b"half")
-        await self.wait_until(lambda: line.relay._buffered_start, "the half")
-        leaving.cancel()
-        await self.wait_until(lambda: client.has_partial_line(b"half"), "the half at the client")
+        await self.wait_until(lambda: protocol.relay._buffered_start, "the partial line")
+        shutdown.cancel()
+        await self.wait_until(lambda: client.has_partial_line(b"half"), "the partial line at the client")
         host.write(b" a line\r\n")
         self.assertEqual(await client.line(), b"half a line")
 
-    async def test_moves_are_held_for_in_time(self) -> None:
+    async def test_partial_lines_are_buffered_before_the_scheduled_move(self) -> None:
         self.build()
         await self.establish(REQUEST)
-        (line,) = self.node.connections.clients
-        leaving = self.leaving(
+        (protocol,) = self.node.connections.clients
+        shutdown = self.start_shutdown(
             DrainSchedule(milliseconds(0), milliseconds(600), milliseconds(0), milliseconds(60000))
         )
-        leaving._plan_moves()
-        await self.wait_until(lambda: line.state is ConnectionState.HOLDING_LINE, "the hold")
-        leaving.cancel()
-        self.assertIs(line.state, ConnectionState.RELAYING)
+        shutdown._plan_moves()
+        await self.wait_until(lambda: protocol.state is ConnectionState.HOLDING_LINE, "the buffering")
+        shutdown.cancel()
+        self.assertIs(protocol.state, ConnectionState.RELAYING)
 
-    async def test_a_second_stop_changes_nothing(self) -> None:
+    async def test_a_second_stop_has_no_effect(self) -> None:
         self.build()
         with patch.object(node_module, "RESTART", LONG):
             self.node.stop()
@@ -181,7 +182,7 @@
         self.assertIs(self.node.lifecycle.shutdown, first)
         first.cancel()
 
-    async def test_a_lame_duck_that_is_stopped_ends(self) -> None:
+    async def test_a_draining_node_that_is_stopped_ends(self) -> None:
         self.build()
         client, _, host = await self.establish(REQUEST)
         with (
@@ -195,16 +196,16 @@
             ),
         ):
             self.node.lifecycle.drain()
-            lame = self.shutdown
+            drain = self.shutdown
             self.node.stop()
             self.assertTrue(self.shutdown.ends_process)
-            self.assertFalse(self.node.lifecycle.undrain())  # there is no way back
+            self.assertFalse(self.node.lifecycle.undrain())  # a stop can't be cancelled
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
             await self.wait_until(lambda: stop.called, "its end")
-        self.assertTrue(all(deadline.act is None for deadline in lame._pending))
+        self.assertTrue(all(deadline.act is None for deadline in drain._pending))
 
-    async def test_a_reload_while_it_ends_moves_discovery(self) -> None:
+    async def test_a_reload_during_the_shutdown_switches_discovery(self) -> None:
         self.build()
         await self.accept_watch()
         other = Listener()
@@ -212,22 +213,22 @@
         host, port = other.address.split(":")
         with patch.object(node_module, "RESTART", LONG):
             self.node.stop()
-        self.node.reload(lambda now: (msgspec.structs.replace(now, discovery=(host, int(port))), []))
+        self.node.reload(lambda current: (msgspec.structs.replace(current, discovery=(host, int(port))), []))
         call = await other.next()
         self.assertEqual(await call.line(), b"GET /catalog/members HTTP/1.1")
         self.shutdown.cancel()
         call.transport.abortConnection()
         await call.ended()
 
-    async def test_a_stop_while_it_hands_over_to_a_newer_process_changes_nothing(self) -> None:
+    async def test_a_stop_during_the_handover_to_a_newer_process_has_no_effect(self) -> None:
         self.build()
-        self.node._shut_down(LONG)  # as when a newer process is ready
+        self.node._shut_down(LONG)  # as when a newer process becomes ready
         first = self.shutdown
         self.node.stop()
         self.assertIs(self.node.lifecycle.shutdown, first)
         first.cancel()
 
-    async def test_a_stop_in_the_middle_of_a_reload_ends_it_and_the_reload_holds(self) -> None:
+    async def test_a_stop_during_a_reload_ends_the_node_and_the_reload_is_applied(self) -> None:
         self.build()
         await self.accept_watch()
         client, _, host = await self.establish(REQUEST)
@@ -235,9 +236,9 @@
         self.addCleanup(other.port.stopListening)
         name, port = other.address.split(":")
 
-        def read(now: NodeConfig) -> tuple[NodeConfig, list[str]]:
+        def read(current: NodeConfig) -> tuple[NodeConfig, list[str]]:
             self.node.stop()
-            return msgspec.structs.replace(now, discovery=(name, int(port))), []
+            return msgspec.structs.replace(current, discovery=(name, int(port))), []
 
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
@@ -253,9 +254,9 @@
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
             await self.wait_until(lambda: stop.called, "its end")
-        await call.ended()  # nothing is asked any more
+        await call.ended()  # the watch is stopped
 
-    async def test_a_stop_before_the_start_ends_it(self) -> None:
+    async def test_a_stop_before_the_start_ends_the_node(self) -> None:
         self.build()
         fresh = node_module.Node(reactor, self.node.config, self.node.deadlines.clock)
         with (
@@ -272,14 +273,14 @@
         self.assertIsNone(fresh.listeners.main)
 
 
-class MoveStories(NodeTestCase):
+class MoveTests(NodeTestCase):
     """A node that moves its clients."""
 
-    async def test_stopping_moves_all_between_whole_lines_and_answers_the_rest(self) -> None:
+    async def test_a_stop_moves_all_clients_between_lines_and_answers_the_others(self) -> None:
         self.build()
         client, _, host = await self.establish(ROUTED_REQUEST)
         host.write(b"half a ")
-        await self.wait_until(lambda: client.buffer, "the half line")
+        await self.wait_until(lambda: client.buffer, "the partial line")
         slow = await self.client()
         with (
             patch.object(self.node, "reactor", wraps=reactor) as program,
@@ -291,9 +292,8 @@
             patch.object(program, "stop") as stop,
         ):
             self.node.stop()
-            late, _, _ = await self.establish(
-                ROUTED_REQUEST
-            )  # other nodes may be stopping too, or not be back yet
+            # Requests are still accepted, as other nodes may be stopping too, or not be running again yet.
+            late, _, _ = await self.establish(ROUTED_REQUEST)
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
             await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting")
@@ -307,21 +307,21 @@
             await self.wait_until(lambda: stop.called, "its end")
 
 
-def test_all_is_moved_before_the_kill_whatever_the_longest_deadline() -> None:
-    for pace in (RESTART, UPGRADE):
+def test_all_clients_are_moved_before_the_kill_whatever_the_longest_deadline() -> None:
+    for schedule in (RESTART, UPGRADE):
         for longest in (100, 500, 1000, 2000, 3000, 60000):
             kill = milliseconds(min(longest, 3000) + 700)
-            found = pace.before_kill(milliseconds(longest))
-            assert found.end <= kill - milliseconds(400)
-            assert ZERO < found.first_move + found.move_spread < found.end
-            assert found.accept_duration <= found.end
-        assert pace.before_kill(milliseconds(3000)) == pace
+            shortened = schedule.before_kill(milliseconds(longest))
+            assert shortened.end <= kill - milliseconds(400)
+            assert ZERO < shortened.first_move + shortened.move_spread < shortened.end
+            assert shortened.accept_duration <= shortened.end
+        assert schedule.before_kill(milliseconds(3000)) == schedule
 
 
-class ShortDeadlineStories(NodeTestCase):
-    """A node that is told to stop where requests have half a second."""
+class ShortDeadlineTests(NodeTestCase):
+    """A node that is stopped while its requests have a deadline of half a second."""
 
-    async def test_a_short_deadline_leaves_less_time_to_move_all(self) -> None:
+    async def test_a_short_deadline_leaves_less_time_to_move_all_clients(self) -> None:
         chat = replace(SETTINGS.classes[0], deadline_ms=500)
         self.build(classes=(chat,))
         client, _, host = await self.establish(ROUTED_REQUEST.replace("d=1100", "d=450"))
@@ -329,10 +329,10 @@
             patch.object(self.node, "reactor", wraps=reactor) as program,
             patch.object(program, "stop") as stop,
         ):
-            begun = self.node.deadlines.clock.now()
+            start = self.node.deadlines.clock.now()
             self.node.stop()
             self.assertEqual(await client.line(), b"MOVE")
             self.assertEqual(await host.ended(), "ConnectionDone")
             client.transport.loseConnection()
             await self.wait_until(lambda: stop.called, "its end")
-            self.assertLess(self.node.deadlines.clock.now() - begun, milliseconds(500 + 700))
+            self.assertLess(self.node.deadlines.clock.now() - start, milliseconds(500 + 700))
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -1,4 +1,4 @@
-"""How many connections a turn of the reactor accepts."""
+"""The number of connections accepted per reactor turn."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tests.support.node_test_case import NodeTestCase
 
 
-class ListeningStories(NodeTestCase):
-    """Strangers that come at full speed."""
+class ListeningTests(NodeTestCase):
+    """Clients that connect at full speed."""
 
-    async def test_a_turn_takes_in_few_and_their_lines_are_few(self) -> None:
+    async def test_accepts_per_turn_and_log_lines_per_period_are_bounded(self) -> None:
         self.build()
-        self.main_port.numberAccepts = 500  # as the library would set it
+        self.main_port.numberAccepts = 500  # as the library sets it
         self.assertEqual(self.main_port.numberAccepts, listening.ACCEPTS_PER_TURN)
         with (
             patch.object(self.node.client_services.rejected_lines, "_log") as written,
@@ -22,5 +22,7 @@
         ):
             for _ in range(logs.MAX_LINES + 5):
                 await (await self.client("HI")).line()
-            await self.wait_until(lambda: written.warn.call_count > logs.MAX_LINES, "the count of the rest")
+            await self.wait_until(
+                lambda: written.warn.call_count > logs.MAX_LINES, "the line with the count of the others"
+            )
         self.assertEqual(written.warn.call_args.kwargs["more"], 5)
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -1,4 +1,4 @@
-"""Bytes between a served client and its host."""
+"""Relaying bytes between a served client and its host."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from tests.support.node_test_case import NodeTestCase
 
 
-class RelayStories(NodeTestCase):
-    """Clients that are served."""
+class RelayTests(NodeTestCase):
+    """A served client and its host."""
 
-    async def test_bytes_pass_unchanged_and_only_d_is_new(self) -> None:
+    async def test_bytes_are_relayed_unchanged_except_for_d(self) -> None:
         self.build()
         client = await self.client()
         for piece in (b"OPEN 9b1f 7f3a c=ch", b"at,d=1100,again=1,z=9\r", b"\n"):
@@ -29,7 +29,8 @@
         client.write(b"\x00\xff" * 40000 + b"\r\n")
         self.assertEqual(len(await host.line()), 80000)
         for piece in (b"LO", b"AD 7.5\r\nno LOAD 9\r\n" + b"x" * 100 + b"\r", b"\nLOAD x\r\nBYE\r", b"\n"):
-            host.write(piece)  # what a host tells is passed on too; here its figure is a message's delay
+            # LOAD lines are relayed too; with these settings they report a message's latency.
+            host.write(piece)
             await self.wait_until(partial(client.has_partial_line, piece.rsplit(b"\n", 1)[-1]), "the piece")
         host.transport.loseConnection()
         self.assertEqual([await client.line() for _ in range(5)][::2], [b"LOAD 7.5", b"x" * 100, b"BYE"])
--- a/tests/net/test_request_line.py
+++ b/tests/net/test_request_line.py
@@ -1,4 +1,4 @@
-"""A request's line, read in place."""
+"""Parsing a request's line."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from tests.support.node_test_case import NodeTestCase
 
 
-class RequestLineStories(NodeTestCase):
-    """A line needs no peers."""
+class RequestLineTests(NodeTestCase):
+    """Request lines without a node."""
 
-    def test_a_head_is_read_in_place(self) -> None:
+    def test_a_line_is_parsed_in_place_and_only_its_time_limit_is_replaced(self) -> None:
         head = RequestLine(b"OPEN 1 zz,z c=chat,d=20.5,x=d=3")
         self.assertEqual(b"".join(head.parts(milliseconds(7.9))), b"OPEN 1 zz,z c=chat,d=7,x=d=3\r\n")
         with self.assertRaises(RequestLineError):
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -1,4 +1,4 @@
-"""Each request's life in the log: attempts, its answer and its end, by its client's own id."""
+"""The log lines of a request: attempts, its answer and its close, by the client's request id."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
-class RequestLogStories(NodeTestCase):
-    """What the log has of a request."""
+class RequestLogTests(NodeTestCase):
+    """Log lines about requests."""
 
-    def written(self) -> list[str]:
+    def record_lines(self) -> list[str]:
+        """Return a list that receives each log line about a request, without its prefix."""
         seen: list[str] = []
 
         def observe(event: Any) -> None:
@@ -32,9 +33,9 @@
         self.addCleanup(globalLogPublisher.removeObserver, observer)
         return seen
 
-    async def test_an_attempt_that_fails_a_retry_the_answer_and_the_close_each_have_a_line(self) -> None:
+    async def test_a_failed_attempt_a_retry_the_answer_and_the_close_each_have_a_line(self) -> None:
         self.build()
-        seen = self.written()
+        seen = self.record_lines()
         client = await self.client(REQUEST)
         first, host = await self.accept_attempt()
         await host.line()
@@ -59,9 +60,9 @@
             ],
         )
 
-    async def test_a_client_that_leaves_and_one_refused_by_a_node_that_stops_have_a_line(self) -> None:
+    async def test_a_client_that_leaves_and_one_rejected_by_a_stopping_node_have_a_line(self) -> None:
         self.build()
-        seen = self.written()
+        seen = self.record_lines()
         client = await self.client(REQUEST)
         _, host = await self.accept_attempt()
         await host.line()
@@ -73,7 +74,7 @@
         self.assertIn(f"{2:016x}: refused: this node stops", seen)
 
 
-def test_a_storm_writes_a_bounded_number_of_lines_and_counts_the_rest() -> None:
+def test_a_burst_of_requests_writes_a_bounded_number_of_lines_and_a_count_of_the_others() -> None:
     written: list[str] = []
 
     class Lines:
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -1,4 +1,4 @@
-"""Hosts that fall silent under their clients."""
+"""Hosts that fall silent while they serve a client."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 from tests.support.raw_client_test_case import RawClientTestCase
 
 
-class SilentHostStories(NodeTestCase):
-    """Served clients whose host says nothing more."""
+class SilentHostTests(NodeTestCase):
+    """Served clients whose host sends nothing more."""
 
-    async def test_a_silent_hosts_client_is_moved(self) -> None:
+    async def test_the_client_of_a_silent_host_is_moved(self) -> None:
         with patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(100)):
             self.build()
             client, _, host = await self.establish(REQUEST)
@@ -25,12 +25,12 @@
             self.assertEqual(await client.ended(), "ConnectionDone")
             self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.RESET)
 
-    async def test_the_start_of_a_line_is_owed_no_answer(self) -> None:
-        # a client that stopped short in a line was moved, and its host cut, for the host's silence
+    async def test_a_partial_line_of_the_client_needs_no_answer(self) -> None:
+        # Otherwise a client that pauses within a line would be moved, and its host taken for silent.
         self.build()
         client, _, host = await self.establish(REQUEST)
         client.write(b"half a li")
-        await self.wait_until(lambda: host.has_partial_line(b"half a li"), "its passing")
+        await self.wait_until(lambda: host.has_partial_line(b"half a li"), "the partial line at the host")
         later = self.node.deadlines.clock.now() + silence_monitor.SILENCE_LIMIT * 2
         (link,) = self.node.connections.upstreams
         self.assertLess(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
@@ -39,11 +39,11 @@
         self.assertGreater(link.silent_for(later), silence_monitor.SILENCE_LIMIT)
 
 
-class SilenceStories(RawClientTestCase):
-    """A host that stops in the middle of its answer."""
+class PartialAnswerTests(RawClientTestCase):
+    """A host that falls silent within a line."""
 
-    async def test_half_an_answer_is_no_sign_of_life(self) -> None:
-        # the start of a line took the client's line for answered: it waited for two more lines of its own
+    async def test_a_partial_line_of_the_host_does_not_end_the_silence(self) -> None:
+        # If a partial line counted as an answer, silence would be detected two client lines later.
         with (
             patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(150)),
             patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
@@ -54,13 +54,13 @@
             await host.line()
             host.write(b"M ")
             self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertTrue(client.has_partial_line(b"M "))  # no MOVE has its place in the middle of a line
+        self.assertTrue(client.has_partial_line(b"M "))  # MOVE can't be sent in the middle of a line
         self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.RESET)
         self.assertEqual(await host.ended(), "ConnectionDone")
 
-    def test_silence_ends_well_before_seven_seconds(self) -> None:
-        """The first line without an answer may come 2 s after a connection fell silent."""
-        found = milliseconds(2000) + silence_monitor.SILENCE_LIMIT + silence_monitor.SWEEP_INTERVAL
-        self.assertLessEqual(found, milliseconds(5500))
-        # one lost line is not yet silence
+    def test_silence_is_detected_well_before_seven_seconds(self) -> None:
+        """The client's first unanswered line may be sent 2 s after the host falls silent."""
+        detected_after = milliseconds(2000) + silence_monitor.SILENCE_LIMIT + silence_monitor.SWEEP_INTERVAL
+        self.assertLessEqual(detected_after, milliseconds(5500))
+        # A single lost line does not count as silence.
         self.assertGreater(silence_monitor.SILENCE_LIMIT, milliseconds(2500))
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: a client that leaves, time that passes or an answer that comes in the moment of their end."""
+"""Attempts whose end coincides with a client's close, a deadline or a host's answer."""
 
 from __future__ import annotations
 
@@ -19,141 +19,142 @@
 from tests.support.raw_client_test_case import CHAT, REQUEST, RawClientTestCase
 
 
-class LeaverStories(RawClientTestCase):
-    """Clients that leave, and the reactor has not come to it."""
+class ClientDisconnectTests(RawClientTestCase):
+    """Clients that have closed before the reactor notices."""
 
-    def at_connect(self, do: Callable[[], None]) -> Any:
-        """Have something happen in the moment in which a host's connection comes up."""
-        made = UpstreamProtocol.connectionMade
+    def at_connect(self, action: Callable[[], None]) -> Any:
+        """Return a patch that runs an action just before a host's new connection is handled."""
+        connection_made = UpstreamProtocol.connectionMade
 
-        def first(line: UpstreamProtocol) -> None:
-            do()
-            made(line)
+        def run_action_first(protocol: UpstreamProtocol) -> None:
+            action()
+            connection_made(protocol)
 
-        return patch.object(UpstreamProtocol, "connectionMade", first)
+        return patch.object(UpstreamProtocol, "connectionMade", run_action_first)
 
-    async def test_no_attempt_for_a_client_that_closed_right_behind_its_request(self) -> None:
+    async def test_no_attempt_starts_for_a_client_that_closes_right_after_its_request(self) -> None:
         self.build()
-        plain, line = await self.connect_accepted()
-        plain.sendall(REQUEST.encode() + b"\r\n")
-        plain.close()
-        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
+        sock, protocol = await self.connect_accepted()
+        sock.sendall(REQUEST.encode() + b"\r\n")
+        sock.close()
+        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
         self.assertFalse(self.node.connections.upstreams)
         self.assertFalse(self.is_host_reached())
         self.assertEqual(len(self.recorded_events(ClientDisconnected)), 1)
 
-    async def test_no_byte_goes_out_where_the_client_left_while_the_connect_took_its_time(self) -> None:
+    async def test_no_byte_is_sent_if_the_client_left_during_the_connect(self) -> None:
         self.build()
-        plain, line = await self.connect_accepted()
-        with self.at_connect(plain.close):
-            plain.sendall(REQUEST.encode() + b"\r\n")
+        sock, protocol = await self.connect_accepted()
+        with self.at_connect(sock.close):
+            sock.sendall(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
-        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
         self.assertEqual(host.received, b"")
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
-    async def test_a_connection_that_comes_up_when_its_request_was_given_up_is_ended_unused(self) -> None:
+    async def test_a_connection_established_after_its_request_is_cancelled_is_closed_unused(self) -> None:
         self.build()
 
-        def given_up() -> None:
+        def cancel_requests() -> None:
             for link in self.node.connections.upstreams:
                 self.node.engine.client_disconnected(link.attempt_id.request)
 
-        with self.at_connect(given_up):
+        with self.at_connect(cancel_requests):
             await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
 
-    async def test_no_further_attempt_for_a_client_that_left_when_the_first_one_failed(self) -> None:
+    async def test_no_further_attempt_starts_for_a_client_that_left_when_the_first_one_failed(self) -> None:
         self.build()
-        plain, line = await self.connect_accepted()
-        plain.sendall(REQUEST.encode() + b"\r\n")
+        sock, protocol = await self.connect_accepted()
+        sock.sendall(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
         await host.line()
         (link,) = self.node.connections.upstreams
-        plain.close()
-        link.finish(Outcome.ERROR)  # the host's word, in the turn in which the client's end has come
-        await self.wait_until(lambda: line.state is ConnectionState.GONE, "its end")
+        sock.close()
+        link.finish(Outcome.ERROR)  # the host's answer, in the turn in which the client closes
+        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
-    async def test_an_attempt_whose_time_is_over_when_its_connection_comes_up_is_not_begun(self) -> None:
+    async def test_an_attempt_past_its_start_deadline_when_connected_is_not_started(self) -> None:
         self.build()
         client = await self.client()
 
-        def late() -> None:
+        def expire_start_deadline() -> None:
             for link in self.node.connections.upstreams:
                 link._start_deadline = self.node.deadlines.clock.now()
 
-        with self.at_connect(late):
+        with self.at_connect(expire_start_deadline):
             client.write(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
             self.assertEqual(host.received, b"")
             self.assertEqual(self.recorded_events(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
-    async def test_a_repeat_begins_within_the_window_or_not_at_all(self) -> None:
+    async def test_a_retry_starts_within_the_idempotency_window_or_not_at_all(self) -> None:
         self.build(classes=(replace(CHAT, effect=Effect.IDEMPOTENCY_KEY, window_ms=400.0),))
         client = await self.client(REQUEST)
         uid, host = await self.accept_attempt()
         await host.line()
-        begins: list[Any] = []
+        times_to_start: list[Any] = []
         connect = UpstreamConnection.connect
 
-        def noted(link: UpstreamConnection, *args: Any) -> None:
-            begins.append(link._start_deadline - self.node.deadlines.clock.now())
+        def record_and_connect(link: UpstreamConnection, *args: Any) -> None:
+            times_to_start.append(link._start_deadline - self.node.deadlines.clock.now())
             connect(link, *args)
 
-        with patch.object(UpstreamConnection, "connect", noted):
+        with patch.object(UpstreamConnection, "connect", record_and_connect):
             host.transport.abortConnection()
             _, second = await self.accept_attempt(uid)
             await second.line()
-        self.assertLess(begins[0], milliseconds(400))
+        self.assertLess(times_to_start[0], milliseconds(400))
         second.transport.abortConnection()
-        self.assertRegex(await client.line(), rb"^BUSY \d+$|^ERR$")  # at once: nothing may be sent any more
+        # The answer comes at once, as no further attempt is allowed.
+        self.assertRegex(await client.line(), rb"^BUSY \d+$|^ERR$")
 
 
-class AnswerStories(RawClientTestCase):
-    """A host's answer, and its end."""
+class HostAnswerTests(RawClientTestCase):
+    """A host's answer, and the end of its attempt."""
 
-    async def test_up_that_has_come_when_the_deadline_expires_is_handed_on(self) -> None:
-        # timers go before octets: a node that was held up gave up what had been answered in time
+    async def test_up_received_before_the_deadline_expires_is_forwarded(self) -> None:
+        # The reactor runs timers before reads. A node that was held up must not time out a received answer.
         client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
-        (line,) = self.node.connections.clients
+        (protocol,) = self.node.connections.clients
         host.transport.getHandle().send(b"UP r9\r\n")
-        self.node.engine.attempts.expire(AttemptId(line.request, 0))
+        self.node.engine.attempts.expire(AttemptId(protocol.request, 0))
         self.assertEqual(await client.line(), b"UP r9")
-        self.assertIs(line.state, ConnectionState.RELAYING)
+        self.assertIs(protocol.state, ConnectionState.RELAYING)
 
-    async def test_an_attempt_without_an_answer_ends_with_its_deadline(self) -> None:
+    async def test_an_attempt_without_an_answer_ends_at_its_deadline(self) -> None:
         client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
-        (line,) = self.node.connections.clients
-        self.node.engine.attempts.expire(AttemptId(line.request, 0))
+        (protocol,) = self.node.connections.clients
+        self.node.engine.attempts.expire(AttemptId(protocol.request, 0))
         self.assertEqual(await client.line(), b"ERR")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
-    async def test_a_head_that_has_not_left_is_thrown_away(self) -> None:
-        made = UpstreamProtocol.connectionMade
+    async def test_a_head_that_is_not_sent_is_discarded(self) -> None:
+        connection_made = UpstreamProtocol.connectionMade
 
-        def then(line: UpstreamProtocol) -> None:
-            made(line)
-            assert isinstance(line.link, UpstreamConnection)
-            self.node.engine.client_disconnected(line.link.attempt_id.request)
+        def cancel_after(protocol: UpstreamProtocol) -> None:
+            connection_made(protocol)
+            assert isinstance(protocol.link, UpstreamConnection)
+            self.node.engine.client_disconnected(protocol.link.attempt_id.request)
 
         self.build()
         with (
             patch.object(upstream_protocol, "flush", lambda transport: None),
-            patch.object(UpstreamProtocol, "connectionMade", then),
+            patch.object(UpstreamProtocol, "connectionMade", cancel_after),
         ):
             await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.ended()
         self.assertEqual(host.received, b"")
 
-    async def test_an_answer_cut_in_the_middle_is_a_failed_attempt(self) -> None:
+    async def test_a_truncated_answer_is_a_failed_attempt(self) -> None:
         client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         host.write(b"UP r")
         host.transport.loseConnection()
@@ -167,7 +168,7 @@
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.ERROR])
         await host.ended()
 
-    async def test_an_answer_behind_the_end_of_an_attempt_is_not_heard(self) -> None:
+    async def test_an_answer_after_the_end_of_an_attempt_is_ignored(self) -> None:
         client, host = await self.connect_unanswered(effect=Effect.NOT_IDEMPOTENT)
         (link,) = self.node.connections.upstreams
         host.transport.getHandle().send(b"ERR\r\nUP r9\r\n")
@@ -178,16 +179,16 @@
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.ERROR])
 
 
-class RestoreStories(NodeTestCase):
-    """Connections from before the run."""
+class RestoreTests(NodeTestCase):
+    """Connections that were open before the node started."""
 
-    async def test_a_connection_from_before_the_run_goes_to_its_host_with_any_time(self) -> None:
-        # the first day lost all of these: their d is 4294967
+    async def test_a_connection_is_restored_at_its_host_with_any_time_limit(self) -> None:
+        # Restored connections have a d of 4294967, which must not be rejected as too large.
         self.build()
         client = await self.client(f"{ROUTED_REQUEST},at=h1".replace("d=1100", "d=4294967"))
         host = await self.hosts["h1"].next()
         await host.line()
-        host.transport.abortConnection()  # it is tried again: nobody else has it
+        host.transport.abortConnection()  # retried at the same host, as no other host has the connection
         host = await self.hosts["h1"].next()
         await host.line()
         host.write(b"UP r\r\n")
--- a/tests/net/test_upstream_connection.py
+++ b/tests/net/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""Attempts at hosts that fail, and what the decision module is told."""
+"""Attempts at hosts that fail, and their outcomes as reported to the decision module."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 from tests.support.node_test_case import REQUEST, NodeTestCase
 
 
-class FailureStories(NodeTestCase):
-    """What goes wrong, and what the module hears of it."""
+class AttemptFailureTests(NodeTestCase):
+    """Failures of a host, and the outcomes that the decision module receives."""
 
-    async def test_a_host_that_says_bye_before_anything_else_is_no_answer(self) -> None:
-        # the engine took the request for served to its end, and nobody told the client
+    async def test_bye_before_up_is_not_an_answer(self) -> None:
+        # Otherwise the engine would take the request for completed, and the client would get no answer.
         self.build()
         client = await self.client(REQUEST)
         for _ in range(2):
@@ -24,8 +24,8 @@
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
 
-    async def test_a_host_that_answers_and_breaks_at_once_has_answered(self) -> None:
-        # the full trial lost such a request: the break reached the client before the answer had left
+    async def test_an_answer_is_forwarded_even_if_the_host_resets_at_once(self) -> None:
+        # The reset must not reach the client before the answer is sent, or the request is lost.
         self.build(hosts=6)
         for _ in range(3):
             client = await self.client(REQUEST)
@@ -36,10 +36,10 @@
             self.assertEqual(await client.line(), b"UP r1")
             self.assertEqual(await client.ended(), "ConnectionLost")
 
-    async def test_each_outcome_of_the_table(self) -> None:
+    async def test_each_answer_of_a_host_has_its_outcome(self) -> None:
         self.build(hosts=1, max_attempts=1)
         self.node.client_services.connect_timeout = milliseconds(200)
-        for said, outcome in (
+        for answer, outcome in (
             (b"ERR\r\n", Outcome.ERROR),
             (b"BUSY\r\n", Outcome.FULL),
             (b"nonsense\r\n", Outcome.ERROR),
@@ -50,19 +50,19 @@
             client = await self.client(REQUEST)
             _, host = await self.accept_attempt()
             await host.line()
-            host.write(said)
-            if not said:
+            host.write(answer)
+            if not answer:
                 host.transport.abortConnection()
             self.assertRegex(await client.line(), rb"^BUSY \d+$")
             self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, outcome)
             endpoint = self.node.engine.balancer.endpoints[self.node.directory.number("h0")]
-            endpoint.ejected_until_ms, endpoint.load_limit = 0.0, float("inf")  # each as if it were the first
+            endpoint.ejected_until_ms, endpoint.load_limit = 0.0, float("inf")  # forget the failure
         await self.hosts["h0"].port.stopListening()
         client = await self.client(REQUEST)
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.CONNECT_FAILED)
 
-    async def test_a_host_that_is_down_costs_the_client_nothing(self) -> None:
+    async def test_a_client_is_served_although_a_host_is_down(self) -> None:
         self.build()
         await self.hosts["h0"].port.stopListening()
         for i in range(6):
@@ -73,18 +73,19 @@
             self.assertEqual(await client.line(), b"UP r")
         self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.recorded_events(AttemptEnded)])
 
-    async def test_a_host_that_says_nothing_is_given_up_and_the_client_answered_in_time(self) -> None:
+    async def test_an_unresponsive_host_is_abandoned_and_the_client_answered_in_time(self) -> None:
         self.build(hosts=1)
         start = self.node.deadlines.clock.now()
         client = await self.client(REQUEST.replace("1100", "400"))
         _, host = await self.accept_attempt()
         await host.line()
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
-        self.assertLess(to_ms(self.node.deadlines.clock.now() - start), 1000)  # a busy machine is no failure
+        # The bound leaves a margin for a busy machine.
+        self.assertLess(to_ms(self.node.deadlines.clock.now() - start), 1000)
         self.assertEqual(await host.ended(), "ConnectionDone")
         self.assertEqual(len(self.node.engine.requests), 0)
 
-    async def test_a_client_that_leaves_takes_its_attempt_along(self) -> None:
+    async def test_the_attempt_ends_when_its_client_leaves(self) -> None:
         self.build()
         client = await self.client(REQUEST)
         _, host = await self.accept_attempt()
--- a/tests/net/test_wall_clock.py
+++ b/tests/net/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""Steps of the machine's wall clock, as the log has them."""
+"""Log lines about steps of the machine's wall clock."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from puffindeck.net.wall_clock import WallClock
 
 
-def test_a_step_of_the_wall_clock_is_written_once_and_no_trimming_of_it() -> None:
+def test_a_step_of_the_wall_clock_is_logged_once_and_slewing_is_not() -> None:
     seen: list[str] = []
 
     def observe(event: Any) -> None:
@@ -22,8 +22,8 @@
     globalLogPublisher.addObserver(observer)
     try:
         clock = WallClock(lambda: now[0])
-        for ahead in (0.0, 0.1, -3600.0, -3600.0):
-            now[0] = 1000.0 + ahead
+        for offset in (0.0, 0.1, -3600.0, -3600.0):
+            now[0] = 1000.0 + offset
             clock.check()
     finally:
         globalLogPublisher.removeObserver(observer)
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback: clients, hosts and discovery, each driven line by line by a story."""
+"""Test cases for a node with scripted peers on loopback: clients, hosts and discovery."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from puffindeck.net.graceful_shutdown import GracefulShutdown
 from puffindeck.net.listening import Port
 from puffindeck.net.node import Node as NetNode
-from tests.support.gateway import SETTINGS as WORLD
+from tests.support.gateway import SETTINGS as GATEWAY_SETTINGS
 
 reactor: Any = default_reactor
 REQUEST = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
 SETTINGS: Settings = replace(
-    WORLD,
+    GATEWAY_SETTINGS,
     classes=(ClassSettings(300, 1200, message_latency_objective_ms=60, name="chat"),),
     must_watch_endpoints=True,
     can_cancel=True,
@@ -36,52 +36,54 @@
 )
 
 
-def deferred_with_timeout(why: str) -> Deferred[Any]:
-    """Something to happen within 5 s; a story that waits in vain fails with the reason."""
+def deferred_with_timeout(failure: str) -> Deferred[Any]:
+    """Return a Deferred that fails with an AssertionError of this text unless it fires within 5 s."""
     waited: Deferred[Any] = Deferred()
-    waited.addTimeout(5, reactor, onTimeoutCancel=lambda _, __: (_ for _ in ()).throw(AssertionError(why)))
+    waited.addTimeout(
+        5, reactor, onTimeoutCancel=lambda _, __: (_ for _ in ()).throw(AssertionError(failure))
+    )
     return waited
 
 
 class Peer(Protocol):
-    """One connection's end: what came is taken line by line, and what ended it is kept."""
+    """One end of a connection. Received lines are queued, and the reason of its end is recorded."""
 
     transport: Any
 
     def __init__(self) -> None:
-        self.buffer = self.received = b""  # what came after the last whole line, and all that came
+        self.buffer = self.received = b""  # data after the last complete line, and all data
         self.end: Any = None
         self._lines: DeferredQueue[bytes] = DeferredQueue()
         self._ended: list[Deferred[Any]] = []
         self.made: Callable[[Peer], None] = lambda peer: None
 
     def connectionMade(self) -> None:
-        """Hand over a new connection (Twisted's hook)."""
+        """Report a new connection to `made` (Twisted's hook)."""
         self.made(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep what comes, and split it into lines (Twisted's hook)."""
+        """Record received data, and queue its complete lines (Twisted's hook)."""
         self.received += data
         *lines, self.buffer = (self.buffer + data).split(b"\r\n")
         for line in lines:
             self._lines.put(line)
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Keep what ended the connection (Twisted's hook)."""
+        """Record the reason of the connection's end (Twisted's hook)."""
         self.end = reason.type.__name__
         for waiting in self._ended:
             waiting.callback(self.end)
 
     def has_partial_line(self, text: bytes) -> bool:
-        """Is this what came after the last whole line?"""
+        """Return whether this is the data after the last complete line."""
         return self.buffer == text
 
     def line(self) -> Deferred[bytes]:
-        """Wait for the next whole line."""
+        """Wait for the next complete line."""
         return self._lines.get().addTimeout(5, reactor)
 
     def ended(self) -> Deferred[Any]:
-        """Wait for the end; the name of the error that ended the connection."""
+        """Wait for the connection's end; the result is the name of the error that ended it."""
         waiting = deferred_with_timeout("the connection did not end")
         if self.end is not None:
             waiting.callback(self.end)
@@ -90,12 +92,12 @@
         return waiting
 
     def write(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Send bytes unchanged."""
         self.transport.write(data)
 
 
 class Listener(Factory):
-    """A host or discovery: its connections come out of a queue as they are accepted."""
+    """A host or discovery service on loopback, which queues its accepted connections."""
 
     noisy = False
 
@@ -106,7 +108,7 @@
         self.address = f"127.0.0.1:{self.port.getHost().port}"
 
     def buildProtocol(self, addr: object) -> Peer:
-        """Make an accepted connection's protocol (Twisted's hook)."""
+        """Build an accepted connection's protocol (Twisted's hook)."""
         peer = Peer()
         peer.made = self.made
         return peer
@@ -122,7 +124,7 @@
 
 
 class PeerFactory(ClientFactory):
-    """A client's way in."""
+    """Builds the protocol of a client's connection, and reports it as connected by `up`."""
 
     noisy = False
 
@@ -131,60 +133,60 @@
         self.up = deferred_with_timeout("no connection")
 
     def buildProtocol(self, addr: object) -> Peer:
-        """Make the connection's protocol (Twisted's hook)."""
+        """Build the connection's protocol (Twisted's hook)."""
         reactor.callLater(0, self.up.callback, self.peer)
         return self.peer
 
 
 class NodeTestCase(TestCase):
-    """A node with hosts and discovery round it, all closed at the end."""
+    """A node with hosts and a discovery service, all of which are closed after the test."""
 
     request_count = 0
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
-        """Start a node with hosts and discovery; `settings` replace the usual ones."""
+        """Start a node with hosts and discovery; `settings` replace those of SETTINGS."""
         self.hosts = {f"h{i}": Listener() for i in range(hosts)}
         self.discovery = Listener()
         self.events: list[Event] = []
         known = EndpointList(1, True, [self.target(uid) for uid in self.hosts])
         host, port = self.discovery.address.split(":")
-        told = NodeConfig(
+        config = NodeConfig(
             "n0", ("127.0.0.1", 0), (host, int(port)), 7, 1024, known, replace(SETTINGS, **settings)
         )
-        self.node = NetNode(reactor, self.adjust_config(told), Clock())
+        self.node = NetNode(reactor, self.adjust_config(config), Clock())
         decide = self.node.engine.balancer.handle
 
-        def spy(now: float, events: Any) -> Any:
+        def record(now: float, events: Any) -> Any:
             events = list(events)
             self.events += events
             return decide(now, events)
 
-        self.patch(self.node.engine.balancer, "handle", spy)
+        self.patch(self.node.engine.balancer, "handle", record)
         self.node.start()
         self.addCleanup(self.close)
 
     @property
     def main_port(self) -> Port:
-        """The node's port for clients, which is open."""
+        """The node's open port for clients."""
         assert self.node.listeners.main is not None
         return self.node.listeners.main
 
     @property
     def shutdown(self) -> GracefulShutdown:
-        """The node's shutdown, which has begun."""
+        """The node's shutdown, which is in progress."""
         assert self.node.lifecycle.shutdown is not None
         return self.node.lifecycle.shutdown
 
-    def adjust_config(self, told: NodeConfig) -> NodeConfig:
-        """Return the configuration that a story gives its node instead of the usual one."""
-        return told
+    def adjust_config(self, config: NodeConfig) -> NodeConfig:
+        """Return the node's configuration; test cases override this to change it."""
+        return config
 
     def target(self, uid: str, state: str = "SERVING") -> Target:
-        """Return a host's entry in the list."""
+        """Return a host's entry in the discovery list."""
         return Target(uid, state, self.hosts[uid].address, "a", "m")
 
     async def close(self) -> None:
-        """Close all that the story has opened."""
+        """Close all connections and ports of the node and its peers."""
         if self.node.watch:
             self.node.watch.stop()
         peers = [p for listener in (*self.hosts.values(), self.discovery) for p in listener.peers]
@@ -200,38 +202,38 @@
         )
         self.node.deadlines.clear()
 
-    async def wait_until(self, met: Callable[[], Any], what: str) -> None:
-        """Wait until a condition holds that no peer's line shows."""
+    async def wait_until(self, condition: Callable[[], Any], description: str) -> None:
+        """Poll until the condition holds; fail with the description after about 5 s."""
         for _ in range(500):
-            if met():
+            if condition():
                 return
             waiting: Deferred[None] = Deferred()
             reactor.callLater(0.01, waiting.callback, None)
             await waiting
-        raise AssertionError(f"waited in vain for {what}")
+        raise AssertionError(f"timed out waiting for {description}")
 
     async def client(self, line: str = "", port: int = 0) -> Peer:
-        """Connect a client, and send its line if there is one."""
-        dial = PeerFactory()
-        reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, dial)
-        peer: Peer = await dial.up
+        """Connect a client, and send its line, with a new request id, if there is one."""
+        factory = PeerFactory()
+        reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, factory)
+        peer: Peer = await factory.up
         self.addCleanup(peer.transport.abortConnection)
         if line:
-            self.request_count += 1  # an id is new for each connection
+            self.request_count += 1  # each connection needs a new id
             peer.write(line.encode().replace(b"9b1f03aa5c7e2d41", b"%016x" % self.request_count) + b"\r\n")
         return peer
 
-    async def accept_attempt(self, *but: str) -> tuple[str, Peer]:
-        """The host that a client has been sent to."""
+    async def accept_attempt(self, *excluded: str) -> tuple[str, Peer]:
+        """Wait for a connection at a host that is not excluded; return the host's name and the connection."""
         await self.wait_until(
-            lambda: any(h.accepted.pending for u, h in self.hosts.items() if u not in but),
-            "a host to be reached",
+            lambda: any(h.accepted.pending for u, h in self.hosts.items() if u not in excluded),
+            "a connection at a host",
         )
-        uid = next(u for u, h in self.hosts.items() if u not in but and h.accepted.pending)
+        uid = next(u for u, h in self.hosts.items() if u not in excluded and h.accepted.pending)
         return uid, await self.hosts[uid].next()
 
     async def establish(self, line: str) -> tuple[Peer, str, Peer]:
-        """A client, its host's name, and its host, with the connection up."""
+        """Connect a client that is served; return it, its host's name, and the host's side."""
         client = await self.client(line)
         uid, host = await self.accept_attempt()
         await host.line()
@@ -240,7 +242,7 @@
         return client, uid, host
 
     async def accept_watch(self) -> Peer:
-        """The node's watch, answered."""
+        """Accept the node's watch, answer with a status of 200, and return it."""
         watch = await self.discovery.next()
         request = await watch.line()
         assert request.startswith(b"GET /catalog/members?watch=1&after="), request
@@ -248,11 +250,11 @@
         return watch
 
     def send_update(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
-        """Send a piece of the list over a watch."""
+        """Send a list, or changes of it if it is not `full`, over a watch."""
         rows = [{f: getattr(t, f) for f in t.__struct_fields__} for t in targets]
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
         watch.write(b"%x\r\n%s\r\n" % (len(body), body))
 
     def recorded_events(self, kind: type[Any]) -> list[Any]:
-        """Return the events of one kind that the decision module was given."""
+        """Return the events of one kind that the decision module has received."""
         return [event for event in self.events if isinstance(event, kind)]
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -1,6 +1,7 @@
-"""Plain sockets beside the reactor's: they put octets and ends into the kernel without a turn of the reactor.
+"""Test cases with clients on plain blocking sockets beside the reactor's.
 
-So each order of two events that fall together is caused.
+A plain socket sends bytes or closes without a reactor turn, so that a test can cause either order of two
+concurrent events.
 """
 
 from __future__ import annotations
@@ -20,55 +21,60 @@
 
 
 class RawClientTestCase(NodeTestCase):
-    """A node, and clients on plain sockets."""
+    """A node, and clients on plain blocking sockets."""
 
     def connect_raw(self) -> socket.socket:
-        """Connect a plain socket."""
-        plain = socket.create_connection(("127.0.0.1", self.main_port.getHost().port))
-        plain.settimeout(5)
-        self.addCleanup(plain.close)
-        return plain
+        """Connect a client, which the reactor need not have accepted yet."""
+        sock = socket.create_connection(("127.0.0.1", self.main_port.getHost().port))
+        sock.settimeout(5)
+        self.addCleanup(sock.close)
+        return sock
 
     async def connect_accepted(self) -> tuple[socket.socket, ClientProtocol]:
-        """A client that has said nothing, and the node's side of it."""
+        """Connect a client, and wait for the accept; return it and the node's protocol for it."""
         before = set(self.node.connections.clients)
-        plain = self.connect_raw()
+        sock = self.connect_raw()
         await self.wait_until(lambda: self.node.connections.clients - before, "the accept")
-        (line,) = self.node.connections.clients - before
-        return plain, line
+        (protocol,) = self.node.connections.clients - before
+        return sock, protocol
 
-    async def read_to_end(self, plain: socket.socket) -> bytes:
-        """All that a client is told until the end; a reset raises ConnectionResetError."""
+    async def read_to_end(self, sock: socket.socket) -> bytes:
+        """Read what a client receives until the end of file; a reset raises ConnectionResetError."""
 
         def read() -> bytes:
-            text = b""
-            while piece := plain.recv(4096):
-                text += piece
-            return text
+            received = b""
+            while segment := sock.recv(4096):
+                received += segment
+            return received
 
         return bytes(await deferToThread(read))
 
     def is_host_reached(self) -> bool:
-        """Has any host been connected to?"""
+        """Return whether any host has been connected to."""
         return any(host.peers for host in self.hosts.values())
 
     async def connect_idle(self) -> tuple[socket.socket, ClientProtocol]:
-        """Return a client that has its PONG, and the node's side of it."""
+        """Connect a client that is answered PONG; return it and the node's protocol for it."""
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
         await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
-        plain, line = await self.connect_accepted()
-        plain.sendall(b"PING\r\n")
-        await self.wait_until(lambda: line.state is ConnectionState.IDLE, "PONG")
-        return plain, line
-
-    async def read_exactly(self, plain: socket.socket, count: int) -> bytes:
-        """Read so many bytes."""
-        return bytes(await deferToThread(plain.recv, count, socket.MSG_WAITALL))
-
-    async def connect_unanswered(self, told: dict[str, Any] | None = None, **rules: Any) -> tuple[Peer, Peer]:
-        """A client whose request is with a host that says nothing."""
-        self.build(classes=(replace(CHAT, **rules),), **(told or {}))
+        sock, protocol = await self.connect_accepted()
+        sock.sendall(b"PING\r\n")
+        await self.wait_until(lambda: protocol.state is ConnectionState.IDLE, "PONG")
+        return sock, protocol
+
+    async def read_exactly(self, sock: socket.socket, count: int) -> bytes:
+        """Read exactly `count` bytes."""
+        return bytes(await deferToThread(sock.recv, count, socket.MSG_WAITALL))
+
+    async def connect_unanswered(
+        self, settings: dict[str, Any] | None = None, **rules: Any
+    ) -> tuple[Peer, Peer]:
+        """Connect a client whose request is at a host that has not answered; return both.
+
+        `settings` replace settings of the node, `rules` those of the class.
+        """
+        self.build(classes=(replace(CHAT, **rules),), **(settings or {}))
         client = await self.client(REQUEST)
         _, host = await self.accept_attempt()
         await host.line()
