--- a/puffindeck/net/admission.py
+++ b/puffindeck/net/admission.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-# Clients without a request may always use this fraction (1/6) of all descriptors.
+# Clients without a request may always use 1/MIN_WAITING_DIVISOR of all descriptors.
 MIN_WAITING_DIVISOR = 6
 RESERVED_FOR_REQUESTS = 40  # descriptors for the next requests and their connections to hosts
 RESERVED_FOR_NODE = 40  # descriptors for the log, the reactor, discovery, and accepts and closes in progress
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -34,7 +34,7 @@
         """Register a new connection and start its time-out (Twisted's hook)."""
         self.transport.setTcpNoDelay(True)
         self.services.connections.clients.add(self)
-        self.services.wall_clock.check()  # detects a step even while the timers are held up by it
+        self.services.wall_clock.check()  # a step may hold up the timers that check it too
         self.set_timeout(FIRST_LINE_TIMEOUT)
         self.services.admission.on_accepted(self)
 
@@ -158,7 +158,7 @@
 
     def connectionLost(self, reason: Any = None) -> None:
         """Release the client's request and its connection to a host (Twisted's hook)."""
-        before, self.state = self.state, ConnectionState.GONE
+        before, self.state = self.state, ConnectionState.CLOSED
         self.services.connections.clients.discard(self)
         self.services.admission.on_closed(self)
         self.cancel_timeout()
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -90,7 +90,7 @@
     # Final answers
 
     def reject(self, retry_after: timedelta) -> None:
-        """Answer BUSY: the request was not executed and may be retried after this delay."""
+        """Answer BUSY: the request may safely be sent again after this delay."""
         self.answer(b"BUSY %d" % to_ms(retry_after) if retry_after > ZERO else b"BUSY")
 
     def fail(self) -> None:
--- a/puffindeck/net/client_listeners.py
+++ b/puffindeck/net/client_listeners.py
@@ -50,7 +50,7 @@
         return port
 
     def adopt_main(self) -> None:
-        """Start to accept from the inherited socket."""
+        """Start accepting from the inherited socket."""
         assert self._inherited is not None
         self.main = adopt(self._reactor, self._inherited, self._build_factory("listen"))
         self.main.on_blocked = self._admission.evict_one
--- a/puffindeck/net/config_reload.py
+++ b/puffindeck/net/config_reload.py
@@ -44,7 +44,7 @@
         if self._lifecycle.has_ended:
             return
         try:
-            config, later = read(self._config())
+            config, restart_keys = read(self._config())
         except ConfigUnreadable as error:
             self._retry = self._deadlines.after(RETRY_DELAY, self.run, read)
             log.error("reload: tried again, the old settings stay in force till then: {error}", error=error)
@@ -52,8 +52,8 @@
         except ConfigError as error:
             log.error("reload: the old settings stay in force: {error}", error=error)
             return
-        if later:
-            log.warn("reload: these take a restart: {keys}", keys=", ".join(later))
+        if restart_keys:
+            log.warn("reload: these take a restart: {keys}", keys=", ".join(restart_keys))
         self._apply(config)
         host, port = config.discovery or ("none", 0)
         log.info("reload: done, discovery {host}:{port}", host=host, port=port)
--- a/puffindeck/net/connection_state.py
+++ b/puffindeck/net/connection_state.py
@@ -17,7 +17,7 @@
     MOVING = auto()  # served; MOVE is sent when the line that is being relayed has ended
     HALF_CLOSED = auto()  # answered, and our side is closed; further input is discarded
     RESETTING = auto()  # reset once all output is sent, as the host's connection was reset
-    GONE = auto()  # closed
+    CLOSED = auto()  # closed
 
 
 # Of two concurrent events, the second can't reach its state from that of the first, and has no effect.
@@ -27,7 +27,7 @@
             ConnectionState.AWAITING_READINESS,
             ConnectionState.WAITING,
             ConnectionState.HALF_CLOSED,
-            ConnectionState.GONE,
+            ConnectionState.CLOSED,
         }
     ),
     ConnectionState.AWAITING_READINESS: frozenset(
@@ -35,7 +35,7 @@
             ConnectionState.IDLE,
             ConnectionState.WAITING,
             ConnectionState.HALF_CLOSED,
-            ConnectionState.GONE,
+            ConnectionState.CLOSED,
         }
     ),
     ConnectionState.IDLE: frozenset(
@@ -43,14 +43,14 @@
             ConnectionState.AWAITING_READINESS,
             ConnectionState.WAITING,
             ConnectionState.HALF_CLOSED,
-            ConnectionState.GONE,
+            ConnectionState.CLOSED,
         }
     ),
     ConnectionState.WAITING: frozenset(
         {
             ConnectionState.RELAYING,
             ConnectionState.HALF_CLOSED,
-            ConnectionState.GONE,
+            ConnectionState.CLOSED,
         }
     ),
     ConnectionState.RELAYING: frozenset(
@@ -59,7 +59,7 @@
             ConnectionState.MOVING,
             ConnectionState.HALF_CLOSED,
             ConnectionState.RESETTING,
-            ConnectionState.GONE,
+            ConnectionState.CLOSED,
         }
     ),
     ConnectionState.HOLDING_LINE: frozenset(
@@ -68,21 +68,21 @@
             ConnectionState.MOVING,
             ConnectionState.HALF_CLOSED,
             ConnectionState.RESETTING,
-            ConnectionState.GONE,
+            ConnectionState.CLOSED,
         }
     ),
     ConnectionState.MOVING: frozenset(
         {
             ConnectionState.HALF_CLOSED,
             ConnectionState.RESETTING,
-            ConnectionState.GONE,
+            ConnectionState.CLOSED,
         }
     ),
-    ConnectionState.HALF_CLOSED: frozenset({ConnectionState.GONE}),
-    ConnectionState.RESETTING: frozenset({ConnectionState.GONE}),
-    ConnectionState.GONE: frozenset(),
+    ConnectionState.HALF_CLOSED: frozenset({ConnectionState.CLOSED}),
+    ConnectionState.RESETTING: frozenset({ConnectionState.CLOSED}),
+    ConnectionState.CLOSED: frozenset(),
 }
 CAN_TIME_OUT = frozenset({ConnectionState.NEW, ConnectionState.IDLE, ConnectionState.HALF_CLOSED})
 WITHOUT_REQUEST = frozenset({ConnectionState.NEW, ConnectionState.AWAITING_READINESS, ConnectionState.IDLE})
 SERVED = frozenset({ConnectionState.RELAYING, ConnectionState.HOLDING_LINE, ConnectionState.MOVING})
-FINISHED = frozenset({ConnectionState.HALF_CLOSED, ConnectionState.RESETTING, ConnectionState.GONE})
+FINISHED = frozenset({ConnectionState.HALF_CLOSED, ConnectionState.RESETTING, ConnectionState.CLOSED})
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -66,9 +66,7 @@
         self._pushed = pushed
         self._state = WatchState(None if pushed else version)
         self._on_answer = on_answer
-        self._calls: list[
-            Deferred[Any]
-        ] = []  # open calls, oldest first; more than one only for a silent agent
+        self._calls: list[Deferred[Any]] = []  # oldest first; several only for a silent agent
         self._response: WatchResponse | None = None
         self._timeout: Deadline | None = None
         self._list_timeout: Deadline | None = None  # time by which a partial list must be complete
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -43,9 +43,7 @@
         self._config = config
         self._on_name_taken_over = on_name_taken_over
         self.fleet: Fleet | None = None  # None for a node without a fleet
-        self.request_filter: Any = (
-            None  # puffindeck_fleet.RequestFilter if there are quotas or residency rules
-        )
+        self.request_filter: Any = None  # puffindeck_fleet.RequestFilter if there are quotas or rules
         self.failure = ""  # why this process must end with an error; empty if it need not
         self._engine: Engine | None = None
 
--- a/puffindeck/net/graceful_shutdown.py
+++ b/puffindeck/net/graceful_shutdown.py
@@ -33,9 +33,9 @@
     def before_kill(self, longest: timedelta) -> DrainSchedule:
         """Return the schedule, shortened if a short longest deadline makes the kill come earlier."""
         end = min(self.end, min(longest, MAX_DEADLINE) + KILL_DELAY - KILL_MARGIN)
-        part = end / self.end
+        scale = end / self.end
         return DrainSchedule(
-            min(self.accept_duration, end), self.first_move * part, self.move_spread * part, end
+            min(self.accept_duration, end), self.first_move * scale, self.move_spread * scale, end
         )
 
 
--- a/puffindeck/net/relay.py
+++ b/puffindeck/net/relay.py
@@ -105,7 +105,7 @@
         elif client.transition_to(ConnectionState.RESETTING):
             client.release_id()
             reset_after_flush(
-                client.transport, client.deadlines, lambda: client.state is not ConnectionState.GONE
+                client.transport, client.deadlines, lambda: client.state is not ConnectionState.CLOSED
             )
 
     def migrate(self) -> None:
--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -178,8 +178,8 @@
     async def test_a_drain_rejects_pings_serves_briefly_moves_all_clients_and_can_be_cancelled(self) -> None:
         self.build()
         await self.make_ready()
-        front = await self.client("PING")
-        self.assertEqual(await front.line(), b"PONG")
+        idle = await self.client("PING")
+        self.assertEqual(await idle.line(), b"PONG")
         first, _, _ = await self.establish(REQUEST)
         with patch.object(
             lifecycle,
@@ -187,8 +187,8 @@
             DrainSchedule(milliseconds(1000), milliseconds(1100), milliseconds(100), milliseconds(1800)),
         ):
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
-        front.write(b"PING\r\n")
-        self.assertEqual(await front.line(), b"BUSY")
+        idle.write(b"PING\r\n")
+        self.assertEqual(await idle.line(), b"BUSY")
         late, _, host = await self.establish(REQUEST)
         host.write(b"half a li")
         unanswered = await self.client(REQUEST)  # no host answers it
@@ -201,10 +201,10 @@
         self.assertRegex(await refused.line(), rb"^BUSY \d+$")
         self.assertEqual([await late.ended(), await unanswered.ended()], ["ConnectionDone", "ConnectionDone"])
         self.assertRegex(await unanswered.line(), rb"^(BUSY \d+|MOVE)$")
-        self.assertIsNone(front.end)
+        self.assertIsNone(idle.end)
         self.assertEqual(await self.call("PUT /_lameduck/off"), 200)
-        front.write(b"PING\r\n")
-        self.assertEqual(await front.line(), b"PONG")
+        idle.write(b"PING\r\n")
+        self.assertEqual(await idle.line(), b"PONG")
         for listener in self.hosts.values():
             while listener.accepted.pending:
                 await listener.next()
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -20,12 +20,12 @@
         idle = [await self.client("PING") for _ in range(20)]
         watch = await self.accept_watch()
         self.send_update(watch, 2, False)
-        for front in idle:
-            self.assertEqual(await front.line(), b"PONG")
+        for client in idle:
+            self.assertEqual(await client.line(), b"PONG")
         slow = await self.client()  # sends its request later
         limit = 256 - admission.RESERVED_FOR_NODE - admission.RESERVED_FOR_REQUESTS
         silent = [await self.client() for _ in range(limit - 1)]
-        await self.wait_until(lambda: all(front.end for front in idle), "the eviction of the idle ones")
+        await self.wait_until(lambda: all(client.end for client in idle), "the eviction of the idle ones")
         self.assertEqual(sum(peer.end is not None for peer in (slow, *silent)), 0)
         slow.write(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -36,7 +36,7 @@
         text = await self.read_to_end(sock)
         self.assertRegex(text, rb"^PONG\r\nBUSY \d+\r\n$")
         sock.close()
-        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "the end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the end")
         self.assertFalse(self.is_host_reached())
 
     async def test_an_evicted_client_is_served_if_its_request_has_arrived_and_else_answered_busy(
@@ -49,7 +49,7 @@
         requesting_protocol.evict()
         silent_protocol.evict()
         self.assertIs(requesting_protocol.state, ConnectionState.WAITING)
-        self.assertIs(silent_protocol.state, ConnectionState.GONE)  # its descriptor is released at once
+        self.assertIs(silent_protocol.state, ConnectionState.CLOSED)  # its descriptor is released at once
         self.assertRegex(await self.read_to_end(silent), rb"^BUSY \d+\r\n$")
 
     async def test_an_answer_is_sent_completely_if_the_client_is_evicted_in_the_same_turn(self) -> None:
@@ -57,7 +57,7 @@
         sock, protocol = await self.connect_accepted()
         with patch.object(self.node.admission, "on_answered", lambda client: client.evict()):
             protocol.fail()
-        self.assertIs(protocol.state, ConnectionState.GONE)
+        self.assertIs(protocol.state, ConnectionState.CLOSED)
         self.assertEqual(await self.read_to_end(sock), b"ERR\r\n")
 
     async def test_a_partial_line_at_shutdown_is_answered(self) -> None:
@@ -106,14 +106,14 @@
         self.assertIn(protocol, self.node.admission.waiting)
         protocol.evict()
         self.assertRegex(await self.read_to_end(sock), rb"^BUSY \d+\r\n$")
-        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
         self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_a_client_closed_before_readiness_is_removed(self) -> None:
         self.build()
         sock, protocol = await self.connect_with_ping()
         sock.close()
-        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
         self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_a_request_before_readiness_replaces_the_unanswered_ping(self) -> None:
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -74,8 +74,8 @@
         (h0, h1), before = self.hosts, self.node.watch
         self.reload_config(path)
         self.assertIs(self.node.watch, before)  # nothing has changed
-        for bad in ("", '{"name": ', json.dumps({"settings": 3})):
-            Path(path).write_text(bad)
+        for invalid in ("", '{"name": ', json.dumps({"settings": 3})):
+            Path(path).write_text(invalid)
             self.reload_config(path)
             self.assertIs(self.node.watch, before)
         self.reload_config(path + "-missing")
@@ -111,10 +111,10 @@
         )
         for _ in range(2):
             path = self.write_config(listen="127.0.0.1:7", known={"rev": 3, "all": True, "targets": []})
-            current, later = config.reload_node_config(
+            current, restart_keys = config.reload_node_config(
                 current, {"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:9"}
             )
-            self.assertEqual(later, ["listen"])
+            self.assertEqual(restart_keys, ["listen"])
             # The environment's value stays, as the file's is unchanged.
             self.assertEqual(current.discovery, ("127.0.0.1", 9))
         self.assertEqual(current.listen, ("127.0.0.1", 0))
@@ -138,11 +138,11 @@
             self.reload_config(self.write_config(settings=table | {"classes": [two, new], "limits": limits}))
         self.assertEqual([e.settings.max_attempts for e in self.recorded_events(SettingsChanged)][-1], 1)
         self.assertEqual((old.max_attempts, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
-        now = self.node.engine.settings.classes
+        classes = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # "chat" is dropped, but served a little longer
-        self.assertEqual(tuple(now[self.node.classes.numbers[name]].name for name in served), served)
+        self.assertEqual(tuple(classes[self.node.classes.numbers[name]].name for name in served), served)
         self.assertEqual(len(set(self.node.classes.numbers.values())), len(self.node.classes.numbers))
-        self.assertEqual(now[self.node.classes.numbers["new"]].effect, Effect.NOT_IDEMPOTENT)
+        self.assertEqual(classes[self.node.classes.numbers["new"]].effect, Effect.NOT_IDEMPOTENT)
         await self.wait_until(lambda: "chat" not in self.node.classes.numbers, "the end of the dropped class")
         late = await self.client(REQUEST)
         self.assertEqual(await late.line(), b"ERR")
@@ -162,30 +162,32 @@
         self.addCleanup(self.discovery.port.stopListening)
         path = self.write_config(limits={"sockets": 300})
         current = config.load_node_config({"EDGE_CONFIG": path})
-        whole = json.loads(Path(path).read_text())
-        settings = whole["settings"]
+        document = json.loads(Path(path).read_text())
+        settings = document["settings"]
         first = settings["classes"][0]
-        holes = [{k: v for k, v in whole.items() if k != hole} for hole in whole]
-        holes += [whole | {"limits": {}}]
-        holes += [whole | {"settings": {k: v for k, v in settings.items() if k != hole}} for hole in settings]
-        holes += [
-            whole | {"settings": settings | {"classes": classes}}
+        invalid_documents = [{k: v for k, v in document.items() if k != key} for key in document]
+        invalid_documents += [document | {"limits": {}}]
+        invalid_documents += [
+            document | {"settings": {k: v for k, v in settings.items() if k != key}} for key in settings
+        ]
+        invalid_documents += [
+            document | {"settings": settings | {"classes": classes}}
             for classes in (
                 [],
                 [first, first],
-                *([{k: v for k, v in first.items() if k != hole}] for hole in first),
-                *([first | {"hardLimitMs": bad}] for bad in (0, -5, "9", None, True, 1e999)),
+                *([{k: v for k, v in first.items() if k != key}] for key in first),
+                *([first | {"hardLimitMs": invalid}] for invalid in (0, -5, "9", None, True, 1e999)),
             )
         ]
-        holes += [
-            whole | {"settings": settings | {"limits": settings["limits"] | {"maxAttempts": bad}}}
-            for bad in (0, -1, 0.5, None, 1e999)
+        invalid_documents += [
+            document | {"settings": settings | {"limits": settings["limits"] | {"maxAttempts": invalid}}}
+            for invalid in (0, -1, 0.5, None, 1e999)
         ]
-        for text in ("", "{", *(json.dumps(file) for file in holes)):
+        for text in ("", "{", *(json.dumps(file) for file in invalid_documents)):
             Path(path).write_text(text)
             with self.assertRaises(config.ConfigError, msg=text):
                 config.reload_node_config(current, {"EDGE_CONFIG": path})
-        Path(path).write_text(json.dumps(whole))
+        Path(path).write_text(json.dumps(document))
         self.assertEqual(
             config.reload_node_config(current, {"EDGE_CONFIG": path})[0].settings, current.settings
         )
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -37,7 +37,7 @@
         sock, protocol = await self.connect_accepted()
         sock.sendall(REQUEST.encode() + b"\r\n")
         sock.close()
-        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
         self.assertFalse(self.node.connections.upstreams)
         self.assertFalse(self.is_host_reached())
         self.assertEqual(len(self.recorded_events(ClientDisconnected)), 1)
@@ -49,7 +49,7 @@
             sock.sendall(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
-        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
         self.assertEqual(host.received, b"")
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
@@ -77,7 +77,7 @@
         (link,) = self.node.connections.upstreams
         sock.close()
         link.finish(Outcome.ERROR)  # the host's answer, in the turn in which the client closes
-        await self.wait_until(lambda: protocol.state is ConnectionState.GONE, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_an_attempt_past_its_start_deadline_when_connected_is_not_started(self) -> None:
