--- a/tests/policy/test_hash_ring.py
+++ b/tests/policy/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""The hash ring: what changes of the ready endpoints leave, and the order of endpoints from a hash."""
+"""The hash ring: updates when the ready endpoints change, and the order of endpoints from a hash."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 @pytest.mark.parametrize("seed", range(10))
-def test_a_ring_that_was_updated_is_the_ring_made_anew(seed: int) -> None:
+def test_updated_ring_equals_a_newly_created_ring(seed: int) -> None:
     random, updated, before = Random(seed), HashRing(), set[int]()
     for _ in range(20):
         after = set(random.sample(range(1, 60), random.randrange(0, 30)))
         updated.update(before, after)
-        anew = HashRing()
-        anew.update(set(), after)
-        assert updated.ring == anew.ring
+        created = HashRing()
+        created.update(set(), after)
+        assert updated.ring == created.ring
         assert len(updated.ring.points) == VIRTUAL_NODES * len(after)
         before = after
 
 
-def test_endpoints_come_once_each_clockwise_from_the_hash() -> None:
+def test_clockwise_yields_each_endpoint_once_in_order_from_the_hash() -> None:
     ring = HashRing()
     endpoints = {number: Endpoint(number) for number in range(1, 8)}
     ring.update(set(), endpoints.keys())
