--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -1,4 +1,4 @@
-"""What the balancer does in ordinary times and in each kind of trouble, without the bench."""
+"""The balancer's behavior in normal operation and under each kind of fault."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived, sends
 
 
-def test_gateways_agree_on_homes_whatever_their_seed() -> None:
-    one, two = Gateway(seed=1), Gateway(seed=2)
-    homes = [(one.submit(r, key=r * 7919), two.submit(r, key=r * 7919)) for r in range(1, 7)]
+def test_gateways_with_different_seeds_choose_the_same_endpoints() -> None:
+    first, second = Gateway(seed=1), Gateway(seed=2)
+    homes = [(first.submit(r, key=r * 7919), second.submit(r, key=r * 7919)) for r in range(1, 7)]
     assert all(a == b for a, b in homes)
     assert len({a for a, _ in homes}) > 2
 
 
-def test_a_server_that_goes_moves_only_its_own_keys() -> None:
+def test_removed_endpoint_moves_only_its_own_keys() -> None:
     before = Gateway()
     homes = {key: before.submit(key, key=key) for key in range(100, 103)}
     after = Gateway(endpoints=0)
@@ -54,7 +54,7 @@
         assert now == home if home != lost else now != home
 
 
-def test_no_server_is_filled_past_the_bound() -> None:
+def test_no_endpoint_is_filled_beyond_the_bound() -> None:
     gateway = Gateway()
     for request in range(1, 301):
         gateway.connect(request, key=request)
@@ -62,24 +62,24 @@
         assert max(loads) <= max(DEFAULT_BOUND * (sum(loads) + 1) / 6, MINIMUM_BOUND) + 1
 
 
-def test_a_hot_group_spills_clockwise_and_fills_its_home_first() -> None:
+def test_busy_group_spreads_over_few_endpoints_including_its_first_one() -> None:
     gateway = Gateway()
     for request in range(1, 121):
         gateway.connect(request, key=request)
     placed = Counter(gateway.connect(r, group=77) for r in range(1000, 1040))
     assert len(placed) < 6
-    fresh = Gateway()
-    assert fresh.submit(1, group=77) in placed
+    idle_gateway = Gateway()
+    assert idle_gateway.submit(1, group=77) in placed
 
 
-def test_near_empty_counts_keep_keys_at_home() -> None:
-    """After a restart in a reconnect storm caps of one connection must not scatter a group."""
+def test_group_is_not_scattered_while_endpoints_are_nearly_empty() -> None:
+    """A bound of one connection, as after a restart when all clients reconnect, must not scatter a group."""
     gateway = Gateway()
     assert gateway.connect(1, group=5) == gateway.connect(2, group=5)
 
 
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o != Outcome.OK])
-def test_the_ledger_is_even_after_every_way_an_attempt_can_end(outcome: Outcome) -> None:
+def test_load_accounting_returns_to_zero_after_each_outcome(outcome: Outcome) -> None:
     gateway = Gateway()
     gateway.submit(1, group=3)
     gateway.end_attempt(1, outcome, final=True)
@@ -87,7 +87,7 @@
     gateway.establish(2)
     gateway.handle_events(LoadReported(2, gateway.endpoint_of[2], 900.0))
     gateway.end_attempt(2, outcome, final=True)
-    gateway.end_attempt(2, outcome, final=True)  # told twice: nothing more
+    gateway.end_attempt(2, outcome, final=True)  # a duplicate event has no effect
     for endpoint in gateway.balancer.ready.values():
         assert endpoint.load == pytest.approx(0)
         assert not endpoint.connections
@@ -96,7 +96,7 @@
     assert not gateway.balancer.requests
 
 
-def test_a_connection_open_at_the_start_counts_and_is_not_sent() -> None:
+def test_restored_connection_counts_as_load_and_is_not_sent() -> None:
     gateway = Gateway()
     assert not sends(gateway.handle_events(ConnectionRestored(9, 3, 0, 0, 0.0, 0, 5)))
     assert gateway.balancer.endpoints[3].load > 0
@@ -104,7 +104,7 @@
     assert gateway.balancer.endpoints[3].load == pytest.approx(0)
 
 
-def test_a_draining_server_gets_nothing_new() -> None:
+def test_draining_endpoint_gets_no_new_requests() -> None:
     gateway = Gateway()
     home = gateway.submit(1, key=42)
     assert home is not None
@@ -114,14 +114,14 @@
     assert gateway.submit(2, key=42) not in (home, None)
 
 
-def test_a_stale_change_of_the_list_is_passed_over() -> None:
+def test_stale_change_of_the_list_is_ignored() -> None:
     gateway = Gateway()
     gateway.handle_events(list_update(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
     gateway.handle_events(list_update(entry(1), kind=ListUpdateKind.CHANGES, version=4))
     assert 1 not in gateway.balancer.ready
 
 
-def test_with_no_server_a_request_waits_and_goes_to_the_first_that_appears() -> None:
+def test_request_without_endpoints_waits_and_goes_to_the_first_one_listed() -> None:
     gateway = Gateway(endpoints=0)
     assert gateway.submit(1) is None
     gateway.advance(500)
@@ -129,15 +129,15 @@
     assert [s.endpoint for s in sends(gateway.advance(200))] == [8]
 
 
-def test_with_no_server_ever_it_is_answered_in_time() -> None:
+def test_request_without_endpoints_is_answered_by_its_deadline() -> None:
     gateway = Gateway(endpoints=0)
     gateway.submit(1)
     answers = [a for a in gateway.advance(1200) if isinstance(a, (Reject, Fail))]
     assert len(answers) == 1
 
 
-def test_a_wake_that_comes_a_hair_early_is_not_the_last() -> None:
-    """Clocks round: a deadline slept through leaves a request without its answer."""
+def test_timer_that_fires_slightly_early_is_scheduled_again() -> None:
+    """Clocks round. If an early timer were the last one, the request would never get its answer."""
     gateway = Gateway(endpoints=0)
     gateway.submit(1)
     for _ in range(100):
@@ -150,37 +150,39 @@
     assert 2199 < gateway.now <= 2200 + SETTINGS.answer_slack_ms
 
 
-def test_many_gateways_together_keep_the_cold_budget() -> None:
-    """Rule 4 at size: a tenth of a connection a server each, and all meet the same restarted servers."""
+def test_many_gateways_together_stay_within_the_slow_start_budget() -> None:
+    """Each of 400 gateways has a tenth of a connection per endpoint, and all use the restarted endpoints."""
     settings = replace(SETTINGS, gateways=400)
     gateways = [Gateway(settings, endpoints=10, seed=seed) for seed in range(400)]
     for number, gateway in enumerate(gateways):
         gateway.connect(1, key=number)
-    young = [entry(i, started=1000.0) for i in (1, 2, 3)]
+    restarted = [entry(i, started=1000.0) for i in (1, 2, 3)]
     for gateway in gateways:
-        gateway.handle_events(list_update(*young, kind=ListUpdateKind.CHANGES, version=2))
+        gateway.handle_events(list_update(*restarted, kind=ListUpdateKind.CHANGES, version=2))
     sent = 0
-    for step in range(20):  # the first two seconds, in a storm of five returns a gateway
+    for step in range(20):  # the first two seconds, in which five clients reconnect to each gateway
         for number, gateway in enumerate(gateways):
             gateway.advance(100)
             if (number + step) % 4 == 0:
                 sent += gateway.submit(1000 + step, key=number * 31 + step) in (1, 2, 3)
                 if 1000 + step in gateway.endpoint_of:
                     gateway.end_attempt(1000 + step, Outcome.OK, final=True)
-    held, s = 40.0, SETTINGS
+    connections, s = 40.0, SETTINGS
     warmth = s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) * 2000 / s.slow_start_ms
-    held_alike = (
-        3 * s.slow_start_load_multiple * warmth * held * s.slow_start_window_ms / s.slow_start_ms
-    )  # did a full one hold the mean
-    # servers left idle beside strained ones serve nobody; but nothing is saved up before they start
-    assert held_alike / 3 < sent <= FULL_LOAD_MULTIPLE * held_alike
+    # The budget if a full endpoint had the mean number of connections.
+    mean_budget = (
+        3 * s.slow_start_load_multiple * warmth * connections * s.slow_start_window_ms / s.slow_start_ms
+    )
+    # Restarted endpoints must not stay idle while others are overloaded, but no credit accrues before their
+    # start.
+    assert mean_budget / 3 < sent <= FULL_LOAD_MULTIPLE * mean_budget
 
 
-def spread(gateways: int, group: int, others: int) -> Counter[int]:
-    """Where many gateways of three connections each put a group that brings a third of all load."""
-    told, placed = replace(SETTINGS, gateways=gateways), Counter[int]()
+def busy_group_placements(gateways: int, group: int, others: int) -> Counter[int]:
+    """Return the connections per endpoint of a group with a third of the load, placed by many gateways."""
+    settings, placed = replace(SETTINGS, gateways=gateways), Counter[int]()
     for number in range(gateways):
-        gateway = Gateway(told, endpoints=40, seed=number)
+        gateway = Gateway(settings, endpoints=40, seed=number)
         for request in range(1000 * number, 1000 * number + 12):
             busy = request % 3 == 0
             endpoint = gateway.connect(request, group=group if busy else others + request % 7)
@@ -189,15 +191,16 @@
     return placed
 
 
-def test_many_gateways_do_not_fill_a_busy_groups_home_together() -> None:
-    """No gateway's count reaches the bound; by lot a server still takes about its part."""
-    placed = spread(60, group=77, others=100)
-    assert placed.most_common(1)[0][1] < 0.4 * placed.total()  # without the lot: all of it on one server
-    assert len(placed) <= 16  # and the group stays on the servers that its share needs, of forty
+def test_many_gateways_do_not_place_all_of_a_busy_group_on_its_first_endpoint() -> None:
+    """No gateway's own load reaches the bound, but expected shares limit each endpoint to about its part."""
+    placed = busy_group_placements(60, group=77, others=100)
+    # Without expected shares, one endpoint would get all connections of the group.
+    assert placed.most_common(1)[0][1] < 0.4 * placed.total()
+    assert len(placed) <= 16  # the group uses only as many of the 40 endpoints as its share needs
 
 
-def test_a_group_is_not_scattered_over_a_strained_fleet() -> None:
-    """Connections spilled ever further make every server pay for every group, until none serves."""
+def test_group_is_not_scattered_over_overloaded_endpoints() -> None:
+    """If groups spread without limit, every endpoint would bear the cost of every group, until all fail."""
     gateway = Gateway(endpoints=20)
     for request in range(1, 201):
         gateway.connect(request, group=1 + request % 10, load=1000.0)
@@ -213,22 +216,22 @@
     assert any(isinstance(a, Reject) for a in gateway.advance(1300))
 
 
-def test_a_list_that_fails_is_asked_for_again_within_the_limit() -> None:
+def test_failed_endpoint_list_is_requested_again_within_the_watch_deadline() -> None:
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=4000))
     assert sum(isinstance(a, WatchEndpoints) for a in gateway.actions) == 1
     for _ in range(8):
         gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
         assert any(isinstance(a, WatchEndpoints) for a in gateway.advance(4000))
-    assert gateway.submit(1) is not None  # the list it had still serves
+    assert gateway.submit(1) is not None  # the last known list stays in use
 
 
-def test_a_silent_server_is_skipped_and_its_connections_are_moved() -> None:
-    """It accepts nothing and resets nothing: only failed connects tell, long before the list does."""
+def test_unreachable_endpoint_is_avoided_and_its_connections_are_migrated() -> None:
+    """The endpoint accepts and resets nothing. Failed connects show the fault long before the list does."""
     gateway = Gateway()
     for request in range(1, 61):
         gateway.connect(request, key=request)
     home = gateway.endpoint_of[1]
-    held = len(gateway.balancer.endpoints[home].connections)
+    connections = len(gateway.balancer.endpoints[home].connections)
     gateway.handle_events(
         *(AttemptEnded(r, Outcome.OK, gateway.endpoint_of[r], 0, True, 1) for r in range(41, 61))
     )
@@ -251,12 +254,12 @@
                 )
             )
     gateway.advance(10000)
-    moved = [a for a in gateway.actions if isinstance(a, Migrate)]
-    assert len(moved) >= held // 2
-    assert {gateway.endpoint_of[a.request] for a in moved} == {home}
+    migrated = [a for a in gateway.actions if isinstance(a, Migrate)]
+    assert len(migrated) >= connections // 2
+    assert {gateway.endpoint_of[a.request] for a in migrated} == {home}
 
 
-def test_a_burst_of_resets_means_the_server_is_gone() -> None:
+def test_endpoint_that_resets_all_connections_at_once_is_ejected() -> None:
     gateway = Gateway()
     for request in range(1, 61):
         gateway.connect(request, key=request)
@@ -266,7 +269,7 @@
     assert all(gateway.submit(r, key=r) != home for r in range(100, 130))
 
 
-def test_a_restarted_server_is_trusted_again() -> None:
+def test_restarted_endpoint_is_no_longer_ejected() -> None:
     gateway = Gateway(replace(SETTINGS, slow_start_ms=0.0))
     home = gateway.submit(1, key=42)
     assert home is not None
@@ -278,7 +281,7 @@
     assert gateway.submit(3, key=42) == home
 
 
-def test_when_all_servers_fail_the_ring_still_serves() -> None:
+def test_requests_are_still_sent_when_all_endpoints_fail() -> None:
     gateway = Gateway(endpoints=3)
     for request in range(1, 13):
         gateway.submit(request, key=request)
@@ -286,8 +289,8 @@
     assert gateway.submit(50, key=50) is not None
 
 
-def test_set_ups_failing_everywhere_are_not_held_against_servers_and_do_not_storm() -> None:
-    """A slow shared store: nobody is suspected for it, and fewer set-ups are let out at once."""
+def test_failures_at_many_endpoints_lower_the_concurrency_limit_instead_of_ejecting_endpoints() -> None:
+    """With a slow shared store, the endpoints are not at fault, and fewer attempts may be pending at once."""
     gateway = Gateway()
     for request in range(1, 25):
         gateway.submit(request, key=request * 31)
@@ -301,7 +304,7 @@
     assert gateway.balancer.state.loads.pending_attempts < 50
 
 
-def test_tries_are_not_used_up_within_moments() -> None:
+def test_fast_failures_do_not_use_up_all_attempts_at_once() -> None:
     gateway = Gateway()
     gateway.submit(1)
     for _ in range(3):
@@ -311,7 +314,8 @@
     assert gateway.balancer.requests[1].attempts < 4
 
 
-def filled(load: float = 1000.0) -> Gateway:
+def gateway_with_connections(load: float = 1000.0) -> Gateway:
+    """Return a gateway with 120 connections of this load."""
     gateway = Gateway()
     for request in range(1, 121):
         gateway.connect(request, key=request, load=load)
@@ -319,32 +323,32 @@
     return gateway
 
 
-def test_a_slow_server_is_relieved_step_by_step_and_gets_less() -> None:
-    gateway = filled()
+def test_slow_endpoint_is_relieved_gradually_and_gets_no_new_requests() -> None:
+    gateway = gateway_with_connections()
     home = gateway.endpoint_of[1]
     before = len(gateway.balancer.endpoints[home].connections)
-    moves = []
+    migrations = []
     for _ in range(3):
         gateway.report_latency(home, 200)
-        moves += [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
-    assert 0 < len(moves) < before
-    assert {gateway.endpoint_of[a.request] for a in moves} == {home}
+        migrations += [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
+    assert 0 < len(migrations) < before
+    assert {gateway.endpoint_of[a.request] for a in migrations} == {home}
     assert all(gateway.submit(r, key=r) != home for r in range(500, 520))
 
 
-def test_a_server_that_drains_what_piled_up_is_not_cut_again() -> None:
-    gateway = filled()
+def test_load_limit_is_not_lowered_again_while_latency_decreases() -> None:
+    gateway = gateway_with_connections()
     home = gateway.endpoint_of[1]
     gateway.report_latency(home, 400)
-    ceiling = gateway.balancer.endpoints[home].load_limit
+    load_limit = gateway.balancer.endpoints[home].load_limit
     gateway.advance(1000)
     gateway.report_latency(home, 200)
-    assert gateway.balancer.endpoints[home].load_limit == ceiling
+    assert gateway.balancer.endpoints[home].load_limit == load_limit
 
 
-def test_overload_of_the_whole_fleet_is_shed_and_refused_within_the_aim() -> None:
-    """All servers drowning serve nobody: some must be turned away so that the rest are served."""
-    gateway = filled()
+def test_overload_of_all_endpoints_leads_to_migrations_and_rejections_within_the_latency_objective() -> None:
+    """If all endpoints are overloaded, some requests must be rejected for the others to be served."""
+    gateway = gateway_with_connections()
     for endpoint in range(1, 7):
         gateway.report_latency(endpoint, 500)
     assert any(isinstance(a, Migrate) for a in gateway.advance(1000))
@@ -352,17 +356,17 @@
         for endpoint in range(1, 7):
             gateway.report_latency(endpoint, 500)
         gateway.advance(1000)
-    for request in range(1, 121):  # the moved ones leave
+    for request in range(1, 121):  # the migrated connections end
         if gateway.balancer.requests.get(request) and gateway.balancer.requests[request].answered:
             gateway.end_attempt(request, Outcome.CANCELLED, final=True)
     for request in range(1000, 1200):
         gateway.submit(request, key=request)
-    refused = [a for a in gateway.advance(300) if isinstance(a, Reject)]
-    assert refused
+    rejections = [a for a in gateway.advance(300) if isinstance(a, Reject)]
+    assert rejections
 
 
-@pytest.mark.parametrize("longest", [1500.0, 700.0, 0.0])  # 0: clients here are told none
-def test_a_refused_client_is_told_at_once_when_to_come_back(longest: float) -> None:
+@pytest.mark.parametrize("longest", [1500.0, 700.0, 0.0])  # 0: clients are given no delay
+def test_rejection_before_the_deadline_has_a_retry_delay(longest: float) -> None:
     gateway = Gateway(replace(SETTINGS, max_retry_after_ms=longest), endpoints=2)
     for request in range(1, 41):
         gateway.connect(request, key=request, load=1.0)
@@ -372,52 +376,51 @@
         gateway.advance(1000)
     for request in range(1000, 1020):
         gateway.submit(request, key=request)
-    refused = [a for a in gateway.advance(300) if isinstance(a, Reject)]  # their time would be up at 1200
-    assert len(refused) > 2
-    assert all(min(longest, 500) <= a.retry_after_ms <= longest for a in refused)
-    assert longest != 1500 or len({a.retry_after_ms for a in refused}) == len(
-        refused
-    )  # not all at the same time
+    rejections = [a for a in gateway.advance(300) if isinstance(a, Reject)]  # the deadline is at 1200 ms
+    assert len(rejections) > 2
+    assert all(min(longest, 500) <= a.retry_after_ms <= longest for a in rejections)
+    # Clients must not all retry at the same time.
+    assert longest != 1500 or len({a.retry_after_ms for a in rejections}) == len(rejections)
 
 
-def test_gateways_do_not_all_fill_an_empty_server_under_its_ceiling() -> None:
-    """Nine gateways that each round up to a whole connection would push a strained server over again."""
-    gateway = filled()
+def test_empty_endpoint_with_a_low_load_limit_gets_only_some_of_the_requests() -> None:
+    """If all gateways rounded up to a whole connection, they would overload the endpoint again."""
+    gateway = gateway_with_connections()
     home = gateway.endpoint_of[1]
     for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
         gateway.end_attempt(request, Outcome.OK, final=True)
     endpoint = gateway.balancer.endpoints[home]
     endpoint.load_limit = 0.25 * gateway.balancer.state.loads.mean_load
-    entered = 0
+    sent_below_limit = 0
     for request in range(500, 700):
         if gateway.submit(request, key=request) == home:
-            entered += 1
+            sent_below_limit += 1
         if request in gateway.endpoint_of:
             gateway.end_attempt(request, Outcome.OK, final=True)
     gateway.balancer.endpoints[home].load_limit = float("inf")
-    open_to_all = 0
+    sent_without_limit = 0
     for request in range(700, 900):
         if gateway.submit(request, key=request - 200) == home:
-            open_to_all += 1
+            sent_without_limit += 1
         if request in gateway.endpoint_of:
             gateway.end_attempt(request, Outcome.OK, final=True)
-    assert 0 < entered < 0.6 * open_to_all
+    assert 0 < sent_below_limit < 0.6 * sent_without_limit
 
 
-def test_shedding_takes_lone_members_of_groups_first() -> None:
+def test_the_only_connection_of_a_group_is_migrated_first() -> None:
     gateway = Gateway(endpoints=1)
     for request in range(1, 21):
         gateway.connect(request, group=1, load=1000.0)
     gateway.connect(21, group=2, load=1000.0)
     gateway.advance(2000)
     gateway.report_latency(1, 300)
-    moves = [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
-    assert moves
-    assert moves[0].request == 21
+    migrations = [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
+    assert migrations
+    assert migrations[0].request == 21
 
 
-def test_a_server_that_turns_all_away_at_once_does_not_look_idle() -> None:
-    gateway = filled()
+def test_endpoint_that_reports_full_for_all_requests_does_not_count_as_idle() -> None:
+    gateway = gateway_with_connections()
     home = gateway.endpoint_of[1]
     for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
         gateway.end_attempt(request, Outcome.OK, final=True)
@@ -430,8 +433,8 @@
     assert sent < 30
 
 
-def test_a_cold_server_is_let_in_slowly_even_in_a_storm() -> None:
-    gateway = filled()
+def test_endpoint_in_slow_start_gets_requests_gradually_even_with_many_arrivals() -> None:
+    gateway = gateway_with_connections()
     gateway.handle_events(list_update(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     for request in range(1000, 1100):
         gateway.submit(request, key=request)
@@ -443,7 +446,7 @@
     assert sum(gateway.endpoint_of.get(r) == 9 for r in range(2000, 2400)) > 5
 
 
-def test_home_zone_first_where_crossing_costs_and_abroad_when_home_is_strained() -> None:
+def test_own_zone_is_preferred_if_crossing_zones_has_a_cost_unless_it_is_overloaded() -> None:
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), endpoints=0)
     gateway.handle_events(list_update(*(entry(i, zone=i % 2) for i in range(1, 7))))
     assert all(gateway.connect(r, key=r, load=1000.0) % 2 == 0 for r in range(1, 31))
@@ -454,17 +457,17 @@
     assert any((gateway.submit(r, key=r) or 0) % 2 for r in range(100, 140))
 
 
-def test_a_tenant_over_its_share_is_turned_away_first_when_servers_are_full() -> None:
+def test_tenant_over_its_quota_is_rejected_first_when_endpoints_are_full() -> None:
     gateway = Gateway(replace(SETTINGS, tenant_connection_quotas=(2.0,)), endpoints=1)
     for request in range(1, 10):
-        gateway.connect(request, group=1, load=1000.0)  # while there is room nobody is turned away
+        gateway.connect(request, group=1, load=1000.0)  # nothing is rejected while capacity is available
     gateway.advance(2000)
     gateway.report_latency(1, 500)
     gateway.handle_events(request_arrived(50))
     assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.advance(300))
 
 
-def test_events_of_what_is_unknown_or_over_change_nothing() -> None:
+def test_events_of_unknown_or_finished_requests_have_no_effect() -> None:
     gateway = Gateway()
     gateway.submit(1)
     gateway.end_attempt(1, Outcome.ERROR, final=True)
@@ -479,7 +482,7 @@
     assert not gateway.balancer.requests
 
 
-def test_nothing_grows_over_a_long_life() -> None:
+def test_state_does_not_grow_over_time() -> None:
     gateway = Gateway()
     for round_ in range(200):
         endpoint = 100 + round_
@@ -519,8 +522,8 @@
     assert "Send" in outputs.pop()
 
 
-def test_what_no_server_can_use_is_held_against_none() -> None:
-    """The id of a request open at another gateway: every server answers ERR, or closes."""
+def test_request_that_fails_at_all_endpoints_counts_against_none() -> None:
+    """If a request's id is in use at another gateway, every endpoint answers ERR or closes the connection."""
     gateway = Gateway(endpoints=4)
     for outcome in (Outcome.ERROR, Outcome.RESET):
         for request in range(1, 9):
@@ -532,7 +535,7 @@
     assert not gateway.balancer.outliers.failing
 
 
-def test_a_server_that_fails_what_others_serve_is_left_out() -> None:
+def test_endpoint_that_fails_a_request_that_another_one_serves_counts_as_failing() -> None:
     gateway = Gateway(endpoints=4)
     first = gateway.submit(1, key=7)
     assert first is not None
@@ -543,8 +546,8 @@
     assert list(gateway.balancer.outliers.failing) == [first]
 
 
-def test_a_time_out_shorter_than_set_ups_take_tells_nothing() -> None:
-    """Clients may give a millisecond; that must not cost servers their good name."""
+def test_timeout_below_the_latency_objective_does_not_count_as_failure() -> None:
+    """Clients may set a deadline of 1 ms, which must not lead to ejections."""
     gateway = Gateway(endpoints=4)
     for request in range(1, 40):
         gateway.connect(request)
@@ -556,30 +559,30 @@
     assert len(gateway.balancer.outliers.failing) == 1
 
 
-def test_a_group_whose_servers_stay_strained_is_placed_elsewhere() -> None:
-    """Others are not strained: seconds of refusals cost more than one more server pays for the group."""
+def test_group_whose_endpoints_stay_overloaded_is_placed_on_another_endpoint() -> None:
+    """Seconds of rejections cost more than adding the group to an endpoint that is not overloaded."""
     gateway = Gateway(endpoints=6)
     for request in range(200, 280):
         gateway.connect(request, key=request)
     gateway.endpoint_of.clear()
     for request in range(1, 13):
         gateway.connect(request, group=9)
-    strained = set(gateway.endpoint_of.values())
-    for endpoint in strained:
+    overloaded = set(gateway.endpoint_of.values())
+    for endpoint in overloaded:
         gateway.report_latency(endpoint, 400)
-    asked_at, request = gateway.now, 100
-    while gateway.submit(request, group=9) in strained | {None} and gateway.now < asked_at + 5000:
+    started_ms, request = gateway.now, 100
+    while gateway.submit(request, group=9) in overloaded | {None} and gateway.now < started_ms + 5000:
         gateway.advance(250)
-        for endpoint in strained:
+        for endpoint in overloaded:
             if gateway.balancer.endpoints[endpoint].connections:
                 gateway.report_latency(endpoint, 400)
         request += 1
-    assert gateway.endpoint_of.get(request) not in strained | {None}
-    assert gateway.now - asked_at <= 500
+    assert gateway.endpoint_of.get(request) not in overloaded | {None}
+    assert gateway.now - started_ms <= 500
 
 
-def test_a_small_home_zone_is_not_filled_beyond_the_fleets_mean() -> None:
-    """One server at home, four elsewhere: the other gateway's clients can't fill those four alone."""
+def test_small_own_zone_is_not_filled_beyond_the_mean_of_all_endpoints() -> None:
+    """The own zone has one endpoint and the other zone four, which the other gateway alone can't fill."""
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.01), endpoints=0)
     gateway.handle_events(list_update(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
     for request in range(1, 61):
@@ -588,8 +591,8 @@
     assert 15 <= home <= 40  # 60 of 120 on one of five would be two and a half times the mean
 
 
-def test_relief_comes_soon_where_few_connections_are_new() -> None:
-    """What many newcomers bring at once passes by itself; a standing load stays until it is moved."""
+def test_overloaded_endpoint_with_few_new_connections_is_relieved_soon() -> None:
+    """The load of new connections drops by itself. The load of old ones lasts until they are migrated."""
     for seed in range(1, 6):
         gateway = Gateway(endpoints=3, seed=seed)
         for request in range(1, 31):
@@ -599,8 +602,8 @@
         assert [a for a in gateway.advance(250) if isinstance(a, Migrate)]
 
 
-def test_a_server_is_held_back_before_its_messages_are_late() -> None:
-    """Delays are told from a third of the aim on; at half of it the pile is late before it is moved."""
+def test_load_limit_is_lowered_before_message_latency_exceeds_the_objective() -> None:
+    """The limit is lowered from about a third of the objective on. At half of it, it would be too late."""
     gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
@@ -612,36 +615,36 @@
     assert other.load_limit == float("inf")
 
 
-def test_a_server_taken_out_gets_nothing_whatever_the_list_says_and_empties_one_by_one() -> None:
+def test_detached_endpoint_gets_no_requests_and_its_connections_are_migrated_one_by_one() -> None:
     gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
-    out = gateway.endpoint_of[1]
-    standing = {r for r, endpoint in gateway.endpoint_of.items() if endpoint == out}
-    late = next(r for r in range(31, 99) if gateway.submit(r, key=r) == out)
+    detached = gateway.endpoint_of[1]
+    connections = {r for r, endpoint in gateway.endpoint_of.items() if endpoint == detached}
+    late = next(r for r in range(31, 99) if gateway.submit(r, key=r) == detached)
     for _ in range(2):
-        gateway.handle_events(EndpointDetached(out))
-    gateway.establish(late)  # its attempt was under way
-    moved = [a for a in gateway.actions if isinstance(a, Migrate)]
-    assert len(moved) < len(standing)
+        gateway.handle_events(EndpointDetached(detached))
+    gateway.establish(late)  # its attempt was pending
+    migrated = [a for a in gateway.actions if isinstance(a, Migrate)]
+    assert len(migrated) < len(connections)
     gateway.handle_events(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
     gateway.advance(1300)
-    assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == standing | {late}
-    assert out not in {gateway.submit(r, key=r) for r in range(100, 140)}
+    assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == connections | {late}
+    assert detached not in {gateway.submit(r, key=r) for r in range(100, 140)}
 
 
-def test_a_server_put_back_is_cold_and_gets_the_next_connection_that_it_may() -> None:
-    for told in (0.0, 2500.0):  # its start, as the list tells it while it is out
+def test_reattached_endpoint_is_in_slow_start_and_gets_the_next_allowed_connection() -> None:
+    for listed_start_ms in (0.0, 2500.0):  # start time in the list while the endpoint is detached
         gateway = Gateway(endpoints=3)
         for request in range(1, 31):
             gateway.connect(request, key=request)
         gateway.advance(600)
         gateway.handle_events(EndpointDetached(1))
         gateway.advance(2000)
-        gateway.handle_events(list_update(entry(1, started=told), entry(2), entry(3), version=2))
+        gateway.handle_events(list_update(entry(1, started=listed_start_ms), entry(2), entry(3), version=2))
         gateway.handle_events(EndpointAttached(1))
         endpoint = gateway.balancer.endpoints[1]
-        assert endpoint.started_ms == (told or gateway.now)
+        assert endpoint.started_ms == (listed_start_ms or gateway.now)
         assert gateway.balancer.state.capacities.warmth(endpoint) < 0.5
         first = next(
             r for r in range(100, 130) if gateway.submit(r, key=r) == 1 or gateway.advance(100) is None
@@ -650,12 +653,12 @@
         assert first < 120
         assert not gateway.balancer.state.slow_start.reattached_ms
         before = len(sends(gateway.actions))
-        for request in range(200, 230):  # all at once: rule 4 holds for it as for any cold one
+        for request in range(200, 230):  # all at once: the slow start budget applies as usual
             gateway.submit(request, key=request)
         assert sum(s.endpoint == 1 for s in sends(gateway.actions)[before:]) <= 2
 
 
-def test_retuning_leaves_open_requests_their_rules_and_attempts() -> None:
+def test_changed_settings_do_not_apply_to_pending_requests() -> None:
     gateway = Gateway(endpoints=3)
     gateway.submit(1, key=1)
     strict = replace(SETTINGS.classes[0], name="strict", deadline_ms=200)
@@ -668,15 +671,15 @@
     assert [a for a in gateway.end_attempt(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
 
 
-def test_what_the_process_before_saw_of_a_server_holds() -> None:
+def test_restored_load_limit_of_a_previous_process_applies() -> None:
     before, after = Gateway(endpoints=3), Gateway(endpoints=3)
     for request in range(1, 31):
         before.connect(request, group=7)
-    strained = before.endpoint_of[1]
-    before.report_latency(strained, 900)
-    for endpoint, ceiling in before.balancer.load_limits().items():
-        after.handle_events(LoadLimitRestored(endpoint, ceiling))
+    overloaded = before.endpoint_of[1]
+    before.report_latency(overloaded, 900)
+    for endpoint, load_limit in before.balancer.load_limits().items():
+        after.handle_events(LoadLimitRestored(endpoint, load_limit))
     for request in range(1, 31):
         after.submit(request, group=7)
-    held = after.balancer.endpoints[strained]
-    assert held.load <= held.load_limit == before.balancer.endpoints[strained].load_limit
+    restored = after.balancer.endpoints[overloaded]
+    assert restored.load <= restored.load_limit == before.balancer.endpoints[overloaded].load_limit
