--- a/packages/residency/src/puffindeck_residency/ruleset.py
+++ b/packages/residency/src/puffindeck_residency/ruleset.py
@@ -14,7 +14,7 @@
     """The regions of one service.
 
     `matches` returns whether a request belongs to the service. Its argument is the front's description of the request
-    (`puffindeck.routing.View`).
+    (`puffindeck.routing.RequestView`).
     """
 
     name: str
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -146,11 +146,11 @@
 
     def _view(self, event: RequestArrived) -> Any:
         """Return the view of a request that conditions of tenants and services are evaluated on."""
-        from puffindeck.routing import View
+        from puffindeck.routing import RequestView
 
         assert self._engine is not None
         cls = self._engine.settings.classes[event.cls].name
-        return View(event.connection_info or ConnectionInfo(), cls, lambda pool: 0, event.group)
+        return RequestView(event.connection_info or ConnectionInfo(), cls, lambda pool: 0, event.group)
 
     def _tenant(self, view: Any) -> str:
         """Return the first tenant whose conditions hold, or `default` if there is none."""
--- a/puffindeck/routing/__init__.py
+++ b/puffindeck/routing/__init__.py
@@ -6,9 +6,18 @@
 talks to. docs/design/routing.md has the ways weighed.
 """
 
-from puffindeck.routing.conditions import Condition, ConditionError, View
+from puffindeck.routing.conditions import Condition, ConditionError, RequestView
 from puffindeck.routing.pool_router import PoolRouter
 from puffindeck.routing.pools import Pool, Routing
 from puffindeck.routing.table import Route, RouteTable
 
-__all__ = ["Condition", "ConditionError", "Pool", "PoolRouter", "Route", "RouteTable", "Routing", "View"]
+__all__ = [
+    "Condition",
+    "ConditionError",
+    "Pool",
+    "PoolRouter",
+    "RequestView",
+    "Route",
+    "RouteTable",
+    "Routing",
+]
--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -32,7 +32,7 @@
     """A condition can't be read; the text says why."""
 
 
-class View(NamedTuple):
+class RequestView(NamedTuple):
     """What is known of a request when its route is looked for."""
 
     facts: ConnectionInfo
@@ -111,11 +111,11 @@
     def _networks(self) -> tuple[IPv4Network | IPv6Network, ...]:
         return tuple(net for net in self._ready if isinstance(net, (IPv4Network, IPv6Network)))
 
-    def holds(self, view: View) -> bool:
+    def holds(self, view: RequestView) -> bool:
         """Whether this request meets it."""
         return self._met(view) != self.negated
 
-    def _met(self, view: View) -> bool:
+    def _met(self, view: RequestView) -> bool:
         facts = view.facts
         if self.on == "source":
             return bool(facts.source) and self._within(facts.source)
--- a/puffindeck/routing/pool_router.py
+++ b/puffindeck/routing/pool_router.py
@@ -35,7 +35,7 @@
     WatchEndpoints,
 )
 from puffindeck.policy.records import Request
-from puffindeck.routing.conditions import View
+from puffindeck.routing.conditions import RequestView
 from puffindeck.routing.pool_state import PoolState, Tier, choose_tier, other_tier
 from puffindeck.routing.pools import Pool, Routing, named
 from puffindeck.routing.tier import TierBalancer
@@ -223,7 +223,7 @@
             return
         cls = self.settings.classes[event.cls].name
         name = self.routing.table.choose(
-            View(event.connection_info or UNKNOWN, cls, self.usable, event.group)
+            RequestView(event.connection_info or UNKNOWN, cls, self.usable, event.group)
         )
         pool = self.pools.get(name)
         if pool is None or pool.is_full():
--- a/puffindeck/routing/table.py
+++ b/puffindeck/routing/table.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from puffindeck.routing.conditions import Condition, View
+from puffindeck.routing.conditions import Condition, RequestView
 
 
 @dataclass(frozen=True)
@@ -14,7 +14,7 @@
     pool: str
     when: tuple[tuple[Condition, ...], ...] = ()
 
-    def fits(self, view: View) -> bool:
+    def fits(self, view: RequestView) -> bool:
         """Whether a request takes this route."""
         return not self.when or any(all(one.holds(view) for one in group) for group in self.when)
 
@@ -26,7 +26,7 @@
     routes: tuple[Route, ...] = ()
     default: str = ""
 
-    def choose(self, view: View) -> str:
+    def choose(self, view: RequestView) -> str:
         """The name of a request's pool; empty where it has none."""
         return next((route.pool for route in self.routes if route.fits(view)), self.default)
 
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -33,7 +33,16 @@
     SettingsChanged,
     WatchEndpoints,
 )
-from puffindeck.routing import Condition, ConditionError, Pool, PoolRouter, Route, RouteTable, Routing, View
+from puffindeck.routing import (
+    Condition,
+    ConditionError,
+    Pool,
+    PoolRouter,
+    RequestView,
+    Route,
+    RouteTable,
+    Routing,
+)
 from tests.support.gateway import SETTINGS, Gateway, RuleChecker, entry, list_update, request_arrived, sends
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500)
@@ -52,8 +61,8 @@
     return Gateway(RULES, endpoints, balancer=pooled(*pools, **more))  # type: ignore[arg-type]
 
 
-def view(cls: str = "chat", usable: int = 1, **facts: object) -> View:
-    return View(ConnectionInfo(**facts), cls, lambda pool: usable)  # type: ignore[arg-type]
+def view(cls: str = "chat", usable: int = 1, **facts: object) -> RequestView:
+    return RequestView(ConnectionInfo(**facts), cls, lambda pool: usable)  # type: ignore[arg-type]
 
 
 MAIN = Pool("main", (names(1, 2, 3), names(4, 5)))
@@ -86,7 +95,7 @@
         (Condition("usable", ("0",), pool="main"), view(usable=0), True),
     ],
 )
-def test_a_condition_holds_for_what_it_names(condition: Condition, seen: View, holds: bool) -> None:
+def test_a_condition_holds_for_what_it_names(condition: Condition, seen: RequestView, holds: bool) -> None:
     assert condition.holds(seen) is holds
 
 
