--- a/puffindeck/client_side/client_balancer.py
+++ b/puffindeck/client_side/client_balancer.py
@@ -37,10 +37,10 @@
         """The ring that it places on."""
         return self._client.ring
 
-    def heard(self, now_ms: float) -> None:
+    def confirm_list(self, now_ms: float) -> None:
         """The source of the list has given a sign of life, with or without changes."""
-        self._client.freshness.heard(now_ms)
+        self._client.freshness.confirm_list(now_ms)
 
-    def age_ms(self, now_ms: float) -> float:
+    def list_age_ms(self, now_ms: float) -> float:
         """How long ago, in milliseconds, the list last gave a sign of life; infinite before the first."""
-        return self._client.freshness.age_ms(now_ms)
+        return self._client.freshness.list_age_ms(now_ms)
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -31,17 +31,17 @@
         self._context = state.context
         self._heard_ms = -INF
 
-    def heard(self, now_ms: float) -> None:
+    def confirm_list(self, now_ms: float) -> None:
         """The source of the list has given a sign of life, with or without changes."""
         self._heard_ms = now_ms
 
-    def age_ms(self, now_ms: float) -> float:
+    def list_age_ms(self, now_ms: float) -> float:
         """How long ago that was; infinite before the first."""
         return now_ms - self._heard_ms
 
     def connect_failures_needed(self) -> float:
         """An endpoint out of reach that is back was most likely restarted, and the list may be late."""
-        return 1 if self.age_ms(self._context.now_ms) > STALE_LIST_MS else 2
+        return 1 if self.list_age_ms(self._context.now_ms) > STALE_LIST_MS else 2
 
 
 class ClientRing:
@@ -245,7 +245,7 @@
 
     def endpoints_listed(self) -> None:
         """The list has given a sign of life."""
-        self._freshness.heard(self._context.now_ms)
+        self._freshness.confirm_list(self._context.now_ms)
 
     def endpoint_reattached(self, endpoint: int) -> None:
         """It fills by lot like others in slow start: hundreds that all tried it would end it."""
--- a/puffindeck/client_side/pool_router.py
+++ b/puffindeck/client_side/pool_router.py
@@ -53,11 +53,11 @@
         """How often in a row the list could not be had."""
         return self._clients()[0].registry.list_failures
 
-    def heard(self, now_ms: float) -> None:
+    def confirm_list(self, now_ms: float) -> None:
         """The source of the list has given a sign of life, with or without changes."""
         for client in self._clients():
-            client.client.freshness.heard(now_ms)
+            client.client.freshness.confirm_list(now_ms)
 
-    def age_ms(self, now_ms: float) -> float:
+    def list_age_ms(self, now_ms: float) -> float:
         """How long ago, in milliseconds, the list last gave a sign of life; infinite before the first."""
-        return self._clients()[0].client.freshness.age_ms(now_ms)
+        return self._clients()[0].client.freshness.list_age_ms(now_ms)
--- a/puffindeck/rpc/shared_state.py
+++ b/puffindeck/rpc/shared_state.py
@@ -42,10 +42,10 @@
     def list_failures(self) -> int:
         """How often in a row the list could not be had."""
 
-    def heard(self, now_ms: float) -> None:
+    def confirm_list(self, now_ms: float) -> None:
         """Discovery has given a sign of life."""
 
-    def age_ms(self, now_ms: float) -> float:
+    def list_age_ms(self, now_ms: float) -> float:
         """Milliseconds since the last sign of life; infinite before the first."""
 
 
@@ -140,13 +140,13 @@
             self.endpoint_watch.start()
 
     def _on_discovery_alive(self) -> None:
-        self.balancer.heard(to_ms(self.clock.now()))
+        self.balancer.confirm_list(to_ms(self.clock.now()))
         self.notify()
 
     @property
     def list_age_ms(self) -> float:
         """Milliseconds since discovery last gave a sign of life; infinite before the first."""
-        return self.balancer.age_ms(to_ms(self.clock.now()))
+        return self.balancer.list_age_ms(to_ms(self.clock.now()))
 
     def notify(self) -> None:
         """Wake all that wait for a change of the endpoint list."""
