--- a/puffindeck/client_side/client_balancer.py
+++ b/puffindeck/client_side/client_balancer.py
@@ -41,6 +41,6 @@
         """The source of the list has given a sign of life, with or without changes."""
         self._client.freshness.confirm_list(now_ms)
 
-    def list_age_ms(self, now_ms: float) -> float:
+    def endpoint_list_age_ms(self, now_ms: float) -> float:
         """How long ago, in milliseconds, the list last gave a sign of life; infinite before the first."""
-        return self._client.freshness.list_age_ms(now_ms)
+        return self._client.freshness.endpoint_list_age_ms(now_ms)
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -35,13 +35,13 @@
         """The source of the list has given a sign of life, with or without changes."""
         self._heard_ms = now_ms
 
-    def list_age_ms(self, now_ms: float) -> float:
+    def endpoint_list_age_ms(self, now_ms: float) -> float:
         """How long ago that was; infinite before the first."""
         return now_ms - self._heard_ms
 
     def connect_failures_needed(self) -> float:
         """An endpoint out of reach that is back was most likely restarted, and the list may be late."""
-        return 1 if self.list_age_ms(self._context.now_ms) > STALE_LIST_MS else 2
+        return 1 if self.endpoint_list_age_ms(self._context.now_ms) > STALE_LIST_MS else 2
 
 
 class ClientRing:
--- a/puffindeck/client_side/pool_router.py
+++ b/puffindeck/client_side/pool_router.py
@@ -58,6 +58,6 @@
         for client in self._clients():
             client.client.freshness.confirm_list(now_ms)
 
-    def list_age_ms(self, now_ms: float) -> float:
+    def endpoint_list_age_ms(self, now_ms: float) -> float:
         """How long ago, in milliseconds, the list last gave a sign of life; infinite before the first."""
-        return self._clients()[0].client.freshness.list_age_ms(now_ms)
+        return self._clients()[0].client.freshness.endpoint_list_age_ms(now_ms)
--- a/puffindeck/rpc/shared_state.py
+++ b/puffindeck/rpc/shared_state.py
@@ -45,7 +45,7 @@
     def confirm_list(self, now_ms: float) -> None:
         """Discovery has given a sign of life."""
 
-    def list_age_ms(self, now_ms: float) -> float:
+    def endpoint_list_age_ms(self, now_ms: float) -> float:
         """Milliseconds since the last sign of life; infinite before the first."""
 
 
@@ -146,7 +146,7 @@
     @property
     def list_age_ms(self) -> float:
         """Milliseconds since discovery last gave a sign of life; infinite before the first."""
-        return self.balancer.list_age_ms(to_ms(self.clock.now()))
+        return self.balancer.endpoint_list_age_ms(to_ms(self.clock.now()))
 
     def notify(self) -> None:
         """Wake all that wait for a change of the endpoint list."""
--- a/tests/client_side/test_client_balancer.py
+++ b/tests/client_side/test_client_balancer.py
@@ -285,13 +285,13 @@
 
     def test_the_rosters_age_is_known(self) -> None:
         member = ClientBalancer(SETTINGS, 1)
-        assert member.list_age_ms(START) == float("inf")
+        assert member.endpoint_list_age_ms(START) == float("inf")
         member.handle(START, [EndpointListUpdated(ListUpdateKind.FULL, 1, entries(SERVERS))])
-        assert member.list_age_ms(START + 20000) == 20000
+        assert member.endpoint_list_age_ms(START + 20000) == 20000
         member.handle(START + 20000, [EndpointListUpdated(ListUpdateKind.FAILED, 0, [])])
-        assert member.list_age_ms(START + 20000) == 20000
+        assert member.endpoint_list_age_ms(START + 20000) == 20000
         member.confirm_list(START + 20000)
-        assert member.list_age_ms(START + 20000) == 0
+        assert member.endpoint_list_age_ms(START + 20000) == 0
 
     def test_without_a_list_a_request_is_refused_at_once_and_told_when_to_come(self) -> None:
         waits = set()
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -66,7 +66,7 @@
     assert isinstance(balancer, ClientPoolRouter)
     assert (balancer.ready, balancer.version, balancer.list_failures) == (True, 1, 0)
     balancer.confirm_list(2000.0)
-    assert balancer.list_age_ms(2500.0) == 500.0
+    assert balancer.endpoint_list_age_ms(2500.0) == 500.0
 
 
 class ChannelStories(IsolatedAsyncioTestCase):
