--- a/puffindeck/routing/__init__.py
+++ b/puffindeck/routing/__init__.py
@@ -1,9 +1,13 @@
-"""Routes to pools of servers, with tiers of backups, limits and drains. No I/O, no clock.
+"""Routes that map requests to pools of endpoints, with backup tiers, limits and draining. No I/O, no clock.
 
-A request's route is found in a table (`table`), by conditions on what its front knows of it (`conditions`).
-Its pool has tiers: the endpoints that serve, then those that stand in for them (`pools`, `pool_state`). On
-each tier one Balancer places, retries and rejects by its own rules (`tier`); `pool_router` is what the engine
-talks to. docs/design/routing.md has the ways weighed.
+- `table` finds the route of a request, by conditions on the request (`conditions`).
+- `pools` has the configuration of pools. The endpoints of a pool form tiers. Endpoints of a later tier are
+  backups, which serve only while the earlier tiers have no healthy endpoint.
+- `tier` has the Balancer of one tier, which places, retries and rejects the requests of that tier.
+- `pool_state` selects the tier that serves a request.
+- `pool_router` combines these behind the interface of a Balancer.
+
+docs/design/routing.md compares this design with its alternatives.
 """
 
 from puffindeck.routing.conditions import Condition, ConditionError, RequestView
--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -1,4 +1,4 @@
-"""Conditions of routes: what a front knows of a client, compared with values."""
+"""Conditions of routes: comparisons of a request's attributes with configured values."""
 
 from __future__ import annotations
 
@@ -12,135 +12,143 @@
 from puffindeck.hashes import key_number
 from puffindeck.interface import ConnectionInfo
 
-# what a condition may be on, and the ways in which it may be compared, the usual one first
-TEXTS = ("exact", "prefix", "suffix", "contains", "regex")
-WAYS = {
+TEXT_COMPARISONS = ("exact", "prefix", "suffix", "contains", "regex")
+# The attributes that a condition may test, each with its allowed comparisons. The first one is the default.
+COMPARISONS = {
     "source": ("network",),
     "source_port": ("range",),
     "port": ("range",),
-    "listener": TEXTS,
-    "server_name": TEXTS,
-    "class": TEXTS,
+    "listener": TEXT_COMPARISONS,
+    "server_name": TEXT_COMPARISONS,
+    "class": TEXT_COMPARISONS,
     "group": ("exact",),
     "usable": ("range",),
 }
 
-HIGHEST = 1 << 31  # of a range that has no end
+NO_UPPER_BOUND = 1 << 31  # upper bound of a range without one; above every port and endpoint count
 
 
 class ConditionError(ValueError):
-    """A condition can't be read; the text says why."""
+    """A condition is invalid. The text describes the fault."""
 
 
 class RequestView(NamedTuple):
-    """What is known of a request when its route is looked for."""
+    """The attributes of a request that conditions are evaluated on."""
 
-    facts: ConnectionInfo
-    cls: str
-    usable: Callable[[str], int]  # how many endpoints of a pool are fit to serve now
-    group: int = 0  # of the client, as the decision module has it
+    connection_info: ConnectionInfo
+    cls: str  # name of the request's class
+    usable: Callable[[str], int]  # returns the number of healthy endpoints of a pool
+    group: int = 0  # number of the client's group as in `RequestArrived`; 0: none
 
 
-def _range(text: str) -> tuple[int, int]:
-    """`80`, `1024:65535`, `:1023`, `5:`."""
+def _parse_range(text: str) -> tuple[int, int]:
+    """Parse a number or an inclusive range: `80`, `1024:65535`, `:1023` or `5:`."""
     low, colon, high = text.partition(":")
     if not colon:
         high = low
     if not re.fullmatch(r"\d*:?\d*", text) or text in ("", ":"):
-        raise ConditionError(f"{text!r} is no number or range LOW:HIGH")
+        raise ConditionError(f"{text!r} is not a number or a range LOW:HIGH")
     first = int(low or 0)
-    last = int(high) if high else HIGHEST
+    last = int(high) if high else NO_UPPER_BOUND
     if first > last:
         raise ConditionError(f"{text!r} is an empty range")
     return first, last
 
 
-def _network(text: str) -> IPv4Network | IPv6Network:
+def _parse_network(text: str) -> IPv4Network | IPv6Network:
     try:
         return ip_network(text, strict=False)
     except ValueError:
-        raise ConditionError(f"{text!r} is no address or network") from None
+        raise ConditionError(f"{text!r} is not an IP address or network") from None
 
 
 @dataclass(frozen=True)
 class Condition:
-    """One thing that a request must meet, or with `negated` must not.
+    """A test of one attribute of a request, which passes if any of `values` matches the attribute.
 
-    What is not known equals no value: a condition on it fails, and a negated one is met. ConditionError says
-    what is wrong with one that can't be read.
+    `negated` inverts the result. An unknown attribute matches no value. The constructor raises ConditionError
+    if the condition is invalid.
     """
 
-    on: str
+    on: str  # the attribute, a key of COMPARISONS
     values: tuple[str, ...]
-    how: str = ""
+    how: str = ""  # the comparison; empty: the attribute's default
     negated: bool = False
     ignore_case: bool = False
-    pool: str = ""  # whose usable endpoints are counted
-    _ready: tuple[object, ...] = field(default=(), init=False, repr=False, compare=False)
+    pool: str = ""  # with `usable`: the pool whose healthy endpoints are counted
+    # `values`, converted for the comparison
+    _operands: tuple[object, ...] = field(default=(), init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        ways = WAYS.get(self.on)
-        if ways is None:
-            raise ConditionError(f"on must be one of {', '.join(WAYS)}, not {self.on!r}")
+        comparisons = COMPARISONS.get(self.on)
+        if comparisons is None:
+            raise ConditionError(f"on must be one of {', '.join(COMPARISONS)}, not {self.on!r}")
         if not self.how:
-            object.__setattr__(self, "how", ways[0])
-        if self.how not in ways:
-            raise ConditionError(f"{self.on} is compared by {', '.join(ways)}, not {self.how!r}")
+            object.__setattr__(self, "how", comparisons[0])
+        if self.how not in comparisons:
+            raise ConditionError(f"{self.on} is compared by {', '.join(comparisons)}, not {self.how!r}")
         if not self.values:
             raise ConditionError(f"{self.on} has no values")
         if (self.on == "usable") != bool(self.pool):
-            raise ConditionError("usable, and nothing else, names a pool")
-        read: dict[str, Callable[[str], object]] = {
-            "network": _network,
-            "range": _range,
-            "regex": self._pattern,
+            raise ConditionError("a condition on usable must name a pool, and no other condition may")
+        converters: dict[str, Callable[[str], object]] = {
+            "network": _parse_network,
+            "range": _parse_range,
+            "regex": self._compile_pattern,
         }
-        convert = read.get(self.how, self._folded)
-        object.__setattr__(self, "_ready", tuple(convert(value) for value in self.values))
+        convert = converters.get(self.how, self._fold_case)
+        object.__setattr__(self, "_operands", tuple(convert(value) for value in self.values))
 
-    def _folded(self, text: str) -> str:
+    def _fold_case(self, text: str) -> str:
         return text.lower() if self.ignore_case else text
 
-    def _pattern(self, text: str) -> re.Pattern[str]:
+    def _compile_pattern(self, text: str) -> re.Pattern[str]:
         try:
             return re.compile(text, re.IGNORECASE if self.ignore_case else 0)
         except re.error as error:
-            raise ConditionError(f"{text!r} is no regular expression: {error}") from None
+            raise ConditionError(f"{text!r} is not a regular expression: {error}") from None
 
     @cached_property
     def _networks(self) -> tuple[IPv4Network | IPv6Network, ...]:
-        return tuple(net for net in self._ready if isinstance(net, (IPv4Network, IPv6Network)))
+        return tuple(operand for operand in self._operands if isinstance(operand, (IPv4Network, IPv6Network)))
 
     def holds(self, view: RequestView) -> bool:
-        """Whether this request meets it."""
-        return self._met(view) != self.negated
+        """Return whether the request meets the condition."""
+        return self._any_value_matches(view) != self.negated
 
-    def _met(self, view: RequestView) -> bool:
-        facts = view.facts
+    def _any_value_matches(self, view: RequestView) -> bool:
+        connection = view.connection_info
         if self.on == "source":
-            return bool(facts.source) and self._within(facts.source)
+            return bool(connection.source) and self._matches_address(connection.source)
         if self.on == "group":
             return view.group > 0 and any(key_number(value.encode()) == view.group for value in self.values)
         if self.on == "usable":
-            return self._counts(view.usable(self.pool))
+            return self._matches_number(view.usable(self.pool))
         if self.on in ("source_port", "port"):
-            figure = facts.source_port if self.on == "source_port" else facts.port
-            return figure > 0 and self._counts(figure)
-        text = {"listener": facts.listener, "server_name": facts.server_name, "class": view.cls}[self.on]
-        return bool(text) and self._reads(self._folded(text))
-
-    def _within(self, source: str) -> bool:
+            port = connection.source_port if self.on == "source_port" else connection.port
+            return port > 0 and self._matches_number(port)
+        text = {
+            "listener": connection.listener,
+            "server_name": connection.server_name,
+            "class": view.cls,
+        }[self.on]
+        return bool(text) and self._matches_text(self._fold_case(text))
+
+    def _matches_address(self, source: str) -> bool:
         try:
             address = ip_address(source)
         except ValueError:
             return False
-        mapped = getattr(address, "ipv4_mapped", None) or address  # a v4 client on a v6 port
-        return any(mapped in net for net in self._networks)
+        # An IPv6 socket reports IPv4 clients by IPv4-mapped addresses.
+        unmapped = getattr(address, "ipv4_mapped", None) or address
+        return any(unmapped in network for network in self._networks)
 
-    def _counts(self, figure: int) -> bool:
-        return any(isinstance(bounds, tuple) and bounds[0] <= figure <= bounds[1] for bounds in self._ready)
+    def _matches_number(self, number: int) -> bool:
+        return any(
+            isinstance(bounds, tuple) and bounds[0] <= number <= bounds[1] for bounds in self._operands
+        )
 
-    def _reads(self, text: str) -> bool:
+    def _matches_text(self, text: str) -> bool:
         compare: dict[str, Callable[[str], bool]] = {
             "exact": text.__eq__,
             "prefix": text.startswith,
@@ -148,5 +156,8 @@
             "contains": text.__contains__,
         }
         if self.how == "regex":
-            return any(isinstance(p, re.Pattern) and p.search(text) is not None for p in self._ready)
-        return any(isinstance(value, str) and compare[self.how](value) for value in self._ready)
+            return any(
+                isinstance(pattern, re.Pattern) and pattern.search(text) is not None
+                for pattern in self._operands
+            )
+        return any(isinstance(value, str) and compare[self.how](value) for value in self._operands)
--- a/puffindeck/routing/pool_router.py
+++ b/puffindeck/routing/pool_router.py
@@ -37,7 +37,7 @@
 from puffindeck.policy.records import Request
 from puffindeck.routing.conditions import RequestView
 from puffindeck.routing.pool_state import PoolState, Tier, choose_tier, other_tier
-from puffindeck.routing.pools import Pool, Routing, named
+from puffindeck.routing.pools import Pool, Routing, matches_any
 from puffindeck.routing.tier import TierBalancer
 
 UNKNOWN = ConnectionInfo()
@@ -193,7 +193,7 @@
         name = self._name(entry.endpoint)
         if pool.tier_of(name) != tier:
             return None
-        if entry.state == EndpointStatus.READY and named(name, pool.drained):
+        if entry.state == EndpointStatus.READY and matches_any(name, pool.drained):
             return replace(entry, state=EndpointStatus.DRAINING)
         return entry
 
--- a/puffindeck/routing/pools.py
+++ b/puffindeck/routing/pools.py
@@ -1,4 +1,4 @@
-"""Pools, as an operator configures them."""
+"""Configuration of pools."""
 
 from __future__ import annotations
 
@@ -12,44 +12,45 @@
 
 @dataclass(frozen=True)
 class Pool:
-    """Endpoints that serve the same, by the names that the list has for them (or patterns with * and ?).
+    """Interchangeable endpoints, given by their names in the endpoint list or by patterns with * and ?.
 
-    `tiers` are tried in their order: a later one serves only while no endpoint of those before is fit.
+    `tiers` are in order of preference. A tier serves only while the tiers before it have no healthy endpoint.
     """
 
     name: str
     tiers: tuple[tuple[str, ...], ...]
-    limit: int = 0  # connections of this node in the pool at most; 0: no limit
-    server_limits: Mapping[str, int] = field(default_factory=dict)  # the same for single endpoints
-    drained: tuple[str, ...] = ()  # endpoints that take nothing new, whatever the list says
-    attempts: int = 0  # in place of the settings' limit; 0: that holds
-    bound: float = 0.0  # c of bounded loads; 0: the settings'
-    warm_ms: float = -1.0  # slow start in milliseconds; under 0: the settings'
+    limit: int = 0  # most connections of this node to the pool; 0: no limit
+    server_limits: Mapping[str, int] = field(default_factory=dict)  # most connections, by endpoint name
+    drained: tuple[str, ...] = ()  # endpoints that count as draining even if the list has them as ready
+    attempts: int = 0  # attempts per request, at most the settings' number; 0: the settings' number
+    bound: float = 0.0  # bound of bounded-load hashing, as in `Settings`; 0: the settings' value
+    warm_ms: float = -1.0  # length of slow start; negative: the settings' value
 
     def tier_of(self, endpoint: str) -> int | None:
-        """The number of the tier that an endpoint is in; None: it is in none."""
-        return next((i for i, tier in enumerate(self.tiers) if named(endpoint, tier)), None)
+        """Return the number of an endpoint's tier, from 0; None if the pool doesn't have the endpoint."""
+        return next((i for i, tier in enumerate(self.tiers) if matches_any(endpoint, tier)), None)
 
-    def settings(self, given: Settings) -> Settings:
-        """The decision module's settings on this pool."""
-        attempts = min(self.attempts, given.max_attempts) if self.attempts else given.max_attempts
+    def settings(self, base: Settings) -> Settings:
+        """Return the decision module's settings for this pool: `base` with the values that the pool sets."""
+        attempts = min(self.attempts, base.max_attempts) if self.attempts else base.max_attempts
         return replace(
-            given,
+            base,
             max_attempts=attempts,
-            bound=self.bound or given.bound,
-            slow_start_ms=given.slow_start_ms if self.warm_ms < 0 else self.warm_ms,
+            bound=self.bound or base.bound,
+            slow_start_ms=base.slow_start_ms if self.warm_ms < 0 else self.warm_ms,
         )
 
 
 @dataclass(frozen=True)
 class Routing:
-    """The table of routes and the pools that it leads to."""
+    """The routing table and its pools."""
 
     table: RouteTable
     pools: tuple[Pool, ...]
-    listeners: Mapping[str, tuple[str, int]] = field(default_factory=dict)  # beside `listen`, by name
+    # Addresses by listener name, in addition to the address of `listen`.
+    listeners: Mapping[str, tuple[str, int]] = field(default_factory=dict)
 
 
-def named(endpoint: str, patterns: tuple[str, ...]) -> bool:
-    """Whether an endpoint is among these names and patterns."""
+def matches_any(endpoint: str, patterns: tuple[str, ...]) -> bool:
+    """Return whether an endpoint's name matches one of these names and patterns."""
     return any(fnmatchcase(endpoint, pattern) for pattern in patterns)
--- a/puffindeck/routing/table.py
+++ b/puffindeck/routing/table.py
@@ -1,4 +1,4 @@
-"""The table of routes: the first that fits names the pool."""
+"""The routing table, in which the first matching route selects a request's pool."""
 
 from __future__ import annotations
 
@@ -9,29 +9,29 @@
 
 @dataclass(frozen=True)
 class Route:
-    """To a pool, where all conditions of one of the groups hold; without groups always."""
+    """A route to a pool. Matches if all conditions of at least one group hold, or if there are no groups."""
 
     pool: str
     when: tuple[tuple[Condition, ...], ...] = ()
 
-    def fits(self, view: RequestView) -> bool:
-        """Whether a request takes this route."""
-        return not self.when or any(all(one.holds(view) for one in group) for group in self.when)
+    def matches(self, view: RequestView) -> bool:
+        """Return whether a request matches this route."""
+        return not self.when or any(all(condition.holds(view) for condition in group) for group in self.when)
 
 
 @dataclass(frozen=True)
 class RouteTable:
-    """Routes in their order, and the pool of requests that none fits (empty: they are rejected)."""
+    """Routes in order of precedence, and the pool of requests that match none of them."""
 
     routes: tuple[Route, ...] = ()
-    default: str = ""
+    default: str = ""  # empty: requests that match no route are rejected
 
     def choose(self, view: RequestView) -> str:
-        """The name of a request's pool; empty where it has none."""
-        return next((route.pool for route in self.routes if route.fits(view)), self.default)
+        """Return the name of a request's pool; empty if it has none."""
+        return next((route.pool for route in self.routes if route.matches(view)), self.default)
 
     def pools(self) -> set[str]:
-        """All pools that it names."""
-        named = {route.pool for route in self.routes} | {self.default}
+        """Return the names of all pools in the table, including those in conditions."""
+        targets = {route.pool for route in self.routes} | {self.default}
         conditions = (c for route in self.routes for group in route.when for c in group)
-        return (named | {c.pool for c in conditions}) - {""}
+        return (targets | {c.pool for c in conditions}) - {""}
