--- a/puffindeck/routing/pool_router.py
+++ b/puffindeck/routing/pool_router.py
@@ -1,4 +1,4 @@
-"""One gateway's decisions over all pools, in place of a single Balancer."""
+"""The decisions of one gateway over all pools. Takes the place of a single Balancer."""
 
 from __future__ import annotations
 
@@ -40,31 +40,32 @@
 from puffindeck.routing.pools import Pool, Routing, matches_any
 from puffindeck.routing.tier import TierBalancer
 
-UNKNOWN = ConnectionInfo()
-RETRY_AFTER_MS = 1000.0  # a client that has no place now may come again about then
+UNKNOWN_CONNECTION = ConnectionInfo()
+# Mean retry delay of rejected clients. Each gets a random one within 50% of it, so that they do not all retry
+# at once.
+RETRY_AFTER_MS = 1000.0
 
 
 @dataclass(slots=True)
 class RequestLocation:
-    """Where a request is."""
+    """The tier that has a request."""
 
     tier: Tier
-    arrival: RequestArrived | None  # None: its connection is from before the start
-    earlier_attempts: int = 0  # that other tiers have made
+    arrival: RequestArrived | None  # None: its connection was already open when this instance started
+    earlier_attempts: int = 0  # number of attempts in other tiers
 
 
 class TierTimer(NamedTuple):
-    """A timer that a tier has asked for, by the tier's own token."""
+    """A timer that a tier has scheduled, with the tier's own token."""
 
     tier: Tier
     token: int
 
 
 class PoolRouter:
-    """Finds each request's pool and tier; that tier's Balancer does all else.
+    """Selects the pool and the tier of each request. The Balancer of the tier makes all other decisions.
 
-    `number` and `name` say which endpoint a name stands for, and back. It has Balancer's own interface:
-    events and a moment in milliseconds in, actions out.
+    Has the interface of a Balancer: `handle` takes events and returns actions.
     """
 
     def __init__(
@@ -75,6 +76,7 @@
         number: Callable[[str], int],
         name: Callable[[int], str],
     ) -> None:
+        """Create the router. `number` maps an endpoint's name to its number, and `name` is the inverse."""
         self.routing = routing
         self.settings = settings
         self._number = number
@@ -94,13 +96,13 @@
 
     def _add_pool(self, pool: Pool) -> None:
         state = self.pools[pool.name] = PoolState(pool)
-        for i in range(len(pool.tiers)):
+        for tier_number in range(len(pool.tiers)):
             seed = self.random.getrandbits(32)
             balancer = self._tier_balancer(pool.settings(self.settings), seed, state)
             balancer.set_limits(
                 {self._number(endpoint): limit for endpoint, limit in pool.server_limits.items()}
             )
-            tier = Tier(state, i, balancer)
+            tier = Tier(state, tier_number, balancer)
             state.tiers.append(tier)
             self.tiers.append(tier)
 
@@ -126,11 +128,12 @@
         }
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Take in what has happened at this moment, in milliseconds, and return what is to be done."""
+        """Handle the events of one moment, in milliseconds, and return the actions to execute."""
         self.now = now_ms
         self._actions = []
-        if not self._is_started:  # before any event a tier has actions of its own: it asks for the list
+        if not self._is_started:
             self._is_started = True
+            # A tier returns actions before its first event, such as the request for the endpoint list.
             for tier in self.tiers:
                 self._dispatch(tier)
         for event in events:
@@ -138,34 +141,37 @@
         return self._actions
 
     def load_limits(self) -> dict[int, float]:
-        """What endpoints have been seen to bear, for the process after this one: the least of any pool."""
-        found: dict[int, float] = {}
+        """Return the load limits of endpoints, which a later process restores.
+
+        The limit of an endpoint in several pools is the lowest one.
+        """
+        lowest: dict[int, float] = {}
         for tier in self.tiers:
             for endpoint, limit in tier.balancer.load_limits().items():
-                found[endpoint] = min(limit, found.get(endpoint, limit))
-        return found
+                lowest[endpoint] = min(limit, lowest.get(endpoint, limit))
+        return lowest
 
     def usable(self, pool: str) -> int:
-        """How many endpoints of a pool are fit to serve now."""
+        """Return the number of healthy endpoints of a pool."""
         return sum(len(tier.balancer.health.healthy()) for tier in self.pools[pool].tiers)
 
-    # To a tier and back
+    # Events to tiers, and actions from them
 
     def _dispatch(self, tier: Tier, *events: Event) -> None:
-        """Hand events to a tier, and its actions on."""
+        """Pass events to a tier, forward its actions, and fail over the requests that it releases."""
         for action in tier.balancer.handle(self.now, events):
             self._forward(tier, action)
         while (request := tier.balancer.take_released()) is not None:
             self._fail_over(request)
 
     def _forward(self, tier: Tier, action: Action) -> None:
-        """Hand an action of a tier on, with numbers that are unique over all tiers."""
+        """Forward an action of a tier, with timer tokens and attempt numbers that count over all tiers."""
         if isinstance(action, ScheduleTimer):
             self._timer_count += 1
             self._timers[self._timer_count] = TierTimer(tier, action.token)
             self._actions.append(ScheduleTimer(action.delay_ms, self._timer_count))
         elif isinstance(action, WatchEndpoints):
-            if tier is self.tiers[0]:  # the list is asked for once, not by each tier
+            if tier is self.tiers[0]:  # a single request for the list serves all tiers
                 self._actions.append(action)
         elif isinstance(action, Cancel):
             earlier = self.locations[action.request].earlier_attempts
@@ -173,10 +179,10 @@
         else:
             self._actions.append(action)
             if isinstance(action, (Reject, Fail)):
-                self._forget_if_over(action.request)
+                self._remove_if_over(action.request)
 
-    def _forget_if_over(self, request: int) -> None:
-        """Forget a request that its tier has forgotten."""
+    def _remove_if_over(self, request: int) -> None:
+        """Remove the location of a request that its tier has removed."""
         location = self.locations.get(request)
         if location is not None and request not in location.tier.balancer.requests:
             del self.locations[request]
@@ -186,10 +192,10 @@
         if timer is not None:
             self._dispatch(timer.tier, TimerFired(timer.token))
 
-    # The list, operators, settings
+    # Endpoint list, operator commands, settings
 
-    def _entry(self, pool: Pool, tier: int, entry: EndpointEntry) -> EndpointEntry | None:
-        """An endpoint as a tier is to see it; None where it is not in this tier."""
+    def _tier_entry(self, pool: Pool, tier: int, entry: EndpointEntry) -> EndpointEntry | None:
+        """Return an endpoint's entry for a tier's list; None if the endpoint is not in this tier."""
         name = self._name(entry.endpoint)
         if pool.tier_of(name) != tier:
             return None
@@ -201,7 +207,9 @@
         for tier in self.tiers:
             pool = tier.pool.config
             entries = [
-                own for entry in event.entries if (own := self._entry(pool, tier.number, entry)) is not None
+                tier_entry
+                for entry in event.entries
+                if (tier_entry := self._tier_entry(pool, tier.number, entry)) is not None
             ]
             self._dispatch(tier, EndpointListUpdated(event.kind, event.version, entries))
 
@@ -223,40 +231,43 @@
             return
         cls = self.settings.classes[event.cls].name
         name = self.routing.table.choose(
-            RequestView(event.connection_info or UNKNOWN, cls, self.usable, event.group)
+            RequestView(event.connection_info or UNKNOWN_CONNECTION, cls, self.usable, event.group)
         )
         pool = self.pools.get(name)
         if pool is None or pool.is_full():
             self._reject(event.request)
             return
-        tier, changes = choose_tier(pool, event.group or event.key or event.request, self.now)
-        self._actions += changes
+        tier, log_lines = choose_tier(pool, event.group or event.key or event.request, self.now)
+        self._actions += log_lines
         self.locations[event.request] = RequestLocation(tier, event)
         self._dispatch(tier, event)
-        self._forget_if_over(event.request)
+        self._remove_if_over(event.request)
 
     def _reject(self, request: int) -> None:
         wait_ms = RETRY_AFTER_MS * (0.5 + self.random.random())
         self._actions.append(Reject(request, min(self.settings.max_retry_after_ms, wait_ms)))
 
-    # From one tier to another
+    # Failover between tiers
 
     def _should_leave(self, request: Request) -> bool:
-        """Whether a request that waits in a tier that can't serve it now is to be served by another."""
+        """Return whether a request that waits in its tier should fail over to another tier."""
         location = self.locations.get(request.id)
         return location is not None and other_tier(location.tier, request, self.now) is not None
 
     def _fail_over(self, request: Request) -> None:
-        """Have another tier serve a request that its own has released."""
+        """Pass a request that its tier has released to another tier.
+
+        Gives it its final answer if no tier can place it or its deadline has passed.
+        """
         location = self.locations[request.id]
-        assert location.arrival is not None  # connections from before the start do not wait
+        assert location.arrival is not None  # a restored connection is never waiting for a tier
         remaining_ms = request.deadline_ms - self.now
         tier = other_tier(location.tier, request, self.now)
         if tier is None or remaining_ms <= 0:
             del self.locations[request.id]
             if request.is_safe_to_retry():
                 self._reject(request.id)
-            else:  # a tier may have run it
+            else:  # an earlier attempt may have been processed
                 self._actions.append(Fail(request.id))
             return
         location.tier = tier
@@ -264,9 +275,9 @@
         request.attempts = location.earlier_attempts
         tier.balancer.receive(request)
         self._dispatch(tier, replace(location.arrival, remaining_ms=remaining_ms))
-        self._forget_if_over(request.id)
+        self._remove_if_over(request.id)
 
-    # Events of requests that have a tier
+    # Events of requests whose tier is known
 
     def _on_connection_restored(self, event: ConnectionRestored) -> None:
         name = self._name(event.endpoint)
@@ -280,7 +291,7 @@
             return
         attempt = event.attempt - location.earlier_attempts
         self._dispatch(location.tier, replace(event, attempt=attempt))
-        self._forget_if_over(event.request)
+        self._remove_if_over(event.request)
 
     def _on_request_event(
         self, event: LoadReported | LatencyReported | ClientDisconnected | RequestAborted
@@ -288,4 +299,4 @@
         location = self.locations.get(event.request)
         if location is not None:
             self._dispatch(location.tier, event)
-            self._forget_if_over(event.request)
+            self._remove_if_over(event.request)
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -1,4 +1,4 @@
-"""The decision module on one tier of a pool."""
+"""The Balancer of one tier of a pool."""
 
 from __future__ import annotations
 
@@ -14,44 +14,48 @@
 from puffindeck.policy.records import INF, Endpoint, Request
 from puffindeck.policy.strategies import GatewayState, LifecycleListener, Strategies, StrategyFactory, Verdict
 
-POOL_PART = 0.7  # of the pool's connections: benchmarks/pool_return.py, where 1.0 went over the budget
-CONNECT_FAILURES_OF_RESTART = 2  # in a row, after which an endpoint that is back was most likely restarted
+# Fraction of the pool's connections that the slow start budget of a tier is computed from. The random choice
+# of endpoints gives some of them more than their part, so that 1.0 exceeds the budget in
+# benchmarks/pool_return.py.
+POOL_CONNECTIONS_FRACTION = 0.7
+# Consecutive connect failures after which an endpoint that can be reached again was most likely restarted.
+RESTART_CONNECT_FAILURES = 2
 
 
 class ConnectionLimits:
-    """The most connections and attempts that single endpoints are given. An EndpointFilter."""
+    """Limits the connections and attempts of individual endpoints. An EndpointFilter."""
 
     def __init__(self) -> None:
-        self.limits: dict[int, int] = {}  # by endpoint; those not named have none
+        self.limits: dict[int, int] = {}  # by endpoint number; an endpoint without an entry has no limit
 
     def allows(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether the endpoint may be given one connection more."""
-        return self.has_room(endpoint)
+        """Return whether the endpoint may get another connection."""
+        return self.is_below_limit(endpoint)
 
-    def has_room(self, endpoint: Endpoint) -> bool:
-        """Whether the endpoint may be given one connection more."""
+    def is_below_limit(self, endpoint: Endpoint) -> bool:
+        """Return whether the endpoint may get another connection."""
         return len(endpoint.connections) < self.limits.get(endpoint.id, INF)
 
 
 class FailoverRequests(LifecycleListener):
-    """Requests on their way from another tier: they keep their attempts and where they may have run."""
+    """Transfers the history of requests that fail over from another tier: attempts and possible runs."""
 
     def __init__(self) -> None:
-        self.incoming: dict[int, Request] = {}  # as the other tier left them
+        self.incoming: dict[int, Request] = {}  # the other tier's records, by request number
 
     def request_accepted(self, request: Request) -> None:
-        """Take over what another tier has tried."""
-        before = self.incoming.pop(request.id, None)
-        if before is not None:
-            request.max_attempts -= before.attempts
-            request.first_run_endpoint = before.first_run_endpoint
-            request.first_run_ms = before.first_run_ms
-            request.tried = before.tried
-            request.arrived_ms = before.arrived_ms
+        """Copy the history that another tier has recorded for the request."""
+        released = self.incoming.pop(request.id, None)
+        if released is not None:
+            request.max_attempts -= released.attempts
+            request.first_run_endpoint = released.first_run_endpoint
+            request.first_run_ms = released.first_run_ms
+            request.tried = released.tried
+            request.arrived_ms = released.arrived_ms
 
 
 class TierHealth:
-    """Which endpoints of a tier are fit to serve."""
+    """Health of the endpoints of a tier."""
 
     def __init__(self, state: GatewayState, limits: ConnectionLimits) -> None:
         self._context: DecisionContext = state.context
@@ -60,33 +64,33 @@
         self._limits = limits
 
     def healthy(self) -> list[Endpoint]:
-        """Those that may be sent to and have not failed since they last served."""
+        """Return the ready endpoints without a failure since their last success."""
         return [e for e in self._registry.ready.values() if not e.consecutive_failures]
 
     def can_try_failed(self) -> bool:
-        """Whether one of those that failed may be tried again, with a single request."""
+        """Return whether a failed endpoint may be probed with a single request."""
         now_ms = self._context.now_ms
         return any(e.consecutive_failures and not e.is_avoided(now_ms) for e in self._registry.ready.values())
 
     def warmth(self) -> float:
-        """The part of its capacity, from 0 to 1, that the tier is known to have by now."""
+        """Return the part of its full capacity, from 0 to 1, that the tier has reached at least."""
         endpoints = self.healthy()
         if not endpoints:
             return 0.0
         return sum(self._capacities.warmth(endpoint) for endpoint in endpoints) / len(endpoints)
 
     def has_no_endpoint(self) -> bool:
-        """Whether the list is known and names no endpoint that may be sent to."""
+        """Return whether an endpoint list has arrived and has no ready endpoint for this tier."""
         return not self._registry.ready and self._registry.list_version >= 0
 
     def is_full(self) -> bool:
-        """Whether all that could serve are at their limits."""
+        """Return whether all endpoints that could serve are at their limits."""
         endpoints = self.healthy() or list(self._registry.ready.values())
-        return bool(endpoints) and not any(self._limits.has_room(endpoint) for endpoint in endpoints)
+        return bool(endpoints) and not any(self._limits.is_below_limit(endpoint) for endpoint in endpoints)
 
 
 class FailoverGate:
-    """Releases requests that another tier is to serve. A PlacementGate."""
+    """Releases requests that fail over to another tier. A PlacementGate."""
 
     def __init__(self, health: TierHealth, should_leave: Callable[[Request], bool]) -> None:
         self._health = health
@@ -94,31 +98,35 @@
         self.released: list[Request] = []
 
     def review(self, request: Request) -> Verdict:
-        """Release what goes on in another tier, answer what has no place in this one."""
-        may_have_acted = (
+        """Release a request that fails over. Answer one if the tier has no endpoint or is full."""
+        may_have_taken_effect = (
             request.first_run_endpoint is not None and request.rules.effect == Effect.NOT_IDEMPOTENT
         )
-        if not may_have_acted and request.attempts < request.max_attempts and self._should_leave(request):
+        if (
+            not may_have_taken_effect
+            and request.attempts < request.max_attempts
+            and self._should_leave(request)
+        ):
             return Verdict.RELEASE
         if self._health.has_no_endpoint() or self._health.is_full():
             return Verdict.ANSWER
         return Verdict.PLACE
 
     def release(self, request: Request) -> None:
-        """Have the pool fetch a request."""
+        """Store a request until the pool router fetches it."""
         self.released.append(request)
 
 
 class RestartAfterTwoFailures:
-    """An endpoint out of reach that is back was most likely restarted: the list may be late."""
+    """Infers a restart that the endpoint list may not show yet. A RestartInference."""
 
     def connect_failures_needed(self) -> float:
-        """Two in a row."""
-        return CONNECT_FAILURES_OF_RESTART
+        """Return 2, whatever the age of the endpoint list."""
+        return RESTART_CONNECT_FAILURES
 
 
 class TierBalancer(Balancer):
-    """Places as the decision module does, within limits; what its tier can't serve it hands to the pool."""
+    """A Balancer with limits for its endpoints. Releases requests that another tier should serve."""
 
     def __init__(
         self,
@@ -128,8 +136,11 @@
         pool_connections: Callable[[], int],
         base: StrategyFactory = default_strategies,
     ) -> None:
-        """`should_leave` says whether another tier is to serve a request that waits here, `pool_connections`
-        how many connections all tiers have; `base` has strategies that this class adds to.
+        """Create the balancer of a tier.
+
+        `should_leave` returns whether a request that waits here should fail over to another tier.
+        `pool_connections` returns the number of connections of all tiers. `base` creates the strategies that
+        this class extends.
         """
         self._base = base
         self._limits = ConnectionLimits()
@@ -139,9 +150,9 @@
             settings,
             seed,
             self._strategies,
-            # What an endpoint at capacity bears is computed from the whole pool: a tier that comes back holds
-            # nothing. Not all of it is taken for the slow start budget, as luck brings some more than a part.
-            lambda: POOL_PART * pool_connections(),
+            # The slow start budget is computed from the whole pool's connections, because a tier that comes
+            # up again has none.
+            lambda: POOL_CONNECTIONS_FRACTION * pool_connections(),
         )
 
     def _strategies(self, state: GatewayState) -> Strategies:
@@ -157,25 +168,25 @@
         )
 
     def set_limits(self, limits: dict[int, int]) -> None:
-        """Set the most connections and attempts of single endpoints."""
+        """Set the limits of connections and attempts, by endpoint number."""
         self._limits.limits = limits
 
     def advance_to(self, now_ms: float) -> None:
-        """Set the moment that questions are answered for, in milliseconds, before it is handed events."""
+        """Set the current time in milliseconds, for queries before the next call of `handle`."""
         self.context.now_ms = now_ms
 
     def connection_count(self) -> int:
-        """Connections and attempts that it has."""
+        """Return the number of connections and attempts at the tier's endpoints."""
         return sum(len(endpoint.connections) for endpoint in self.state.loads.in_use.values())
 
     def can_place(self, request: Request) -> bool:
-        """Whether an endpoint may be sent this request now. Those in slow start may have had their part."""
+        """Return whether an endpoint may be sent this request now, within the budget of slow start."""
         return any(self.rules.is_eligible(request, endpoint) for endpoint in self.ready.values())
 
     def receive(self, request: Request) -> None:
-        """Keep what another tier has recorded of a request that arrives here next."""
+        """Store the record of a request that another tier has released, before the request arrives here."""
         self._incoming.incoming[request.id] = request
 
     def take_released(self) -> Request | None:
-        """The next request that leaves this tier; None: no more."""
+        """Remove and return the next request that this tier has released; None if there is none."""
         return self._gate.released.pop(0) if self._gate.released else None
