--- a/puffindeck/client_side/__init__.py
+++ b/puffindeck/client_side/__init__.py
@@ -1,9 +1,12 @@
-"""Decisions of one among very many small clients, which share nothing but the endpoint list.
+"""Decisions of one of many small clients, which share no state except the endpoint list.
 
-They stand on `puffindeck.policy` and replace some of its strategies (`client_strategies`): `ring_smoothing`
-evens out the endpoints' shares of the ring, as no client's own counts can, and `admission` lets endpoints in
-slow start fill without a word between the clients. No I/O, no clock, seeded randomness. docs/design/rpc.md
-has the ways that were weighed.
+The clients use `puffindeck.policy` and replace some of its strategies (`client_strategies`):
+
+- `ring_smoothing` equalizes the endpoints' shares of the hash ring. A client has too few connections to
+  balance them by counting.
+- `admission` limits what all clients together send to endpoints in slow start, without communication.
+
+No I/O, no clock, seeded randomness. docs/design/rpc.md compares this design with its alternatives.
 """
 
 from puffindeck.client_side.client_balancer import ClientBalancer
--- a/puffindeck/client_side/admission.py
+++ b/puffindeck/client_side/admission.py
@@ -1,21 +1,27 @@
-"""Which requests may go to an endpoint in slow start, decided by each client for itself.
-
-The rule: what all clients together send to an endpoint in slow start within a window stays under a multiple
-of what it can do by then. A gateway saves up its own part of that budget; with hundreds of clients a part is
-a few hundredths of a connection, so that nobody would ever send anything. So each client admits its request
-by lot, with odds that come to the budget when summed over all clients, however many there are:
-
-- In steady times an endpoint's usual share of the arrivals is at most what it can do when warm. At warmth w
-  it may be sent `multiple x w` of that share, if they are calls that are soon over. Connections that stay
-  open may come no faster than fills an endpoint over its slow start: that is (the client's open connections)
-  / (others that it began within a slow start's length) of their usual rate.
-- In a storm (all come within one window) an endpoint's usual share is all the connections that it is to have.
-  The budget is `multiple x w x window / slow start` of that.
-
-A client can't see whether others storm. It assumes so unless it knows better: when it has begun nothing else
-of late (just started, or woken, as others may be by the same cause), when it begins anew what it has lost,
-and when its request was migrated. The lot is drawn once for a key, an endpoint and a window, so that asking
-again within the window does not change it.
+"""Randomized admission of requests to an endpoint in slow start, decided by each client on its own.
+
+The rule: within a window, all clients together send an endpoint in slow start less than a multiple of its
+present capacity. A gateway accumulates its own part of that budget as credit. With hundreds of clients, the
+part of each is a few hundredths of a connection, so that no client would ever have enough credit to send.
+Therefore each client admits a request with a probability. The probabilities sum to the budget over all
+clients, however many there are:
+
+- With steady arrivals, an endpoint's usual share of the arrivals is at most its full capacity. At warmth w
+  it may get `multiple x w` of that share, if these are short calls. Connections that stay open must not
+  arrive faster than an endpoint fills up during its slow start. That limits them to (the client's open
+  connections) / (the other connections that it began within the length of a slow start) of their usual rate.
+- In a burst, all connections arrive within one window, and an endpoint's usual share is all the connections
+  that it will have. The budget is `multiple x w x window / slow start` of that.
+
+A client can't see whether other clients cause a burst. It assumes a burst in these cases:
+
+- It has begun few other requests recently: it has just started or become active, possibly for a reason that
+  applies to other clients, too.
+- It replaces connections that it has lost.
+- Its request is marked as returning, because it was migrated.
+
+The random number is a hash of the client, the key, the endpoint and the window, so that a repeated query
+within the window has the same result.
 """
 
 from __future__ import annotations
@@ -25,69 +31,81 @@
 from puffindeck.hashes import hash_fraction, mix64
 from puffindeck.interface import Settings
 
-# The rest of the budget is for chance, as lots that nobody counts scatter.
-STORM_PART = 0.35  # of the budget, in a storm
-STEADY_PART = 0.25  # of the budget, in steady times: the arrivals scatter by themselves, too
-REMEMBERED_ARRIVALS = 64
-REMEMBERED_LOSSES = 64  # connections at most
-LIFETIME_WEIGHT = 0.2  # of the newest connection in the mean of lifetimes
-STORM_ARRIVALS = 2  # within a slow start's length: a client with fewer can't tell
+# Fractions of the budget that are used. The rest is a margin, because the number of requests that are
+# admitted at random varies.
+BURST_BUDGET_FRACTION = 0.35
+STEADY_BUDGET_FRACTION = 0.25  # lower, because the number of steady arrivals varies, too
+MAX_REMEMBERED_ARRIVALS = 64
+MAX_REMEMBERED_LOSSES = 64  # connections
+LIFETIME_SMOOTHING = 0.2  # weight of the newest connection in the moving average of lifetimes
+# Arrivals within the length of a slow start from which a client can assume that arrivals are steady.
+MINIMUM_STEADY_ARRIVALS = 2
 
 
 class Admission:
-    """One client's memory of its own arrivals and losses, and the odds that follow. Times in milliseconds."""
+    """Admits requests of one client, based on its recent arrivals and losses. Times are in milliseconds."""
 
     def __init__(self, salt: int) -> None:
-        """`salt` is a client's own: clients must not all draw the same lots."""
+        """Create the admission of a client. `salt` makes its random numbers differ from other clients'."""
         self._salt = salt
-        self._arrivals_ms: deque[float] = deque(maxlen=REMEMBERED_ARRIVALS)
-        self._lost = 0  # connections lost that were not begun anew yet
+        self._arrivals_ms: deque[float] = deque(maxlen=MAX_REMEMBERED_ARRIVALS)
+        self._lost = 0  # number of lost connections that have not been replaced
         self._lost_ms = float("-inf")
-        self._begun_anew_ms = float("-inf")
-        self._mean_lifetime_ms = 0.0  # of recent connections
+        self._replaced_ms = float("-inf")
+        self._mean_lifetime_ms = 0.0  # moving average over ended connections
 
-    def arrived(self, now: float) -> None:
-        """A request has come, for whichever endpoint."""
+    def record_arrival(self, now: float) -> None:
+        """Record a request for any endpoint. It replaces a lost connection, if there is one."""
         self._arrivals_ms.append(now)
         if self._lost:
             self._lost -= 1
-            self._begun_anew_ms = now
+            self._replaced_ms = now
 
-    def lost(self, now: float) -> None:
-        """A connection was lost: others may have lost theirs at the same moment."""
-        self._lost = min(self._lost + 1, REMEMBERED_LOSSES)
+    def record_loss(self, now: float) -> None:
+        """Record the loss of a connection. Other clients may have lost theirs at the same moment."""
+        self._lost = min(self._lost + 1, MAX_REMEMBERED_LOSSES)
         self._lost_ms = now
 
-    def ended(self, lifetime_ms: float) -> None:
-        """A connection or call of this client has ended after that time."""
-        self._mean_lifetime_ms += (lifetime_ms - self._mean_lifetime_ms) * LIFETIME_WEIGHT
+    def record_end(self, lifetime_ms: float) -> None:
+        """Record the end of a connection or call of this client and its lifetime."""
+        self._mean_lifetime_ms += (lifetime_ms - self._mean_lifetime_ms) * LIFETIME_SMOOTHING
 
-    def storm(self, now: float, settings: Settings, returning: bool) -> bool:
-        """Whether all clients may be coming at once, as far as this one can tell."""
+    def may_be_burst(self, now: float, settings: Settings, returning: bool) -> bool:
+        """Return whether many clients may be sending requests at once, as far as this client can tell.
+
+        Forgets lost connections that have not been replaced within the length of a slow start.
+        """
         if now - self._lost_ms >= settings.slow_start_ms:
-            self._lost = 0  # whoever wanted those back has them
+            self._lost = 0
         recent = sum(now - at < settings.slow_start_ms for at in self._arrivals_ms)
         return (
             returning
-            or recent < STORM_ARRIVALS
+            or recent < MINIMUM_STEADY_ARRIVALS
             or self._lost > 0
-            or now - self._begun_anew_ms < settings.slow_start_window_ms
+            or now - self._replaced_ms < settings.slow_start_window_ms
         )
 
-    def odds(self, now: float, settings: Settings, warmth: float, connections: int, returning: bool) -> float:
-        """The part of an endpoint's usual arrivals that may go there now, from 0 to 1.
+    def probability(
+        self, now: float, settings: Settings, warmth: float, connections: int, returning: bool
+    ) -> float:
+        """Return the part of an endpoint's usual arrivals that may be sent to it now, from 0 to 1.
 
-        `warmth` is the part of its capacity that it has, `connections` how many this client has established.
+        `warmth` is the part of its full capacity that the endpoint has reached, and `connections` is this
+        client's number of established connections.
         """
         budget = settings.slow_start_load_multiple * warmth
-        if self.storm(now, settings, returning):
+        if self.may_be_burst(now, settings, returning):
             return min(
-                1.0, STORM_PART * budget * settings.slow_start_window_ms / max(1.0, settings.slow_start_ms)
+                1.0,
+                BURST_BUDGET_FRACTION
+                * budget
+                * settings.slow_start_window_ms
+                / max(1.0, settings.slow_start_ms),
             )
         if self._mean_lifetime_ms < settings.slow_start_window_ms and not connections:
-            return min(1.0, STEADY_PART * budget)
+            return min(1.0, STEADY_BUDGET_FRACTION * budget)
         others = sum(now - at < settings.slow_start_ms for at in self._arrivals_ms) - 1
-        return min(1.0, STEADY_PART * budget * max(connections, 1) / others)
+        return min(1.0, STEADY_BUDGET_FRACTION * budget * max(connections, 1) / others)
 
     def admits(
         self,
@@ -99,7 +117,7 @@
         connections: int,
         returning: bool,
     ) -> bool:
-        """Whether a request for this key is admitted to the endpoint in slow start that is its home."""
+        """Return whether a request may be sent to the endpoint in slow start that its key maps to."""
         window = int(now // max(1.0, settings.slow_start_window_ms))
-        drawn = hash_fraction(mix64(self._salt ^ key), mix64(endpoint ^ window << 32))
-        return drawn < self.odds(now, settings, warmth, connections, returning)
+        fraction = hash_fraction(mix64(self._salt ^ key), mix64(endpoint ^ window << 32))
+        return fraction < self.probability(now, settings, warmth, connections, returning)
--- a/puffindeck/client_side/client_balancer.py
+++ b/puffindeck/client_side/client_balancer.py
@@ -1,4 +1,4 @@
-"""The decision module as one of many small clients runs it, on a smoothed ring and sharing nothing."""
+"""The Balancer of one of many small clients, which places requests on a smoothed ring."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ClientBalancer(Balancer):
-    """One client's decisions. It always asks for the list itself."""
+    """Makes the decisions of one client. Always requests the endpoint list itself, by `WatchEndpoints`."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self._client = ClientStrategies()
@@ -19,28 +19,28 @@
 
     @property
     def version(self) -> int:
-        """The version of the endpoint list; under 0 before the first."""
+        """Version of the endpoint list; negative before the first list."""
         return self.registry.list_version
 
     @property
     def list_failures(self) -> int:
-        """How often in a row the list could not be had."""
+        """Number of consecutive failures to fetch the endpoint list."""
         return self.registry.list_failures
 
     @property
     def admission(self) -> Admission:
-        """Its memory of its own arrivals and losses."""
+        """Admission of this client's requests to endpoints in slow start."""
         return self._client.admission
 
     @property
     def client_ring(self) -> ClientRing:
-        """The ring that it places on."""
+        """The ring on which this client places requests."""
         return self._client.ring
 
     def confirm_list(self, now_ms: float) -> None:
-        """The source of the list has given a sign of life, with or without changes."""
+        """Record that discovery has confirmed the endpoint list, with or without changes."""
         self._client.freshness.confirm_list(now_ms)
 
     def endpoint_list_age_ms(self, now_ms: float) -> float:
-        """How long ago, in milliseconds, the list last gave a sign of life; infinite before the first."""
+        """Return the milliseconds since the endpoint list was last confirmed; infinite before that."""
         return self._client.freshness.endpoint_list_age_ms(now_ms)
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -1,8 +1,8 @@
-"""How one of many small clients decides where a gateway decides otherwise.
+"""Strategies of one of many small clients, where they differ from those of a gateway.
 
-What a gateway knows by counting its own connections says nothing here, so that part is replaced by what every
-client can work out alone from the endpoint list. All else (retries, rules on sends, ejection, load limits,
-migration) is `policy`'s.
+A gateway bases some decisions on the counts of its own connections. A client has too few connections for
+that. Its strategies use what each client can compute from the endpoint list alone. Retries, send rules,
+ejection, load limits and migration are those of `policy`.
 """
 
 from __future__ import annotations
@@ -20,47 +20,53 @@
 from puffindeck.policy.send_rules import EndpointFilter, SendRules
 from puffindeck.policy.strategies import GatewayState, LifecycleListener, Strategies, Verdict
 
-STALE_LIST_MS = 6000.0  # a change counts as known after 6 s: a list that is older may lack a restart
-MAX_CREDIT_DEBT = -1.0  # connections: what one client sends in a window is bounded, whatever the lots say
+# Age from which the endpoint list may miss a restart, because a change counts as known after 6 s.
+STALE_LIST_MS = 6000.0
+# Slow start credit, in connections, at which a client sends nothing to an endpoint. Bounds what one client
+# sends within a window, even if the random admission allows more.
+MINIMUM_CREDIT = -1.0
 
 
 class ListFreshness:
-    """When the endpoint list last gave a sign of life. Also infers restarts that it has not told of."""
+    """Tracks when the endpoint list was last confirmed. Also a RestartInference."""
 
     def __init__(self, state: GatewayState) -> None:
         self._context = state.context
-        self._heard_ms = -INF
+        self._confirmed_ms = -INF
 
     def confirm_list(self, now_ms: float) -> None:
-        """The source of the list has given a sign of life, with or without changes."""
-        self._heard_ms = now_ms
+        """Record that discovery has confirmed the endpoint list, with or without changes."""
+        self._confirmed_ms = now_ms
 
     def endpoint_list_age_ms(self, now_ms: float) -> float:
-        """How long ago that was; infinite before the first."""
-        return now_ms - self._heard_ms
+        """Return the milliseconds since the endpoint list was last confirmed; infinite before that."""
+        return now_ms - self._confirmed_ms
 
     def connect_failures_needed(self) -> float:
-        """An endpoint out of reach that is back was most likely restarted, and the list may be late."""
+        """Return 2, or 1 if the list is so old that it may miss a restart."""
         return 1 if self.endpoint_list_age_ms(self._context.now_ms) > STALE_LIST_MS else 2
 
 
 class ClientRing:
-    """The smoothed ring without endpoints in slow start: their arcs are handed on evenly. A RingProvider."""
+    """The smoothed ring without endpoints in slow start. A RingProvider.
+
+    The arcs of the excluded endpoints are distributed evenly over the others.
+    """
 
     def __init__(self, state: GatewayState) -> None:
         self.full = SmoothedRing(state)
         self._registry = state.registry
         self._capacities = state.capacities
-        self._warm_rings: dict[int | None, Ring] = {}  # by zone
-        self._warming: frozenset[int] = frozenset()  # that `_warm_rings` leaves out
+        self._warm_rings: dict[int | None, Ring] = {}  # by zone; None: all zones
+        self._warming: frozenset[int] = frozenset()  # endpoints that `_warm_rings` excludes
 
     def invalidate(self) -> None:
-        """Endpoints or settings have changed."""
+        """Discard cached rings, because endpoints or settings have changed."""
         self._warm_rings.clear()
         self.full.invalidate()
 
     def warming(self) -> frozenset[int]:
-        """The endpoints in slow start now."""
+        """Return the endpoints in slow start."""
         if self._capacities.all_warm:
             return frozenset()
         warmth = self._capacities.warmth
@@ -71,7 +77,10 @@
         )
 
     def ring_for(self, zone: int | None) -> Ring:
-        """The ring of a zone (None: of all) without endpoints in slow start, where there are others."""
+        """Return the ring of a zone (None: of all).
+
+        Includes endpoints in slow start only if all endpoints are in slow start.
+        """
         warming = self.warming()
         if warming != self._warming:
             self._warming = warming
@@ -87,7 +96,7 @@
 
 
 class ClientSlowStart:
-    """Only an endpoint's own keys go to it in slow start, and of those a part. A SlowStartAdmission."""
+    """Limits an endpoint in slow start to a part of the keys that map to it. A SlowStartAdmission."""
 
     def __init__(self, state: GatewayState, ring: ClientRing, admission: Admission) -> None:
         self._context = state.context
@@ -97,7 +106,7 @@
         self._admission = admission
 
     def admits(self, request: Request, endpoint: Endpoint) -> bool:
-        """Whether an endpoint in slow start may be sent this request now."""
+        """Return whether an endpoint in slow start may be sent this request now."""
         if endpoint is not self._ring.full.home(request):
             return False
         now_ms = self._context.now_ms
@@ -105,7 +114,7 @@
         window_ms = max(1.0, settings.slow_start_window_ms)
         endpoint.slow_start_credit *= math.exp((endpoint.slow_start_credit_ms - now_ms) / window_ms)
         endpoint.slow_start_credit_ms = now_ms
-        if endpoint.slow_start_credit <= MAX_CREDIT_DEBT:
+        if endpoint.slow_start_credit <= MINIMUM_CREDIT:
             return False
         established = sum(
             len(other.connections) - other.pending_attempts for other in self._loads.in_use.values()
@@ -122,7 +131,7 @@
 
 
 class ClientPlacement:
-    """Looks at a key's home first, and elsewhere only where that can't serve it. An EndpointChooser."""
+    """Tries the endpoint that a key maps to, its home, before all others. An EndpointChooser."""
 
     def __init__(
         self,
@@ -141,18 +150,18 @@
         self._fallback = fallback
 
     def choose(self, request: Request) -> Choice:
-        """The endpoint for a request."""
+        """Return the endpoint for a request: its home, or else the choice of the fallback."""
         home = self._ring.full.home(request)
         if home is not None and home.id not in request.tried:
             if home.id in self._ring.warming():
                 if not home.is_avoided(self._context.now_ms) and self._rules.is_eligible(request, home):
                     return Choice(home, True)
-            elif self._is_usual(request, home):
+            elif self._is_first_choice(request, home):
                 return Choice(home, True)
         return self._fallback.choose(request)
 
-    def _is_usual(self, request: Request, home: Endpoint) -> bool:
-        """Whether the search would end at its first step. Told apart to save time."""
+    def _is_first_choice(self, request: Request, home: Endpoint) -> bool:
+        """Return whether the fallback's search would end at the home, its first step. Saves that search."""
         if self._filter is not None and not self._filter.allows(request, home):
             return False
         return (
@@ -167,55 +176,59 @@
         )
 
 
-class NoShares:
-    """Of what a client asks one key may be all; of what the fleet is asked it is one among many."""
+class ZeroShares:
+    """Estimates that no key has a relevant share of the load. A ShareEstimator.
+
+    One key may account for all requests of a client, but it is one of many in the load of the endpoints.
+    """
 
     def share_of(self, request: Request) -> float:
-        """No part of all load. A ShareEstimator."""
+        """Return 0."""
         return 0.0
 
 
 class RandomJitter:
-    """A client's own draw: the numbers of requests are alike in all clients. A RetryJitter."""
+    """Draws random jitter, because all clients number their requests alike. A RetryJitter."""
 
     def __init__(self, state: GatewayState) -> None:
         self._random = state.context.random
 
     def fraction(self, request: Request) -> float:
-        """Another number at each call."""
+        """Return a random number from 0 to 1, a different one at each call."""
         return self._random.random()
 
 
 class HalfTimeLimit:
-    """A client seldom has other calls to compare with, so it waits for half of the time left.
+    """Limits an attempt to half of the time from its start to the deadline. A SlowAttemptLimit.
 
-    A gateway waits on, as work that is given up is done all the same there; a client's server learns of it.
+    A client rarely has other calls to compare an attempt with. A gateway sets no such limit, because an
+    endpoint processes an abandoned attempt anyway. A client's server is notified of the cancellation.
     """
 
     def give_up_ms(self, request: Request) -> float:
-        """The middle between the attempt's start and the deadline. A SlowAttemptLimit."""
+        """Return the midpoint between the attempt's start and the deadline."""
         return (request.sent_ms + request.deadline_ms) / 2
 
 
-class NobodyToSendTo:
-    """Answers at once where the list names no endpoint, or can't be had. A PlacementGate."""
+class NoEndpointGate:
+    """Answers at once if the list has no ready endpoint, or can't be fetched. A PlacementGate."""
 
     def __init__(self, state: GatewayState) -> None:
         self._registry = state.registry
 
     def review(self, request: Request) -> Verdict:
-        """Answer where the list is known to have nobody, or could not be had; else place."""
+        """Answer if the list has no ready endpoint or could not be fetched. Place otherwise."""
         registry = self._registry
         if not registry.ready and (registry.list_version >= 0 or registry.list_failures):
             return Verdict.ANSWER
         return Verdict.PLACE
 
     def release(self, request: Request) -> None:
-        """Never called: nothing is released."""
+        """Do nothing. Never called, because `review` releases no request."""
 
 
 class ClientObserver(LifecycleListener):
-    """Keeps the admission's memory of arrivals and losses, the age of the list, and the timers few."""
+    """Updates the admission and the age of the endpoint list, and removes unneeded timers."""
 
     def __init__(self, state: GatewayState, admission: Admission, freshness: ListFreshness) -> None:
         self._context = state.context
@@ -226,54 +239,58 @@
         self._freshness = freshness
 
     def batch_started(self) -> None:
-        """Drop the deadlines of calls that are over: they would bring timers."""
+        """Remove the deadlines of completed calls, which would cause needless timers."""
         self._timers.drop_first_while(self._is_over)
 
-    def _is_over(self, argument: object) -> bool:
-        return isinstance(argument, Request) and argument.id not in self._requests
+    def _is_over(self, timer_argument: object) -> bool:
+        return isinstance(timer_argument, Request) and timer_argument.id not in self._requests
 
     def request_arrived(self) -> None:
-        """Record an arrival."""
-        self._admission.arrived(self._context.now_ms)
+        """Record the arrival."""
+        self._admission.record_arrival(self._context.now_ms)
 
     def attempt_ended(self, request: Request, event: AttemptEnded) -> None:
-        """Record how long a connection was open, and whether it was lost."""
+        """Record the lifetime of a connection, and its loss if it was reset."""
         if request.established:
-            self._admission.ended(event.elapsed_ms)
+            self._admission.record_end(event.elapsed_ms)
             if event.outcome == Outcome.RESET:
-                self._admission.lost(self._context.now_ms)
+                self._admission.record_loss(self._context.now_ms)
 
     def endpoints_listed(self) -> None:
-        """The list has given a sign of life."""
+        """Record that discovery has confirmed the endpoint list."""
         self._freshness.confirm_list(self._context.now_ms)
 
     def endpoint_reattached(self, endpoint: int) -> None:
-        """It fills by lot like others in slow start: hundreds that all tried it would end it."""
+        """Disable trials of the reattached endpoint. It fills by random admission, as others in slow start.
+
+        Trials by hundreds of clients at once would overload it.
+        """
+
         self._slow_start.reattached_ms.clear()
 
 
 class ClientStrategies:
-    """The strategies of one client. `build` is a StrategyFactory."""
+    """Creates the strategies of one client, and retains those that other parts use. Created by `build`."""
 
     admission: Admission
     freshness: ListFreshness
     ring: ClientRing
 
     def build(self, state: GatewayState) -> Strategies:
-        """Make them for a Balancer."""
+        """Create the strategies for a Balancer. This method is a StrategyFactory."""
         self.admission = Admission(mix64(state.context.random.getrandbits(63)))
         self.freshness = ListFreshness(state)
         self.ring = ClientRing(state)
         self._state = state
         return Strategies(
             ring=self.ring,
-            shares=NoShares(),
+            shares=ZeroShares(),
             slow_start=ClientSlowStart(state, self.ring, self.admission),
             wrap_placement=self._wrap_placement,
             restarts=self.freshness,
             jitter=RandomJitter(state),
             slow_attempt_limit=HalfTimeLimit(),
-            gates=(NobodyToSendTo(state),),
+            gates=(NoEndpointGate(state),),
             listeners=(ClientObserver(state, self.admission, self.freshness),),
         )
 
--- a/puffindeck/client_side/pool_router.py
+++ b/puffindeck/client_side/pool_router.py
@@ -1,4 +1,4 @@
-"""Pools as one of very many small clients runs them: on each tier the client's own way of deciding."""
+"""The pool router of one of many small clients, with the client's strategies on each tier."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ClientTier(TierBalancer):
-    """A client's decisions on one tier of a pool."""
+    """The Balancer of one tier of a pool, with a client's strategies."""
 
     def __init__(
         self,
@@ -25,39 +25,39 @@
         pool_connections: Callable[[], int],
     ) -> None:
         self.client = ClientStrategies()
-        watching = replace(settings, must_watch_endpoints=True)
-        super().__init__(watching, seed, should_leave, pool_connections, self.client.build)
+        client_settings = replace(settings, must_watch_endpoints=True)
+        super().__init__(client_settings, seed, should_leave, pool_connections, self.client.build)
 
 
 class ClientPoolRouter(PoolRouter):
-    """A client's decisions over all pools, with what it knows of the endpoint list as a whole."""
+    """Makes the decisions of one client over all pools. Reports the state of the endpoint list as a whole."""
 
     def _tier_balancer(self, settings: Settings, seed: int, pool: PoolState) -> TierBalancer:
         return ClientTier(settings, seed, self._should_leave, pool.connection_count)
 
-    def _clients(self) -> list[ClientTier]:
+    def _client_tiers(self) -> list[ClientTier]:
         return [cast(ClientTier, tier.balancer) for tier in self.tiers]
 
     @property
     def ready(self) -> bool:
-        """Whether the list names an endpoint that may be sent to."""
-        return any(client.ready for client in self._clients())
+        """Whether any pool has a ready endpoint."""
+        return any(tier.ready for tier in self._client_tiers())
 
     @property
     def version(self) -> int:
-        """The version of the endpoint list; under 0 before the first."""
-        return self._clients()[0].registry.list_version
+        """Version of the endpoint list; negative before the first list."""
+        return self._client_tiers()[0].registry.list_version
 
     @property
     def list_failures(self) -> int:
-        """How often in a row the list could not be had."""
-        return self._clients()[0].registry.list_failures
+        """Number of consecutive failures to fetch the endpoint list."""
+        return self._client_tiers()[0].registry.list_failures
 
     def confirm_list(self, now_ms: float) -> None:
-        """The source of the list has given a sign of life, with or without changes."""
-        for client in self._clients():
-            client.client.freshness.confirm_list(now_ms)
+        """Record that discovery has confirmed the endpoint list, with or without changes."""
+        for tier in self._client_tiers():
+            tier.client.freshness.confirm_list(now_ms)
 
     def endpoint_list_age_ms(self, now_ms: float) -> float:
-        """How long ago, in milliseconds, the list last gave a sign of life; infinite before the first."""
-        return self._clients()[0].client.freshness.endpoint_list_age_ms(now_ms)
+        """Return the milliseconds since the endpoint list was last confirmed; infinite before that."""
+        return self._client_tiers()[0].client.freshness.endpoint_list_age_ms(now_ms)
--- a/tests/client_side/test_client_balancer.py
+++ b/tests/client_side/test_client_balancer.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from puffindeck.client_side import ClientBalancer
-from puffindeck.client_side.admission import STEADY_PART, STORM_PART, Admission
+from puffindeck.client_side.admission import BURST_BUDGET_FRACTION, STEADY_BUDGET_FRACTION, Admission
 from puffindeck.client_side.client_strategies import ClientPlacement
-from puffindeck.client_side.ring_smoothing import SPAN, owner, shares, smooth
+from puffindeck.client_side.ring_smoothing import RING_SIZE, owner, shares, smooth
 from puffindeck.client_side.smoothed_ring import DEFAULT_EVENNESS, SmoothedRingBalancer
 from puffindeck.hashes import ring_positions
 from puffindeck.interface import (
@@ -98,7 +98,7 @@
         found = shares(smooth(*ring(endpoints), sizes, bound))
         assert sum(found.values()) == pytest.approx(1.0)
         for endpoint, share in found.items():
-            assert share <= bound * sizes[endpoint] / total + (len(endpoints) + 1) * 17 / SPAN
+            assert share <= bound * sizes[endpoint] / total + (len(endpoints) + 1) * 17 / RING_SIZE
 
     @settings(derandomize=True, max_examples=40, deadline=None)
     @given(endpoints=servers_lists, seed=st.integers(0, 99))
@@ -115,7 +115,7 @@
         before = ring(SERVERS)
         after = smooth(*before, dict.fromkeys(SERVERS, 1.0), DEFAULT_EVENNESS)
         small = {s for s, share in shares(before).items() if share < DEFAULT_EVENNESS / len(SERVERS)}
-        for place in range(0, SPAN, SPAN // 4001):
+        for place in range(0, RING_SIZE, RING_SIZE // 4001):
             if owner(before, place) in small:
                 assert owner(after, place) == owner(before, place)
 
@@ -124,7 +124,7 @@
         before = smooth(*ring(SERVERS), sizes, DEFAULT_EVENNESS)
         left = SERVERS[1:]
         after = smooth(*ring(left), dict.fromkeys(left, 1.0), DEFAULT_EVENNESS)
-        places = [p for p in range(0, SPAN, SPAN // 5003) if owner(before, p) != SERVERS[0]]
+        places = [p for p in range(0, RING_SIZE, RING_SIZE // 5003) if owner(before, p) != SERVERS[0]]
         moved = sum(owner(before, p) != owner(after, p) for p in places) / len(places)
         assert moved < 0.12
 
@@ -136,38 +136,42 @@
 class TestAdmission:
     def test_who_has_begun_nothing_else_takes_it_for_a_storm(self) -> None:
         admission = Admission(1)
-        admission.arrived(START)
-        odds = admission.odds(START, SETTINGS, 0.5, 0, False)
-        assert odds == pytest.approx(STORM_PART * 3 * 0.5 * 1000 / 9000)
+        admission.record_arrival(START)
+        odds = admission.probability(START, SETTINGS, 0.5, 0, False)
+        assert odds == pytest.approx(BURST_BUDGET_FRACTION * 3 * 0.5 * 1000 / 9000)
 
     def test_steady_calls_go_by_the_warmth_until_a_connection_is_lost(self) -> None:
         admission = Admission(1)
         for i in range(10):
-            admission.arrived(START + 500 * i)
+            admission.record_arrival(START + 500 * i)
         now = START + 5000
-        assert admission.odds(now, SETTINGS, 0.5, 0, False) == pytest.approx(STEADY_PART * 3 * 0.5)
-        steady = pytest.approx(STEADY_PART * 3 * 0.5)
-        assert admission.odds(now, SETTINGS, 0.5, 0, True) < 0.1
-        admission.lost(now)
-        assert admission.odds(now + 3000, SETTINGS, 0.5, 0, False) < 0.1
-        admission.arrived(now + 3000)
-        assert admission.odds(now + 3000, SETTINGS, 0.5, 0, False) < 0.1
-        assert admission.odds(now + 4000, SETTINGS, 0.5, 0, False) == steady
+        assert admission.probability(now, SETTINGS, 0.5, 0, False) == pytest.approx(
+            STEADY_BUDGET_FRACTION * 3 * 0.5
+        )
+        steady = pytest.approx(STEADY_BUDGET_FRACTION * 3 * 0.5)
+        assert admission.probability(now, SETTINGS, 0.5, 0, True) < 0.1
+        admission.record_loss(now)
+        assert admission.probability(now + 3000, SETTINGS, 0.5, 0, False) < 0.1
+        admission.record_arrival(now + 3000)
+        assert admission.probability(now + 3000, SETTINGS, 0.5, 0, False) < 0.1
+        assert admission.probability(now + 4000, SETTINGS, 0.5, 0, False) == steady
 
     def test_connections_that_stand_come_no_faster_than_fills_a_server_over_its_warm_up(self) -> None:
         admission = Admission(1)
         for i in range(4):  # one each three seconds, and each stands as long
-            admission.arrived(START + 3000 * i)
-            admission.ended(3000)
-        odds = admission.odds(START + 9000, SETTINGS, 0.5, 1, False)
-        assert odds == pytest.approx(STEADY_PART * 3 * 0.5 / 2)
+            admission.record_arrival(START + 3000 * i)
+            admission.record_end(3000)
+        odds = admission.probability(START + 9000, SETTINGS, 0.5, 1, False)
+        assert odds == pytest.approx(STEADY_BUDGET_FRACTION * 3 * 0.5 / 2)
 
     def test_what_was_lost_long_ago_is_forgotten(self) -> None:
         admission = Admission(1)
-        admission.lost(START)
+        admission.record_loss(START)
         for i in range(10):
-            admission.arrived(START + 20000 + i)
-        assert admission.odds(START + 21100, SETTINGS, 0.5, 0, False) == pytest.approx(STEADY_PART * 3 * 0.5)
+            admission.record_arrival(START + 20000 + i)
+        assert admission.probability(START + 21100, SETTINGS, 0.5, 0, False) == pytest.approx(
+            STEADY_BUDGET_FRACTION * 3 * 0.5
+        )
 
     def test_asking_again_within_the_window_draws_nothing_new(self) -> None:
         admission = Admission(5)
@@ -181,7 +185,7 @@
             for key in range(20)
             for window in range(20)
         ]
-        assert sum(drawn) / len(drawn) == pytest.approx(STORM_PART * 3 / 9, rel=0.15)
+        assert sum(drawn) / len(drawn) == pytest.approx(BURST_BUDGET_FRACTION * 3 / 9, rel=0.15)
 
 
 class TestMember:
@@ -349,7 +353,7 @@
             return found
 
         with_it = choices()
-        monkeypatch.setattr(ClientPlacement, "_is_usual", lambda *_: False)
+        monkeypatch.setattr(ClientPlacement, "_is_first_choice", lambda *_: False)
         assert choices() == with_it
         assert len(set(with_it)) > 5
 
