--- a/benchmarks/rpc_cost.py
+++ b/benchmarks/rpc_cost.py
@@ -19,7 +19,7 @@
 from benchmarks.table import table
 from puffindeck.config.endpoint_list import Target
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_world import Stub, client_config, key_metadata
+from tests.support.rpc_environment import Stub, client_config, key_metadata
 
 
 async def measure(calls: int, rounds: int) -> None:
--- a/benchmarks/rpc_parts.py
+++ b/benchmarks/rpc_parts.py
@@ -13,7 +13,7 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_world import FeedServer, Stub, key_metadata
+from tests.support.rpc_environment import FeedServer, Stub, key_metadata
 
 
 def report(value: Any) -> None:
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -29,7 +29,7 @@
 from benchmarks.table import table
 from puffindeck.client_side.smoothed_ring import DEFAULT_EVENNESS
 from puffindeck.config.endpoint_list import Target
-from tests.support.rpc_world import METHODS, Discovery
+from tests.support.rpc_environment import METHODS, Discovery
 
 RULES = {
     "drainGraceMs": 500,
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -9,8 +9,8 @@
 from grpc.aio import EOF, AioRpcError, Metadata
 
 from puffindeck.rpc.grpc import moved
-from tests.support.rpc_story import ChannelStory
-from tests.support.rpc_world import decisions, key_metadata, wait_until
+from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_environment import decisions, key_metadata, wait_until
 
 
 class CallStories(ChannelStory):
--- a/tests/rpc/test_grpc.py
+++ b/tests/rpc/test_grpc.py
@@ -17,8 +17,8 @@
 from puffindeck.config.client_config import TlsConfig
 from puffindeck.config.endpoint_list import Target
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_story import ChannelStory
-from tests.support.rpc_world import FeedServer, Stub, client_config, wait_until
+from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_environment import FeedServer, Stub, client_config, wait_until
 
 
 class ChannelStories(ChannelStory):
--- a/tests/rpc/test_interceptor_chain.py
+++ b/tests/rpc/test_interceptor_chain.py
@@ -9,8 +9,8 @@
 from grpc.aio import EOF, Metadata
 
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_story import ChannelStory
-from tests.support.rpc_world import client_config, key_metadata
+from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_environment import client_config, key_metadata
 
 
 class InterceptorStories(ChannelStory):
--- a/tests/rpc/test_request_stream.py
+++ b/tests/rpc/test_request_stream.py
@@ -5,7 +5,7 @@
 import asyncio
 from typing import Any
 
-from tests.support.rpc_story import ChannelStory
+from tests.support.rpc_channel_test_case import ChannelStory
 
 
 class RequestStreamStories(ChannelStory):
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -17,7 +17,7 @@
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
 from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived
-from tests.support.rpc_world import Stub, World, client_config, decisions, key_metadata, wait_until
+from tests.support.rpc_environment import Stub, World, client_config, decisions, key_metadata, wait_until
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
 POOL = Pool("main", (("1", "2", "3"), ("4", "5")), server_limits={"1": 1})
--- a/tests/rpc/test_subchannel_pool.py
+++ b/tests/rpc/test_subchannel_pool.py
@@ -8,8 +8,8 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.rpc.grpc import come_back
-from tests.support.rpc_story import ChannelStory
-from tests.support.rpc_world import key_metadata, wait_until
+from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_environment import key_metadata, wait_until
 
 
 class SubchannelPoolStories(ChannelStory):
--- a/tests/service_discovery/test_asyncio_watch.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -13,7 +13,7 @@
 from puffindeck.config.endpoint_list import Target
 from puffindeck.policy.records import Request
 from puffindeck.rpc.grpc import come_back
-from tests.support.rpc_world import Stub, World, client_config, decisions, key_metadata, wait_until
+from tests.support.rpc_environment import Stub, World, client_config, decisions, key_metadata, wait_until
 
 
 def now_ms() -> float:
@@ -231,6 +231,6 @@
 def _request(key: str) -> Request:
     from puffindeck.interface import RequestArrived
     from puffindeck.service_discovery.keys import key_number
-    from tests.support.rpc_world import SETTINGS
+    from tests.support.rpc_environment import SETTINGS
 
     return Request(RequestArrived(1, 0, 0, key_number(key.encode()), 1200, 0.0, 0), SETTINGS, 1.0, 0.0)
--- a/tests/support/rpc_story.py
+++ b/tests/support/rpc_channel_test_case.py
@@ -9,7 +9,7 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_world import Stub, World, wait_until
+from tests.support.rpc_environment import Stub, World, wait_until
 
 
 class ChannelStory(IsolatedAsyncioTestCase):
