--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -9,15 +9,15 @@
 from grpc.aio import EOF, AioRpcError, Metadata
 
 from puffindeck.rpc.grpc import moved
-from tests.support.rpc_channel_test_case import ChannelStory
-from tests.support.rpc_environment import decisions, key_metadata, wait_until
+from tests.support.rpc_channel_test_case import ChannelTestCase
+from tests.support.rpc_environment import balancer_of, key_metadata, wait_until
 
 
-class CallStories(ChannelStory):
+class CallStories(ChannelTestCase):
     """Responses, metadata, callbacks, cancellation and migration of one call."""
 
     async def test_one_answer_with_its_metadata(self) -> None:
-        channel, stub = await self.begin()
+        channel, stub = await self.start_channel()
         call = stub.status(b"hi", timeout=2, metadata=key_metadata("desk 7"))
         answer = await call
         name = answer.split(b":")[0].decode()
@@ -30,28 +30,28 @@
         self.assertFalse(call.cancel())
         self.assertLess(call.time_remaining(), 2)
         self.assertEqual(await call, answer)  # awaited twice
-        self.assertEqual(self.world.servers[name].metadata[0]["puffindeck-key"], "desk 7")
-        await self.nothing_left(channel)
+        self.assertEqual(self.environment.servers[name].metadata[0]["puffindeck-key"], "desk 7")
+        await self.assert_all_released(channel)
 
     async def test_calls_of_a_key_go_to_one_box_and_those_without_one_spread(self) -> None:
-        _, stub = await self.begin()
+        _, stub = await self.start_channel()
         self.assertEqual(len({await stub.status(b"", metadata=key_metadata("desk 7")) for _ in range(12)}), 1)
         self.assertEqual(len({await stub.status(b"") for _ in range(30)}), 3)
 
     async def test_a_stream_of_answers_read_and_iterated(self) -> None:
-        channel, stub = await self.begin()
+        channel, stub = await self.start_channel()
         call = stub.watch(b"", metadata=key_metadata("desk 7"))
         await call.wait_for_connection()
         name = (await call.initial_metadata()).get("served-by")
         self.assertEqual(await call.read(), name.encode())
-        self.world.servers[name].open_streams.pop().set()
+        self.environment.servers[name].open_streams.pop().set()
         self.assertEqual([message async for message in call], [b"last"])
         self.assertIs(await call.read(), EOF)
         self.assertIs(await call.code(), grpc.StatusCode.OK)
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_streams_both_ways(self) -> None:
-        channel, stub = await self.begin("one")
+        channel, stub = await self.start_channel("one")
         call = stub.talk()
         for message in (b"a", b"b"):
             await call.write(message)
@@ -63,10 +63,10 @@
         with self.assertRaises(grpc.aio.UsageError):
             await given.write(b"d")
         given.cancel()
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_done_callbacks_are_called_once(self) -> None:
-        _, stub = await self.begin("one")
+        _, stub = await self.start_channel("one")
         called_with: list[Any] = []
         call = stub.status(b"")
         call.add_done_callback(called_with.append)
@@ -76,19 +76,19 @@
         self.assertEqual(called_with, [call, call])
 
     async def test_a_moved_stream_says_so(self) -> None:
-        channel, stub = await self.begin("one")
+        channel, stub = await self.start_channel("one")
         call = stub.watch(b"")
         await call.read()
         shared, _ = channel._started()
         shared.engine.detach(shared.directory.number("one"))
         with self.assertRaises(AioRpcError) as caught:
             await call.read()
-        self.assertIs(self.error(caught).code(), grpc.StatusCode.UNAVAILABLE)
-        self.assertTrue(moved(self.error(caught)))
-        await self.nothing_left(channel)
+        self.assertIs(self.rpc_error(caught).code(), grpc.StatusCode.UNAVAILABLE)
+        self.assertTrue(moved(self.rpc_error(caught)))
+        await self.assert_all_released(channel)
 
     async def test_a_reader_that_is_cancelled_cancels_the_stream(self) -> None:
-        channel, stub = await self.begin("one")
+        channel, stub = await self.start_channel("one")
         call = stub.watch(b"")
         await call.read()
         reading = asyncio.ensure_future(call.read())
@@ -97,16 +97,16 @@
         with self.assertRaises(asyncio.CancelledError):
             await reading
         self.assertTrue(call.cancelled())
-        await self.nothing_left(channel)
-        self.assertEqual(decisions(channel).admission._lost, 0)  # not taken for a lost connection
+        await self.assert_all_released(channel)
+        self.assertEqual(balancer_of(channel).admission._lost, 0)  # not taken for a lost connection
 
     async def test_reading_with_a_time_limit_of_ones_own(self) -> None:
-        channel, stub = await self.begin("one")
+        channel, stub = await self.start_channel("one")
         call = stub.watch(b"")
         await call.read()
         with self.assertRaises(TimeoutError):
             async with asyncio.timeout(0.01):
                 await call.read()
         self.assertTrue(call.cancelled())
-        await self.nothing_left(channel)
-        self.assertEqual(decisions(channel).admission._lost, 0)
+        await self.assert_all_released(channel)
+        self.assertEqual(balancer_of(channel).admission._lost, 0)
--- a/tests/rpc/test_grpc.py
+++ b/tests/rpc/test_grpc.py
@@ -17,19 +17,19 @@
 from puffindeck.config.client_config import TlsConfig
 from puffindeck.config.endpoint_list import Target
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_channel_test_case import ChannelTestCase
 from tests.support.rpc_environment import FeedServer, Stub, client_config, wait_until
 
 
-class ChannelStories(ChannelStory):
+class ChannelStories(ChannelTestCase):
     """A clear error on misuse, and nothing left open."""
 
     async def test_closing_with_calls_open(self) -> None:
-        channel, stub = await self.begin("one")
-        self.world.servers["one"].mode = "silent"
+        channel, stub = await self.start_channel("one")
+        self.environment.servers["one"].mode = "silent"
         waiting = asyncio.ensure_future(stub.status(b"").code())
-        await wait_until(lambda: self.world.servers["one"].calls, "no attempt")
-        self.world.servers["one"].mode = "serve"
+        await wait_until(lambda: self.environment.servers["one"].calls, "no attempt")
+        self.environment.servers["one"].mode = "serve"
         stream = stub.watch(b"")
         await stream.read()
         await channel.close()
@@ -41,18 +41,18 @@
         await channel.close()
 
     async def test_closing_with_grace_lets_calls_end(self) -> None:
-        channel, stub = await self.begin("one")
+        channel, stub = await self.start_channel("one")
         stream = stub.watch(b"")
         await stream.read()
         closing = asyncio.ensure_future(channel.close(5))
         await asyncio.sleep(0)
-        self.world.servers["one"].open_streams.pop().set()
+        self.environment.servers["one"].open_streams.pop().set()
         self.assertEqual([m async for m in stream], [b"last"])
         await asyncio.wait_for(closing, 2)
         self.assertIs(await stream.code(), grpc.StatusCode.OK)
 
     async def test_another_event_loop_is_told_apart(self) -> None:
-        _, stub = await self.begin("one")
+        _, stub = await self.start_channel("one")
         found: list[BaseException] = []
 
         async def call() -> None:
@@ -71,20 +71,20 @@
         self.assertIn(b"one", await stub.status(b""))
 
     async def test_a_fork_is_told_apart(self) -> None:
-        channel, stub = await self.begin("one")
+        channel, stub = await self.start_channel("one")
         channel._pid = os.getpid() + 1  # as a child's would be; gRPC's own threads forbid a real one here
         with self.assertRaisesRegex(RuntimeError, "after a fork"):
             stub.status(b"")
         channel._pid = os.getpid()
 
     async def test_channels_of_one_configuration_share_a_roster(self) -> None:
-        channel, _ = await self.begin("one")
-        other = self.world.channel()
-        lone = self.world.channel(alone=True)
+        channel, _ = await self.start_channel("one")
+        other = self.environment.channel()
+        lone = self.environment.channel(alone=True)
         await lone.channel_ready()
         self.assertIs(channel._started()[0], other._started()[0])
         self.assertIsNot(channel._started()[0], lone._started()[0])
-        await wait_until(lambda: self.world.discovery.requests == 4, "not a list and a watch each")
+        await wait_until(lambda: self.environment.discovery.requests == 4, "not a list and a watch each")
         await channel.close()
         self.assertIn(b"one", await Stub(other).status(b""))
 
@@ -110,9 +110,9 @@
         self.addAsyncCleanup(server.stop)
         client = client_config(None, server.target())
         client = replace(client, rpc=replace(client.rpc, tls=TlsConfig(certificate, b"", b"", "server.test")))
-        channel = self.world.channel(config=client)
+        channel = self.environment.channel(config=client)
         self.assertEqual(await Stub(channel).status(b"hi", timeout=5), b"one:hi")
-        plain = self.world.channel(config=client_config(None, server.target()))
+        plain = self.environment.channel(config=client_config(None, server.target()))
         with self.assertRaises(AioRpcError):
             await Stub(plain).status(b"hi", timeout=0.6)
 
--- a/tests/rpc/test_interceptor_chain.py
+++ b/tests/rpc/test_interceptor_chain.py
@@ -9,11 +9,11 @@
 from grpc.aio import EOF, Metadata
 
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_channel_test_case import ChannelTestCase
 from tests.support.rpc_environment import client_config, key_metadata
 
 
-class InterceptorStories(ChannelStory):
+class InterceptorStories(ChannelTestCase):
     """They change calls and responses, and their errors reach the caller."""
 
     async def test_they_change_a_call_and_its_answer_and_see_it_once(self) -> None:
@@ -32,16 +32,16 @@
                 seen.append(request)
                 return await continuation(details, request)
 
-        channel, stub = await self.begin("one", "two", interceptors=[Marking(), Counting()])
-        key = self.world.key_of(channel, "one")
-        self.world.servers["one"].mode = "full"
+        channel, stub = await self.start_channel("one", "two", interceptors=[Marking(), Counting()])
+        key = self.environment.key_of(channel, "one")
+        self.environment.servers["one"].mode = "full"
         call = stub.status(b"hi", metadata=key_metadata(key))
         self.assertEqual(await call, b"TWO:HI!")
         self.assertEqual(seen, [b"hi", b"hi!"])
-        self.assertEqual(self.world.servers["two"].metadata[0]["marked"], "yes")
+        self.assertEqual(self.environment.servers["two"].metadata[0]["marked"], "yes")
         self.assertIs(await call.code(), grpc.StatusCode.OK)
         self.assertEqual((await call.trailing_metadata()).get("served-by"), "two")
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_streams_go_through_them(self) -> None:
         class Doubling(grpc.aio.StreamStreamClientInterceptor):
@@ -65,7 +65,7 @@
             async def intercept_stream_unary(self, continuation: Any, details: Any, requests: Any) -> Any:
                 return await continuation(details, requests)
 
-        channel, stub = await self.begin("one", interceptors=[Doubling(), Seeing()])
+        channel, stub = await self.start_channel("one", interceptors=[Doubling(), Seeing()])
         call = stub.talk()
         await call.write(b"a")
         self.assertEqual(await call.read(), b"ONE:AA")
@@ -80,14 +80,14 @@
         self.assertTrue(watch.cancel())
         with self.assertRaises(asyncio.CancelledError):
             await watch.read()
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_an_error_reaches_the_caller_and_what_is_no_interceptor_is_refused(self) -> None:
         class Failing(grpc.aio.UnaryUnaryClientInterceptor):
             async def intercept_unary_unary(self, continuation: Any, details: Any, request: Any) -> Any:
                 raise ZeroDivisionError
 
-        _, stub = await self.begin("one", interceptors=[Failing()])
+        _, stub = await self.start_channel("one", interceptors=[Failing()])
         with self.assertRaises(ZeroDivisionError):
             await stub.status(b"")
         with self.assertRaises(ValueError):
--- a/tests/rpc/test_resuming.py
+++ b/tests/rpc/test_resuming.py
@@ -10,16 +10,16 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.rpc.grpc import moved, resuming
-from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_channel_test_case import ChannelTestCase
 from tests.support.rpc_environment import key_metadata, wait_until
 
 
-class ResumingStories(ChannelStory):
+class ResumingStories(ChannelTestCase):
     """One stream of messages over many calls."""
 
     async def test_a_detached_server_sends_its_streams_away_and_they_go_on_elsewhere(self) -> None:
-        channel, stub = await self.begin("one", "two")
-        key = self.world.key_of(channel, "one")
+        channel, stub = await self.start_channel("one", "two")
+        key = self.environment.key_of(channel, "one")
         begun: list[Any] = []
 
         def begin(last: Any) -> Any:
@@ -33,30 +33,30 @@
         self.assertEqual(await anext(messages), b"two")
         self.assertEqual(begun, [None, b"one"])
         await wait_until(
-            lambda: not self.world.servers["one"].open_streams, "the stream at the old server was left"
+            lambda: not self.environment.servers["one"].open_streams, "the stream at the old server was left"
         )
         await messages.aclose()
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_a_box_that_dies_mid_stream_ends_it_once_and_it_is_resumed(self) -> None:
-        channel, stub = await self.begin("one", "two")
-        key = self.world.key_of(channel, "one")
+        channel, stub = await self.start_channel("one", "two")
+        key = self.environment.key_of(channel, "one")
         call = stub.watch(b"", metadata=key_metadata(key))
         self.assertEqual(await call.read(), b"one")
         messages = resuming(lambda last: stub.watch(b"", metadata=key_metadata(key)), random=Random(1))
         self.assertEqual(await anext(messages), b"one")
-        await self.world.servers["one"].stop()
+        await self.environment.servers["one"].stop()
         with self.assertRaises(AioRpcError) as caught:
             await call.read()
-        self.assertIs(self.error(caught).code(), grpc.StatusCode.UNAVAILABLE)
-        self.assertFalse(moved(self.error(caught)))
+        self.assertIs(self.rpc_error(caught).code(), grpc.StatusCode.UNAVAILABLE)
+        self.assertFalse(moved(self.rpc_error(caught)))
         self.assertEqual(await anext(messages), b"two")
         await messages.aclose()
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_a_stream_that_is_refused_goes_on_when_the_refusal_says(self) -> None:
-        channel, stub = await self.begin("one")
-        server = self.world.servers["one"]
+        channel, stub = await self.start_channel("one")
+        server = self.environment.servers["one"]
         server.mode = "full"
         messages = resuming(lambda last: stub.watch(b""), random=Random(1))
         waiting = asyncio.ensure_future(anext(messages))
@@ -64,14 +64,14 @@
         server.mode = "serve"
         self.assertEqual(await asyncio.wait_for(waiting, 10), b"one")
         await messages.aclose()
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_resuming_gives_up_after_its_tries_and_on_other_statuses(self) -> None:
-        _, stub = await self.begin("one")
-        self.world.servers["one"].mode = "PERMISSION_DENIED"
+        _, stub = await self.start_channel("one")
+        self.environment.servers["one"].mode = "PERMISSION_DENIED"
         with self.assertRaises(AioRpcError) as caught:
             await anext(resuming(lambda last: stub.watch(b"")))
-        self.assertIs(self.error(caught).code(), grpc.StatusCode.PERMISSION_DENIED)
-        self.world.servers["one"].mode = "migrating"
+        self.assertIs(self.rpc_error(caught).code(), grpc.StatusCode.PERMISSION_DENIED)
+        self.environment.servers["one"].mode = "migrating"
         with self.assertRaises(AioRpcError):
             await anext(resuming(lambda last: stub.watch(b"", timeout=1), tries=1, random=Random(1)))
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -17,7 +17,14 @@
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
 from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived
-from tests.support.rpc_environment import Stub, World, client_config, decisions, key_metadata, wait_until
+from tests.support.rpc_environment import (
+    RpcEnvironment,
+    Stub,
+    balancer_of,
+    client_config,
+    key_metadata,
+    wait_until,
+)
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
 POOL = Pool("main", (("1", "2", "3"), ("4", "5")), server_limits={"1": 1})
@@ -73,11 +80,11 @@
     """A channel over pools, with servers on loopback."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
-        self.addAsyncCleanup(self.world.end)
+        self.environment = RpcEnvironment()
+        self.addAsyncCleanup(self.environment.close_all)
 
     async def test_calls_go_by_their_class_and_over_to_the_backup_when_the_box_is_gone(self) -> None:
-        await self.world.serve("one", "two", "three")
+        await self.environment.serve("one", "two", "three")
         watch = Route("streams", ((Condition("class", ("watch",)),),))
         routing = Routing(
             RouteTable((watch,), "calls"),
@@ -86,22 +93,22 @@
                 Pool("streams", (("two",),)),
             ),
         )
-        with_pools = msgspec.structs.replace(client_config(self.world.discovery.port), routing=routing)
-        channel = self.world.channel(config=with_pools)
+        with_pools = msgspec.structs.replace(client_config(self.environment.discovery.port), routing=routing)
+        channel = self.environment.channel(config=with_pools)
         await asyncio.wait_for(channel.channel_ready(), 5)
         stub = Stub(channel)
         for i in range(6):
             self.assertIn(b"one", await stub.status(b"", timeout=5, metadata=key_metadata(f"desk {i}")))
         stream = stub.watch(b"", metadata=key_metadata("desk 1"))
         self.assertIn(b"two", await stream.read())
-        await self.world.servers["one"].stop()
+        await self.environment.servers["one"].stop()
         for i in range(6):
             self.assertIn(b"three", await stub.status(b"", timeout=5, metadata=key_metadata(f"desk {i}")))
-        self.assertEqual(self.world.call_counts()["two"], 1)
+        self.assertEqual(self.environment.call_counts()["two"], 1)
         stream.cancel()
         shared, _ = channel._started()
         await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
-        self.assertFalse(decisions(channel).locations)
+        self.assertFalse(balancer_of(channel).locations)
 
 
 def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
--- a/tests/rpc/test_subchannel_pool.py
+++ b/tests/rpc/test_subchannel_pool.py
@@ -8,17 +8,17 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.rpc.grpc import come_back
-from tests.support.rpc_channel_test_case import ChannelStory
+from tests.support.rpc_channel_test_case import ChannelTestCase
 from tests.support.rpc_environment import key_metadata, wait_until
 
 
-class SubchannelPoolStories(ChannelStory):
+class SubchannelPoolStories(ChannelTestCase):
     """Connects to servers that are gone or back."""
 
     async def test_many_calls_at_once_find_a_box_that_is_back(self) -> None:
         """No one of them may open its connection anew, as the others use it, too."""
-        channel, stub = await self.begin("one")
-        server = self.world.servers["one"]
+        channel, stub = await self.start_channel("one")
+        server = self.environment.servers["one"]
         await stub.status(b"")
         await server.stop()
         codes = await asyncio.gather(*(stub.status(b"", timeout=1).code() for _ in range(5)))
@@ -32,24 +32,26 @@
         async with asyncio.timeout(8):
             while not await served():
                 await asyncio.sleep(0.1)
-        await self.nothing_left(channel)
+        await self.assert_all_released(channel)
 
     async def test_boxes_that_are_gone_cost_connects_only(self) -> None:
-        channel, stub = await self.begin("one", "two")
-        key = self.world.key_of(channel, "one")
-        await self.world.servers["one"].stop()
+        channel, stub = await self.start_channel("one", "two")
+        key = self.environment.key_of(channel, "one")
+        await self.environment.servers["one"].stop()
         for _ in range(3):
             self.assertIn(b"two", await stub.claim(b"", metadata=key_metadata(key)))
-        await self.world.servers["two"].stop()
+        await self.environment.servers["two"].stop()
         with self.assertRaises(AioRpcError) as caught:
             await stub.claim(b"", timeout=1)
-        self.assertIsNotNone(come_back(self.error(caught)))
-        await self.nothing_left(channel)
+        self.assertIsNotNone(come_back(self.rpc_error(caught)))
+        await self.assert_all_released(channel)
 
     async def test_connections_are_bounded_and_closed_when_idle(self) -> None:
-        channel, stub = await self.begin("one", "two", "three", "four", rpc={"subchannels": 2, "idle_s": 0.3})
-        for name in self.world.servers:
-            await stub.status(b"", metadata=key_metadata(self.world.key_of(channel, name)))
+        channel, stub = await self.start_channel(
+            "one", "two", "three", "four", rpc={"subchannels": 2, "idle_s": 0.3}
+        )
+        for name in self.environment.servers:
+            await stub.status(b"", metadata=key_metadata(self.environment.key_of(channel, name)))
             self.assertLessEqual(len(channel._started()[1]), 2)
         await wait_until(lambda: not len(channel._started()[1]), "idle connections stay")
         self.assertTrue(await stub.status(b""))
--- a/tests/service_discovery/test_asyncio_watch.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -13,7 +13,14 @@
 from puffindeck.config.endpoint_list import Target
 from puffindeck.policy.records import Request
 from puffindeck.rpc.grpc import come_back
-from tests.support.rpc_environment import Stub, World, client_config, decisions, key_metadata, wait_until
+from tests.support.rpc_environment import (
+    RpcEnvironment,
+    Stub,
+    balancer_of,
+    client_config,
+    key_metadata,
+    wait_until,
+)
 
 
 def now_ms() -> float:
@@ -24,13 +31,13 @@
     """Channels whose endpoint list is outdated, unreachable or changing."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
-        self.addAsyncCleanup(self.world.end)
+        self.environment = RpcEnvironment()
+        self.addAsyncCleanup(self.environment.close_all)
 
     async def test_calls_are_rejected_until_discovery_is_reachable(self) -> None:
-        await self.world.serve("one")
-        await self.world.discovery.stop()
-        channel = self.world.channel()
+        await self.environment.serve("one")
+        await self.environment.discovery.stop()
+        channel = self.environment.channel()
         stub = Stub(channel)
         waiting = asyncio.ensure_future(stub.status(b"", timeout=20, wait_for_ready=True).code())
         with self.assertRaises(AioRpcError) as caught:
@@ -39,16 +46,16 @@
         self.assertIsNotNone(come_back(caught.exception))
         self.assertIs(channel.get_state(), grpc.ChannelConnectivity.TRANSIENT_FAILURE)
         self.assertEqual(channel.roster_age, float("inf"))
-        await self.world.discovery.start()
+        await self.environment.discovery.start()
         self.assertIs(await asyncio.wait_for(waiting, 15), grpc.StatusCode.OK)
         await asyncio.wait_for(channel.channel_ready(), 5)
         self.assertIn(b"one", await stub.status(b"", timeout=2))
         self.assertLess(channel.roster_age, 5)
 
     async def test_call_that_waits_for_ready_ends_at_its_deadline(self) -> None:
-        await self.world.serve("one")
-        await self.world.discovery.stop()
-        stub = Stub(self.world.channel())
+        await self.environment.serve("one")
+        await self.environment.discovery.stop()
+        stub = Stub(self.environment.channel())
         began = time.monotonic()
         with self.assertRaises(AioRpcError) as caught:
             await stub.status(b"", timeout=1.2, wait_for_ready=True)
@@ -56,91 +63,95 @@
         self.assertLess(time.monotonic() - began, 2.0)
 
     async def test_list_of_the_file_is_used_while_discovery_is_unreachable(self) -> None:
-        await self.world.serve("one")
-        await self.world.discovery.stop()
-        client = client_config(self.world.discovery.port, self.world.servers["one"].target())
-        channel = self.world.channel(config=client)
+        await self.environment.serve("one")
+        await self.environment.discovery.stop()
+        client = client_config(self.environment.discovery.port, self.environment.servers["one"].target())
+        channel = self.environment.channel(config=client)
         self.assertIn(b"one", await Stub(channel).status(b"", timeout=5))
 
     async def test_known_list_is_used_during_an_outage_and_changes_are_applied_afterwards(self) -> None:
-        await self.world.serve("one", "two")
-        channel = self.world.channel()
+        await self.environment.serve("one", "two")
+        channel = self.environment.channel()
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
-        await self.world.discovery.stop()
-        await wait_until(lambda: decisions(channel).list_failures >= 3, "the list was not requested again")
+        await self.environment.discovery.stop()
+        await wait_until(lambda: balancer_of(channel).list_failures >= 3, "the list was not requested again")
         self.assertTrue(await stub.status(b"", timeout=2))
-        self.world.discovery.update(self.world.servers["one"].target("DRAINING"))
-        await self.world.discovery.start()
-        await wait_until(lambda: len(decisions(channel).ready) == 1, "the change was not applied")
+        self.environment.discovery.update(self.environment.servers["one"].target("DRAINING"))
+        await self.environment.discovery.start()
+        await wait_until(lambda: len(balancer_of(channel).ready) == 1, "the change was not applied")
         for _ in range(8):
             self.assertIn(b"two", await stub.status(b"", timeout=2))
 
     async def test_invalid_line_breaks_the_watch_and_the_list_remains(self) -> None:
-        await self.world.serve("one")
-        channel = self.world.channel()
+        await self.environment.serve("one")
+        channel = self.environment.channel()
         await asyncio.wait_for(channel.channel_ready(), 5)
-        discovery = self.world.discovery
+        discovery = self.environment.discovery
         await wait_until(lambda: discovery._watchers, "no watch was started")
         for writer in discovery._watchers:
             discovery._chunk(writer, b'{"rev": "x"}\n')
         await wait_until(lambda: discovery.requests >= 3, "no new watch was started")
         self.assertIn(b"one", await Stub(channel).status(b"", timeout=2))
-        self.assertTrue(decisions(channel).ready)
+        self.assertTrue(balancer_of(channel).ready)
 
     async def test_drain_is_applied_at_once_and_open_streams_continue(self) -> None:
-        await self.world.serve("one", "two")
-        channel = self.world.channel()
+        await self.environment.serve("one", "two")
+        channel = self.environment.channel()
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
-        key = self.world.key_of(channel, "one")
+        key = self.environment.key_of(channel, "one")
         stream = stub.watch(b"", metadata=key_metadata(key))
         self.assertEqual(await stream.read(), b"one")
-        self.world.discovery.update(self.world.servers["one"].target("DRAINING"))
-        await wait_until(lambda: len(decisions(channel).ready) == 1, "the drain was not applied")
-        calls_before = len(self.world.servers["one"].calls)
+        self.environment.discovery.update(self.environment.servers["one"].target("DRAINING"))
+        await wait_until(lambda: len(balancer_of(channel).ready) == 1, "the drain was not applied")
+        calls_before = len(self.environment.servers["one"].calls)
         for _ in range(10):
             self.assertIn(b"two", await stub.status(b"", metadata=key_metadata(key)))
-        self.assertEqual(len(self.world.servers["one"].calls), calls_before)
-        self.world.servers["one"].open_streams.pop().set()
+        self.assertEqual(len(self.environment.servers["one"].calls), calls_before)
+        self.environment.servers["one"].open_streams.pop().set()
         self.assertEqual(await stream.read(), b"last")
 
     async def test_no_call_is_sent_after_the_drain_grace(self) -> None:
         """The engine checks this right before the call, as the decision module does not know of the drain."""
-        await self.world.serve("one", "two")
-        channel = self.world.channel()
+        await self.environment.serve("one", "two")
+        channel = self.environment.channel()
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
-        key = self.world.key_of(channel, "one")
+        key = self.environment.key_of(channel, "one")
         shared, _ = channel._started()
         number = shared.directory.number("one")
         # A watch begins with the whole list, which has the endpoint as ready. Once a later change is applied,
         # so is that list.
-        await wait_until(lambda: len(self.world.discovery._watchers) == 1, "no watch was started")
-        self.world.discovery.update(self.world.servers["two"].target("SERVING"))
+        await wait_until(lambda: len(self.environment.discovery._watchers) == 1, "no watch was started")
+        self.environment.discovery.update(self.environment.servers["two"].target("SERVING"))
         watch = shared.endpoint_watch
         assert watch is not None
-        await wait_until(lambda: watch.version == self.world.discovery.version, "the change was not applied")
+        await wait_until(
+            lambda: watch.version == self.environment.discovery.version, "the change was not applied"
+        )
         # The drain has been known for as long as its grace lasts.
         shared.engine.reachability.unavailable_since[number] = (
             shared.clock.now() - shared.engine.reachability.grace
         )
         self.assertIn(b"two", await stub.status(b"", metadata=key_metadata(key)))
-        self.assertEqual(len(self.world.servers["one"].calls), 0)
+        self.assertEqual(len(self.environment.servers["one"].calls), 0)
 
     async def test_stale_list_with_two_servers_gone_and_one_restarted_at_another_address(
         self,
     ) -> None:
         names = [f"b{i}" for i in range(12)]
-        await self.world.serve(*names)
+        await self.environment.serve(*names)
         channels = [
-            self.world.channel(alone=True, config=client_config(self.world.discovery.port, seed=i))
+            self.environment.channel(
+                alone=True, config=client_config(self.environment.discovery.port, seed=i)
+            )
             for i in range(20)
         ]
         for channel in channels:
             await asyncio.wait_for(channel.channel_ready(), 5)
-        await self.world.discovery.stop()  # from now on the clients' lists are stale
-        servers = self.world.servers
+        await self.environment.discovery.stop()  # from now on the clients' lists are stale
+        servers = self.environment.servers
         for name in ("b0", "b1", "b2"):
             await servers[name].stop()
         servers["b2"].port = 0  # restarted at another address, which no client knows
@@ -153,13 +164,13 @@
         ]
         # All calls succeeded although three of twelve servers were unreachable, and none was executed twice.
         self.assertEqual(len(answers), 40)
-        self.assertEqual(sum(self.world.call_counts().values()), 40)
+        self.assertEqual(sum(self.environment.call_counts().values()), 40)
         self.assertEqual(len(servers["b2"].calls), 0)
         gone = Target("b0", "DELETED"), Target("b1", "DELETED")
-        self.world.discovery.update(*gone, servers["b2"].target())
-        await self.world.discovery.start()
+        self.environment.discovery.update(*gone, servers["b2"].target())
+        await self.environment.discovery.start()
         for channel in channels:
-            balancer = decisions(channel)
+            balancer = balancer_of(channel)
             await wait_until(
                 lambda m=balancer: len(m.ready) == 10 and m.client_ring.warming(),  # type: ignore[misc]
                 "the change was not applied",
@@ -169,7 +180,7 @@
         warming_keys = sum(
             balancer.client_ring.full.home(_request(f"desk {i}"))
             is balancer.endpoints[shared.directory.number("b2")]
-            for i, (shared, balancer) in enumerate((c._started()[0], decisions(c)) for c in channels)
+            for i, (shared, balancer) in enumerate((c._started()[0], balancer_of(c)) for c in channels)
         )
         self.assertGreater(warming_keys, 0)
         # Not all of the clients whose keys belong to the restarted server call it during its slow start.
@@ -177,11 +188,13 @@
 
     async def test_server_restarts_in_slow_start_while_two_hundred_clients_have_streams(self) -> None:
         names = ("one", "two", "three", "four")
-        await self.world.serve(*names)
-        servers = self.world.servers
+        await self.environment.serve(*names)
+        servers = self.environment.servers
         streams = {}
         channels = [
-            self.world.channel(alone=True, config=client_config(self.world.discovery.port, seed=i))
+            self.environment.channel(
+                alone=True, config=client_config(self.environment.discovery.port, seed=i)
+            )
             for i in range(200)
         ]
         for i, channel in enumerate(channels):
@@ -193,13 +206,13 @@
         restarted = servers["one"]
         reading = {i: asyncio.ensure_future(stream.read()) for i, stream in streams.items()}
         await restarted.restart()
-        self.world.discovery.update(restarted.target())
+        self.environment.discovery.update(restarted.target())
         await wait_until(
             lambda: sum(task.done() for task in reading.values()) == open_streams["one"],
             "not all streams ended",
         )
         for channel in channels:
-            balancer = decisions(channel)
+            balancer = balancer_of(channel)
             await wait_until(lambda m=balancer: m.client_ring.warming(), "the change was not applied")  # type: ignore[misc]
         restarted.calls.clear()
         for i, task in reading.items():
@@ -217,13 +230,13 @@
             task.cancel()
 
     async def test_detached_endpoint_gets_no_calls_although_the_list_has_it(self) -> None:
-        await self.world.serve("one", "two")
-        channel = self.world.channel()
+        await self.environment.serve("one", "two")
+        channel = self.environment.channel()
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
         shared, _ = channel._started()
         shared.engine.detach(shared.directory.number("one"))
-        self.world.discovery.update(self.world.servers["one"].target())
+        self.environment.discovery.update(self.environment.servers["one"].target())
         for _ in range(8):
             self.assertIn(b"two", await stub.status(b""))
 
--- a/tests/support/rpc_channel_test_case.py
+++ b/tests/support/rpc_channel_test_case.py
@@ -9,23 +9,23 @@
 from grpc.aio import AioRpcError
 
 from puffindeck.rpc.grpc import BalancedChannel
-from tests.support.rpc_environment import Stub, World, wait_until
+from tests.support.rpc_environment import RpcEnvironment, Stub, wait_until
 
 
-class ChannelStory(IsolatedAsyncioTestCase):
-    """A world of servers and a channel over them."""
+class ChannelTestCase(IsolatedAsyncioTestCase):
+    """Servers on loopback and a channel over them."""
 
     async def asyncSetUp(self) -> None:
-        self.world = World()
-        self.addAsyncCleanup(self.world.end)
+        self.environment = RpcEnvironment()
+        self.addAsyncCleanup(self.environment.close_all)
 
-    async def begin(self, *names: str, **keywords: Any) -> tuple[BalancedChannel, Stub]:
-        await self.world.serve(*(names or ("one", "two", "three")))
-        channel = self.world.channel(**keywords)
+    async def start_channel(self, *names: str, **keywords: Any) -> tuple[BalancedChannel, Stub]:
+        await self.environment.serve(*(names or ("one", "two", "three")))
+        channel = self.environment.channel(**keywords)
         await asyncio.wait_for(channel.channel_ready(), 5)
         return channel, Stub(channel)
 
-    async def nothing_left(self, channel: BalancedChannel) -> None:
+    async def assert_all_released(self, channel: BalancedChannel) -> None:
         """The core holds nothing, and no connection has a user."""
         shared, pool = channel._started()
         await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
@@ -34,6 +34,6 @@
         )
         self.assertFalse(channel._calls)
 
-    def error(self, caught: Any) -> AioRpcError:
+    def rpc_error(self, caught: Any) -> AioRpcError:
         assert isinstance(caught.exception, AioRpcError)
         return caught.exception
--- a/tests/support/rpc_environment.py
+++ b/tests/support/rpc_environment.py
@@ -243,12 +243,12 @@
         await asyncio.sleep(0.005)
 
 
-def decisions(channel: BalancedChannel) -> Any:
+def balancer_of(channel: BalancedChannel) -> Any:
     """The decision module of a channel, with all that its type has."""
     return channel._started()[0].balancer
 
 
-class World:
+class RpcEnvironment:
     """Servers, discovery and channels, all ended when the story ends."""
 
     def __init__(self) -> None:
@@ -273,7 +273,7 @@
         self._endings.append(channel.close)
         return channel
 
-    async def end(self) -> None:
+    async def close_all(self) -> None:
         for ending in reversed(self._endings):
             await ending()
 
@@ -284,7 +284,7 @@
     def key_of(self, channel: BalancedChannel, server: str) -> str:
         """A key whose home is this server, by the channel's own decisions."""
         shared = channel._started()[0]
-        ring = decisions(channel).client_ring.full.ring_for(None)
+        ring = balancer_of(channel).client_ring.full.ring_for(None)
         wanted = shared.directory.number(server)
         return next(
             key
