--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -104,7 +104,7 @@
         target_name = (("grpc.ssl_target_name_override", tls.server_name),) if tls.server_name else ()
         return ChannelSecurity(credentials, (*self._options, *target_name), self._compression)
 
-    def _started(self) -> ChannelParts:
+    def _ensure_started(self) -> ChannelParts:
         """The parts. RuntimeError or grpc.aio.UsageError if this is not where they may be used."""
         if self._closed:
             raise grpc.aio.UsageError("Channel is closed.")
@@ -125,10 +125,10 @@
 
     def check_usable(self) -> None:
         """Raise RuntimeError or grpc.aio.UsageError if the channel can't be used here."""
-        self._started()
+        self._ensure_started()
 
     async def __aenter__(self) -> Self:
-        self._started()
+        self._ensure_started()
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -166,7 +166,7 @@
             return grpc.ChannelConnectivity.SHUTDOWN
         if self._parts is None and not try_to_connect:
             return grpc.ChannelConnectivity.IDLE
-        shared = self._started().shared
+        shared = self._ensure_started().shared
         if shared.balancer.ready:
             return grpc.ChannelConnectivity.READY
         if shared.balancer.list_failures or shared.balancer.version >= 0:
@@ -175,7 +175,7 @@
 
     async def wait_for_state_change(self, last_observed_state: grpc.ChannelConnectivity) -> None:
         """Wait until the state is another than `last_observed_state`."""
-        shared = self._started().shared
+        shared = self._ensure_started().shared
         while self.get_state() is last_observed_state:
             await shared.wait_for_change()
 
@@ -187,7 +187,7 @@
     @property
     def roster_age(self) -> float:
         """Seconds since discovery last gave a sign of life; infinite before the first."""
-        return self._started().shared.list_age_ms / MS_PER_S
+        return self._ensure_started().shared.list_age_ms / MS_PER_S
 
     # Methods
 
@@ -242,7 +242,7 @@
 
     def call(self, method: Method, request: Any, options: CallOptions) -> BalancedCall:
         """Begin a call. RuntimeError or grpc.aio.UsageError if the channel can't be used here."""
-        shared, pool = self._started()
+        shared, pool = self._ensure_started()
         call = CALLS[method.kind](shared, pool, method, options, request, self._calls.discard)
         if not call.done():
             self._calls.add(call)
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -79,7 +79,7 @@
         channel, stub = await self.start_channel("one")
         call = stub.watch(b"")
         await call.read()
-        shared, _ = channel._started()
+        shared, _ = channel._ensure_started()
         shared.engine.detach(shared.directory.number("one"))
         with self.assertRaises(AioRpcError) as caught:
             await call.read()
--- a/tests/rpc/test_resuming.py
+++ b/tests/rpc/test_resuming.py
@@ -28,7 +28,7 @@
 
         messages = resuming(begin, random=Random(1))
         self.assertEqual(await anext(messages), b"one")
-        shared, _ = channel._started()
+        shared, _ = channel._ensure_started()
         shared.engine.detach(shared.directory.number("one"))
         self.assertEqual(await anext(messages), b"two")
         self.assertEqual(begun, [None, b"one"])
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -106,7 +106,7 @@
             self.assertIn(b"three", await stub.status(b"", timeout=5, metadata=key_metadata(f"desk {i}")))
         self.assertEqual(self.environment.call_counts()["two"], 1)
         stream.cancel()
-        shared, _ = channel._started()
+        shared, _ = channel._ensure_started()
         await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
         self.assertFalse(balancer_of(channel).locations)
 
--- a/tests/rpc/test_subchannel_pool.py
+++ b/tests/rpc/test_subchannel_pool.py
@@ -52,6 +52,6 @@
         )
         for name in self.environment.servers:
             await stub.status(b"", metadata=key_metadata(self.environment.key_of(channel, name)))
-            self.assertLessEqual(len(channel._started()[1]), 2)
-        await wait_until(lambda: not len(channel._started()[1]), "idle connections stay")
+            self.assertLessEqual(len(channel._ensure_started()[1]), 2)
+        await wait_until(lambda: not len(channel._ensure_started()[1]), "idle connections stay")
         self.assertTrue(await stub.status(b""))
--- a/tests/service_discovery/test_asyncio_watch.py
+++ b/tests/service_discovery/test_asyncio_watch.py
@@ -119,7 +119,7 @@
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
         key = self.environment.key_of(channel, "one")
-        shared, _ = channel._started()
+        shared, _ = channel._ensure_started()
         number = shared.directory.number("one")
         # A watch begins with the whole list, which has the endpoint as ready. Once a later change is applied,
         # so is that list.
@@ -180,7 +180,7 @@
         warming_keys = sum(
             balancer.client_ring.full.home(_request(f"desk {i}"))
             is balancer.endpoints[shared.directory.number("b2")]
-            for i, (shared, balancer) in enumerate((c._started()[0], balancer_of(c)) for c in channels)
+            for i, (shared, balancer) in enumerate((c._ensure_started()[0], balancer_of(c)) for c in channels)
         )
         self.assertGreater(warming_keys, 0)
         # Not all of the clients whose keys belong to the restarted server call it during its slow start.
@@ -234,7 +234,7 @@
         channel = self.environment.channel()
         stub = Stub(channel)
         await asyncio.wait_for(channel.channel_ready(), 5)
-        shared, _ = channel._started()
+        shared, _ = channel._ensure_started()
         shared.engine.detach(shared.directory.number("one"))
         self.environment.discovery.update(self.environment.servers["one"].target())
         for _ in range(8):
--- a/tests/support/rpc_channel_test_case.py
+++ b/tests/support/rpc_channel_test_case.py
@@ -27,7 +27,7 @@
 
     async def assert_all_released(self, channel: BalancedChannel) -> None:
         """The core holds nothing, and no connection has a user."""
-        shared, pool = channel._started()
+        shared, pool = channel._ensure_started()
         await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
         await wait_until(
             lambda: not any(sub.users for sub in pool._open.values()), "a connection is still used"
--- a/tests/support/rpc_environment.py
+++ b/tests/support/rpc_environment.py
@@ -245,7 +245,7 @@
 
 def balancer_of(channel: BalancedChannel) -> Any:
     """The decision module of a channel, with all that its type has."""
-    return channel._started()[0].balancer
+    return channel._ensure_started()[0].balancer
 
 
 class RpcEnvironment:
@@ -283,7 +283,7 @@
 
     def key_of(self, channel: BalancedChannel, server: str) -> str:
         """A key whose home is this server, by the channel's own decisions."""
-        shared = channel._started()[0]
+        shared = channel._ensure_started()[0]
         ring = balancer_of(channel).client_ring.full.ring_for(None)
         wanted = shared.directory.number(server)
         return next(
