--- a/packages/testing/src/puffindeck_testing/ports.py
+++ b/packages/testing/src/puffindeck_testing/ports.py
@@ -104,7 +104,7 @@
     return _process_address().free_port(kind)
 
 
-def held_port(address: str) -> socket.socket:
+def reserve_port(address: str) -> socket.socket:
     """A TCP socket bound to a port of an address that other code listens on, where that can't be `own_address()`.
 
     While it is open no outgoing connection gets the port and nobody else can bind it, but for listeners that set
--- a/packages/testing/tests/test_ports.py
+++ b/packages/testing/tests/test_ports.py
@@ -19,8 +19,8 @@
     NoFreePortError,
     candidates,
     free_port,
-    held_port,
     own_address,
+    reserve_port,
 )
 
 EPHEMERAL_PORTS = Path("/proc/sys/net/ipv4/ip_local_port_range")
@@ -105,7 +105,7 @@
 
 
 def test_a_held_port_is_listened_on_by_its_holder_and_bound_by_nobody_else() -> None:
-    with held_port("127.0.0.1") as held:
+    with reserve_port("127.0.0.1") as held:
         port = int(held.getsockname()[1])
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
             other.bind(("127.0.0.1", port))
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -16,7 +16,7 @@
 from puffindeck.core.clock import Clock
 from puffindeck.importer import haproxy
 from puffindeck.net.node import Node as NetNode
-from puffindeck_testing.ports import held_port
+from puffindeck_testing.ports import reserve_port
 from tests.importer.haproxy_reference import Reference, Where
 from tests.support.node_test_case import Listener, NodeTestCase, Peer, PeerFactory, reactor
 
@@ -53,7 +53,7 @@
 
     def hold_port(self) -> int:
         """A port for a frontend of a sample, on 127.0.0.1, which is held until the test ends."""
-        held = held_port("127.0.0.1")
+        held = reserve_port("127.0.0.1")
         self.addCleanup(held.close)
         return int(held.getsockname()[1])
 
