--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -64,10 +64,10 @@
 
     wait_until(5)
     for one, other in world.relays:
-        world.set_faults(one, other, loss=0.3, copies=0.2, delay_s=(0.0, 0.2))
+        world.set_faults(one, other, loss=0.3, duplication=0.2, delay_s=(0.0, 0.2))
     wait_until(13)
     for one, other in world.relays:
-        world.set_faults(one, other, loss=0.0, copies=0.0, delay_s=(0.0, 0.0))
+        world.set_faults(one, other, loss=0.0, duplication=0.0, delay_s=(0.0, 0.0))
     world.partition({"e1", "e2"}, {"e3", "e4", "e5"})
     wait_until(22)
     world.partition({"e1", "e2"}, {"e3", "e4", "e5"}, cut=False)
--- a/packages/fleet/tests/test_gateway_membership.py
+++ b/packages/fleet/tests/test_gateway_membership.py
@@ -68,13 +68,13 @@
     world.set_faults("e1", "e2", cut=True)
     for one, other in world.relays:
         if "e1" not in (one, other):
-            world.set_faults(one, other, loss=0.3, copies=0.2, delay_s=(0.0, 0.1))
+            world.set_faults(one, other, loss=0.3, duplication=0.2, delay_s=(0.0, 0.1))
     ends = time.monotonic() + 9.0
     while time.monotonic() < ends:
         assert all("dead" not in world.states(name).values() for name in NAMES)
         time.sleep(0.3)
     for one, other in world.relays:
-        world.set_faults(one, other, loss=0.0, copies=0.0, delay_s=(0.0, 0.0), cut=False)
+        world.set_faults(one, other, loss=0.0, duplication=0.0, delay_s=(0.0, 0.0), cut=False)
     sides = {"e1", "e2"}, {"e3", "e4", "e5"}
     world.partition(*sides)
     world.wait_until(
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -228,7 +228,7 @@
 
 
 def test_copies_disorder_and_delays_of_half_a_second_change_nothing() -> None:
-    net = fleet(5, link=Link(loss=0.05, delay_ms=(0.0, 500.0), copies=0.3))
+    net = fleet(5, link=Link(loss=0.05, delay_ms=(0.0, 500.0), duplication=0.3))
     net.run(net.now + MINUTE)
     assert not deaths(net)
     assert net.hosts["e1"].member.dropped["repeated"] > 0
@@ -322,7 +322,7 @@
 
 def test_the_same_seed_plays_the_same() -> None:
     def play() -> list[tuple[float, str, str]]:
-        net = fleet(12, 7, link=Link(loss=0.2, copies=0.1))
+        net = fleet(12, 7, link=Link(loss=0.2, duplication=0.1))
         net.kill("e3")
         net.run(net.now + 10000)
         return [(when, who, repr(change)) for when, who, change in net.changes]
--- a/packages/testing/src/puffindeck_testing/relay.py
+++ b/packages/testing/src/puffindeck_testing/relay.py
@@ -19,11 +19,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """What one direction does to datagrams. `loss` and `copies` are probabilities from 0 to 1."""
+    """What one direction does to datagrams. `loss` and `duplication` are probabilities from 0 to 1."""
 
     loss: float = 0.0
     delay_s: tuple[float, float] = (0.0, 0.0)  # least and most
-    copies: float = 0.0
+    duplication: float = 0.0
     cut: bool = False
 
 
@@ -77,7 +77,7 @@
         faults = self.faults
         if faults.cut or self._random.random() < faults.loss:
             return
-        for _ in range(1 + (self._random.random() < faults.copies)):
+        for _ in range(1 + (self._random.random() < faults.duplication)):
             least, most = faults.delay_s
             delay_s = least + (most - least) * self._random.random()
             asyncio.get_running_loop().call_later(delay_s, self._forward, data)
--- a/packages/testing/src/puffindeck_testing/virtual_network.py
+++ b/packages/testing/src/puffindeck_testing/virtual_network.py
@@ -40,11 +40,11 @@
 
 @dataclass(frozen=True)
 class Link:
-    """One direction between two members. `loss` and `copies` are probabilities from 0 to 1."""
+    """One direction between two members. `loss` and `duplication` are probabilities from 0 to 1."""
 
     loss: float = 0.0
     delay_ms: tuple[float, float] = (0.2, 1.5)  # least and most
-    copies: float = 0.0  # of the datagrams arrive twice
+    duplication: float = 0.0  # of the datagrams arrive twice
     cut: bool = False
 
 
@@ -185,7 +185,7 @@
         link = self.links.get((host.name, to.name), self.default_link)
         if link.cut or self.random.random() < link.loss:
             return
-        for _ in range(1 + (self.random.random() < link.copies)):
+        for _ in range(1 + (self.random.random() < link.duplication)):
             low, high = link.delay_ms
             self.at(self.now + low + (high - low) * self.random.random(), self._arrive, host, to, datagram)
 
