--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -286,7 +286,7 @@
 
 def test_one_that_leaves_tells_so_at_once() -> None:
     net = fleet(40)
-    net.perform(net.hosts["e2"], net.hosts["e2"].member.handle(net.now, [Leave()]))
+    net.apply_actions(net.hosts["e2"], net.hosts["e2"].member.handle(net.now, [Leave()]))
     net.run(net.now + 300)
     net.kill("e2")
     net.run(net.now + 1200)
@@ -301,7 +301,7 @@
     net = fleet(5)
     for name in ("e2", "nobody"):
         for _ in range(3):
-            net.perform(net.hosts["e1"], net.hosts["e1"].member.handle(net.now, [ConnectionRefused(name)]))
+            net.apply_actions(net.hosts["e1"], net.hosts["e1"].member.handle(net.now, [ConnectionRefused(name)]))
             net.run(net.now + 100)
     net.run(net.now + 5000)
     assert not deaths(net)
--- a/packages/testing/src/puffindeck_testing/virtual_network.py
+++ b/packages/testing/src/puffindeck_testing/virtual_network.py
@@ -148,9 +148,9 @@
             if len(host.waiting) < RECEIVE_BUFFER:
                 host.waiting += events
             return
-        self.perform(host, host.member.handle(self.now + host.skew_ms, events))
+        self.apply_actions(host, host.member.handle(self.now + host.skew_ms, events))
 
-    def perform(self, host: Host, actions: list[Any]) -> None:
+    def apply_actions(self, host: Host, actions: list[Any]) -> None:
         """Carry out a member's actions."""
         for action in actions:
             if isinstance(action, SendDatagram):
