--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -105,7 +105,7 @@
                 for name in REGIONS:
                     for group, rate in RATES.items():
                         if random.random() < rate * STEP_S:
-                            world.begin_client(name, group, hold_s=CONNECTION_S)
+                            world.start_client(name, group, hold_s=CONNECTION_S)
                 time.sleep(max(0.0, start_s + elapsed_s + STEP_S - time.monotonic()))
             if injection is not None:
                 injection.result()
--- a/packages/fleet/tests/test_gateway_rules.py
+++ b/packages/fleet/tests/test_gateway_rules.py
@@ -56,7 +56,7 @@
 
 
 def served(world: World, name: str, group: str) -> bool:
-    result = world.begin_client(name, group)
+    result = world.start_client(name, group)
     world.wait_until(lambda: result.answers, "an answer")
     return result.answers[0].startswith("UP")
 
@@ -88,7 +88,7 @@
     world.send_load(dict.fromkeys(REGIONS, 20.0), 1.5, RULED)
     assert len(world.connections) > before + 60
     assert not connections_outside(world.connections, RULED, north)
-    held = [world.begin_client("e1", RULED, hold_s=20.0) for _ in range(20)]
+    held = [world.start_client("e1", RULED, hold_s=20.0) for _ in range(20)]
     world.wait_until(lambda: all(t.answers for t in held), "answers")
     # a tightening to the south: it counts at e1 once told, at the others once they have heard of it
     world.write_config("e1", residency=rules(8, "south"))
--- a/packages/testing/src/puffindeck_testing/world.py
+++ b/packages/testing/src/puffindeck_testing/world.py
@@ -192,7 +192,7 @@
 
     # Clients
 
-    def begin_client(
+    def start_client(
         self, name: str, group: str = "0", hold_s: float = 0.05, request_class: str = "claim-status"
     ) -> ClientResult:
         """Start a client of a gateway; its answers are added to the result as they come."""
@@ -211,5 +211,5 @@
             for name, rate in rates.items():
                 while sent[name] < rate * passed:
                     sent[name] += 1
-                    self.begin_client(name, group, hold_s)
+                    self.start_client(name, group, hold_s)
             time.sleep(0.005)
