--- a/benchmarks/fleet_day.py
+++ b/benchmarks/fleet_day.py
@@ -64,10 +64,10 @@
 
     wait_until(5)
     for one, other in world.relays:
-        world.set_faults(one, other, loss=0.3, copies=0.2, delay_s=(0.0, 0.2))
+        world.set_faults(one, other, loss=0.3, duplication=0.2, delay_s=(0.0, 0.2))
     wait_until(13)
     for one, other in world.relays:
-        world.set_faults(one, other, loss=0.0, copies=0.0, delay_s=(0.0, 0.0))
+        world.set_faults(one, other, loss=0.0, duplication=0.0, delay_s=(0.0, 0.0))
     world.partition({"e1", "e2"}, {"e3", "e4", "e5"})
     wait_until(22)
     world.partition({"e1", "e2"}, {"e3", "e4", "e5"}, cut=False)
@@ -105,7 +105,7 @@
                 for name in REGIONS:
                     for group, rate in RATES.items():
                         if random.random() < rate * STEP_S:
-                            world.begin_client(name, group, hold_s=CONNECTION_S)
+                            world.start_client(name, group, hold_s=CONNECTION_S)
                 time.sleep(max(0.0, start_s + elapsed_s + STEP_S - time.monotonic()))
             if injection is not None:
                 injection.result()
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -228,7 +228,7 @@
 
 
 def test_copies_disorder_and_delays_of_half_a_second_change_nothing() -> None:
-    net = fleet(5, link=Link(loss=0.05, delay_ms=(0.0, 500.0), copies=0.3))
+    net = fleet(5, link=Link(loss=0.05, delay_ms=(0.0, 500.0), duplication=0.3))
     net.run(net.now + MINUTE)
     assert not deaths(net)
     assert net.hosts["e1"].member.dropped["repeated"] > 0
@@ -286,7 +286,7 @@
 
 def test_one_that_leaves_tells_so_at_once() -> None:
     net = fleet(40)
-    net.perform(net.hosts["e2"], net.hosts["e2"].member.handle(net.now, [Leave()]))
+    net.apply_actions(net.hosts["e2"], net.hosts["e2"].member.handle(net.now, [Leave()]))
     net.run(net.now + 300)
     net.kill("e2")
     net.run(net.now + 1200)
@@ -301,7 +301,7 @@
     net = fleet(5)
     for name in ("e2", "nobody"):
         for _ in range(3):
-            net.perform(net.hosts["e1"], net.hosts["e1"].member.handle(net.now, [ConnectionRefused(name)]))
+            net.apply_actions(net.hosts["e1"], net.hosts["e1"].member.handle(net.now, [ConnectionRefused(name)]))
             net.run(net.now + 100)
     net.run(net.now + 5000)
     assert not deaths(net)
@@ -322,7 +322,7 @@
 
 def test_the_same_seed_plays_the_same() -> None:
     def play() -> list[tuple[float, str, str]]:
-        net = fleet(12, 7, link=Link(loss=0.2, copies=0.1))
+        net = fleet(12, 7, link=Link(loss=0.2, duplication=0.1))
         net.kill("e3")
         net.run(net.now + 10000)
         return [(when, who, repr(change)) for when, who, change in net.changes]
