--- a/puffindeck/hashes.py
+++ b/puffindeck/hashes.py
@@ -4,9 +4,8 @@
 from hashlib import blake2b
 from struct import Struct
 
-VIRTUAL_NODES = (
-    16  # ring positions per endpoint: as many as one digest yields, to keep rings cheap to compute
-)
+# Ring positions per endpoint: as many as one digest yields, to keep rings cheap to compute.
+VIRTUAL_NODES = 16
 RING_BITS = 30
 MASK64 = (1 << 64) - 1
 KEY_CACHE_SIZE = 4096  # clients repeat the same keys
--- a/puffindeck/policy/outlier_detection.py
+++ b/puffindeck/policy/outlier_detection.py
@@ -106,7 +106,7 @@
             # failure counts against the endpoint once another endpoint has served the request.
             request.inconclusive_failures.append(endpoint)
         elif outcome == Outcome.TIMEOUT and event.elapsed_ms >= request.rules.latency_objective_ms:
-            # An earlier timeout than the latency objective would be no evidence against the endpoint.
+            # A timeout that is shorter than the latency objective would be no evidence against the endpoint.
             self.record_failure(endpoint)
 
     def _record_reset(self, endpoint: Endpoint) -> None:
@@ -222,8 +222,8 @@
         load = min(endpoint.load_limit, endpoint.load)
         endpoint.load_limit = max(MINIMUM_LIMIT * self._loads.mean_load, load * factor)
         self._loads.in_use[endpoint.id] = endpoint
-        # The extra load of many new connections passes by itself. The load of older connections does not, so
-        # that they are migrated soon.
+        # The extra load of new connections drops by itself, but that of older connections does not. If few
+        # connections are new, the next tick is brought forward to migrate some of them.
         new = sum(
             now_ms - request.sent_ms < NEW_CONNECTION_MS
             for request in endpoint.connections.values()
--- a/puffindeck/policy/placement.py
+++ b/puffindeck/policy/placement.py
@@ -22,7 +22,8 @@
 BOUND_RELAXATIONS = (1.0, 1.5, 2.5)
 PROBE_LIMIT = 8  # number of candidate endpoints for a request without a group
 GROUP_PROBE_MARGIN = 3  # number of candidate endpoints for a group beyond those that its share fills
-MINIMUM_BOUND = 2.0  # lowest bound, in mean loads, which keeps keys together while endpoints are nearly empty
+# Lowest bound, in mean loads. It prevents that keys are scattered while endpoints are nearly empty.
+MINIMUM_BOUND = 2.0
 MINIMUM_CAPACITY = 1e-9  # avoids division by zero
 
 
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -200,6 +200,7 @@
 
     @property
     def pending(self) -> Attempt | None:
+        """The attempt that has not ended yet, if any."""
         return self.attempts[-1] if self.attempts and self.attempts[-1].outcome is None else None
 
 
@@ -224,10 +225,12 @@
         self.deliver([list_update(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
 
     def deliver(self, events: list[Event]) -> None:
+        """Deliver events to the balancer, and check its actions."""
         for action in self.balancer.handle(self.now, events):
             self.check(action)
 
     def check(self, action: Action) -> None:
+        """Check an action against the rules, and record it."""
         if isinstance(action, ScheduleTimer):
             assert action.delay_ms >= 0
             self.timers.append((self.now + action.delay_ms, action.token))
@@ -235,7 +238,7 @@
             self.check_send(action)
         elif isinstance(action, (Reject, Fail)):
             record = self.records[action.request]
-            assert not record.answered, "request has got a second final answer"
+            assert not record.answered, "the request has a second final answer"
             assert self.now <= record.deadline + self.settings.answer_slack_ms, "answered after the deadline"
             if isinstance(action, Reject):
                 self.check_rejection(record)
@@ -250,14 +253,17 @@
 
     @staticmethod
     def may_have_run(record: RequestRecord) -> list[Attempt]:
+        """Return the attempts that an endpoint may have processed."""
         return [a for a in record.attempts if a.outcome is None or a.outcome not in NOT_PROCESSED]
 
     def check_rejection(self, record: RequestRecord) -> None:
+        """Check that a retry of a rejected request is safe."""
         keyed_to_some = record.cls.effect == Effect.IDEMPOTENCY_KEY and record.cls.scope != Scope.ALL
         if record.cls.effect == Effect.NOT_IDEMPOTENT or keyed_to_some:
             assert not self.may_have_run(record), "rejected although it may have been processed"
 
     def check_send(self, action: Send) -> None:
+        """Check that a request may be sent to an endpoint, and record the attempt."""
         record = self.records[action.request]
         assert not record.answered, "sent after it has ended"
         assert record.pending is None, "two attempts pending at once"
@@ -357,6 +363,7 @@
         self.deliver([EndpointAttached(endpoint)])
 
     def attempt_events(self, request: int, record: RequestRecord) -> list[Event]:
+        """Return the next event of a request's pending attempt, if it is due or chosen at random."""
         attempt, number, random = record.pending, len(record.attempts) - 1, self.random
         if attempt is None:
             return []
@@ -384,6 +391,7 @@
         return [AttemptEnded(request, outcome, attempt.endpoint, number, record.answered, elapsed_ms)]
 
     def arrival(self) -> Event:
+        """Return the event of a new random request, and record the request."""
         cls = self.random.randrange(len(self.settings.classes))
         rules = self.settings.classes[cls]
         time_left_ms = rules.deadline_ms * self.random.choice([0.02, 0.3, 1.0])
@@ -396,6 +404,7 @@
         )
 
     def list_change(self) -> list[Event]:
+        """Change the state of a random endpoint, and return the event of that change."""
         random, self.version = self.random, self.version + 1
         endpoint = random.choice([*self.endpoints, max(self.endpoints) + 1])
         old = self.endpoints.get(endpoint, entry(endpoint, zone=endpoint % 2, cell=endpoint % 3))
@@ -414,6 +423,7 @@
         return [list_update(new, kind=ListUpdateKind.CHANGES, version=self.version)]
 
     def check_deadlines(self) -> None:
+        """Check that no request is without an answer after its deadline."""
         for request, record in self.records.items():
             if not record.answered and not record.established:
                 assert self.now <= record.deadline + self.settings.answer_slack_ms, (
