--- a/packages/fleet/src/puffindeck_fleet/datagram_codec.py
+++ b/packages/fleet/src/puffindeck_fleet/datagram_codec.py
@@ -11,8 +11,8 @@
 from puffindeck_membership import Envelope
 
 MAGIC = b"pf"
-VERSION = 1
-MAX_OCTETS = 1200  # of a datagram: it passes every usual network without fragmentation
+FRAME_VERSION = 1
+MAX_DATAGRAM_OCTETS = 1200  # of a datagram: it passes every usual network without fragmentation
 FRAME = Struct("<2sBIQ")  # magic, version, hash of the fleet's name, checksum of the envelope
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Envelope)
@@ -55,9 +55,9 @@
     def encode(self, envelope: Envelope) -> bytes:
         """The datagram of an envelope. Raises EnvelopeTooLong."""
         payload = ENCODER.encode(envelope)
-        if len(payload) > MAX_OCTETS - FRAME.size:
+        if len(payload) > MAX_DATAGRAM_OCTETS - FRAME.size:
             raise EnvelopeTooLong(len(payload))
-        return FRAME.pack(MAGIC, VERSION, self._fleet_hash, self._checksum(payload)) + payload
+        return FRAME.pack(MAGIC, FRAME_VERSION, self._fleet_hash, self._checksum(payload)) + payload
 
     def decode(self, data: bytes) -> Envelope:
         """The envelope of a datagram. Raises InvalidDatagram."""
@@ -66,7 +66,7 @@
         magic, version, fleet_hash, checksum = FRAME.unpack_from(data)
         if magic != MAGIC:
             raise InvalidDatagram(DropReason.GARBAGE)
-        if version > VERSION:
+        if version > FRAME_VERSION:
             raise InvalidDatagram(DropReason.NEWER)
         if fleet_hash != self._fleet_hash:
             raise InvalidDatagram(DropReason.FOREIGN)
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -26,12 +26,12 @@
 TICK_INTERVAL = milliseconds(50)  # between two ticks of quotas and rules
 QUOTA_CHANNEL = "quota"
 RESIDENCY_CHANNEL = "residency"
-RANDOM_BITS = 20  # of a process incarnation, below its milliseconds
+INCARNATION_RANDOM_BITS = 20  # of a process incarnation, below its milliseconds
 
 
 def new_process_incarnation(now_ms: float) -> int:
     """A number for this process, higher than that of any earlier one of its name as far as the clocks agree."""
-    return (int(now_ms) << RANDOM_BITS) | secrets.randbits(RANDOM_BITS)
+    return (int(now_ms) << INCARNATION_RANDOM_BITS) | secrets.randbits(INCARNATION_RANDOM_BITS)
 
 
 class EventSink(Protocol):
--- a/packages/fleet/src/puffindeck_fleet/incarnation_store.py
+++ b/packages/fleet/src/puffindeck_fleet/incarnation_store.py
@@ -49,14 +49,14 @@
             if not self._has_failed:
                 log.error("fleet: {error}", error=describe(error))
             self._has_failed = True
-            self._retry = self._timers.after(RETRY_INTERVAL, self._try_again)
+            self._retry = self._timers.after(RETRY_INTERVAL, self._retry_write)
         else:
             if self._has_failed:
                 log.info("fleet: incarnation {incarnation} is stored again", incarnation=incarnation)
             self._stored = incarnation
             self._has_failed = False
 
-    def _try_again(self) -> None:
+    def _retry_write(self) -> None:
         self._retry = None
         self.save(self._latest)
 
--- a/packages/fleet/src/puffindeck_fleet/membership_driver.py
+++ b/packages/fleet/src/puffindeck_fleet/membership_driver.py
@@ -13,7 +13,7 @@
 from puffindeck_errors import OperatorError, describe
 from puffindeck_fleet.config import FleetConfig, MemberIdentity
 from puffindeck_fleet.datagram_codec import (
-    MAX_OCTETS,
+    MAX_DATAGRAM_OCTETS,
     DatagramCodec,
     DropReason,
     EnvelopeTooLong,
@@ -29,8 +29,8 @@
     Event,
     MemberChanged,
     Membership,
+    NameInUse,
     NameTaken,
-    NameTakenOver,
     PayloadReceived,
     Phase,
     ScheduleTimer,
@@ -156,7 +156,7 @@
                 self._log_change(action)
             case Report():
                 log.error("fleet: {error}", error=describe(action.error))
-            case NameTakenOver():
+            case NameInUse():
                 where = f"fleet {self._fleet_name}: {self._name}"
                 self._on_name_taken(NameTaken(where, address=action.address))
 
@@ -169,7 +169,7 @@
                 "fleet: not sent to {name}: {error}, at most {most}",
                 name=datagram.name,
                 error=error,
-                most=MAX_OCTETS,
+                most=MAX_DATAGRAM_OCTETS,
             )
             return
         if datagram.probe:
--- a/packages/fleet/src/puffindeck_fleet/request_filter.py
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -37,7 +37,7 @@
 DEFAULT_TENANT = "default"  # of requests that match no configured tenant
 FLUSH = TimerFired(-1)  # hand out the actions that have come up between two events
 UNSERVED_OUTCOMES = NOT_PROCESSED | {Outcome.ERROR}  # of attempts that no endpoint counts as served
-NOT_SERVED_HERE_RETRY_MS = 1000.0  # after which a client may retry whose service may not be served here now
+NOT_SERVED_RETRY_AFTER_MS = 1000.0  # after which a client may retry whose service may not be served here now
 
 
 class RequestFilter:
@@ -140,7 +140,7 @@
             return None
         view = self._view_of(event)
         if self._regions is not None and not self._regions.admit(event.request, view, now_ms):
-            return self._reject(event, NOT_SERVED_HERE_RETRY_MS)
+            return self._reject(event, NOT_SERVED_RETRY_AFTER_MS)
         charge = self._admission.admit(event.request, view, now_ms, now_ms + event.remaining_ms)
         if isinstance(charge, Rejection):
             if self._regions is not None:
--- a/packages/fleet/src/puffindeck_fleet/state_file.py
+++ b/packages/fleet/src/puffindeck_fleet/state_file.py
@@ -11,7 +11,7 @@
 
 from puffindeck_fleet.errors import FolderUnusable, StateUnreadable
 
-VERSION = 1
+FORMAT_VERSION = 1
 FOLDER_MODE = 0o700  # of a folder that has to be created
 
 
@@ -53,7 +53,7 @@
         """The state in a file's bytes. Raises ValueError or MsgspecError if they are damaged."""
         head, _, body = data.partition(b"\n")
         version, checksum = head.decode("ascii").split()
-        if int(version) != VERSION:
+        if int(version) != FORMAT_VERSION:
             raise ValueError(f"version {version}")
         if checksum != xxh64_hexdigest(body):
             raise ValueError("its checksum is wrong")
@@ -66,7 +66,7 @@
         try:
             self.path.parent.mkdir(mode=FOLDER_MODE, parents=True, exist_ok=True)
             with draft.open("wb") as file:
-                file.write(f"{VERSION} {xxh64_hexdigest(body)}\n".encode() + body)
+                file.write(f"{FORMAT_VERSION} {xxh64_hexdigest(body)}\n".encode() + body)
                 file.flush()
                 os.fsync(file.fileno())
             draft.replace(self.path)
--- a/packages/fleet/tests/test_datagram_codec.py
+++ b/packages/fleet/tests/test_datagram_codec.py
@@ -10,8 +10,8 @@
 
 from puffindeck_fleet.datagram_codec import (
     FRAME,
-    MAX_OCTETS,
-    VERSION,
+    FRAME_VERSION,
+    MAX_DATAGRAM_OCTETS,
     DatagramCodec,
     EnvelopeTooLong,
     InvalidDatagram,
@@ -36,12 +36,12 @@
     data = codec.encode(ENVELOPE)
     assert codec.decode(data) == ENVELOPE
     assert drop_reason(data, DatagramCodec("other")) == "foreign"
-    assert drop_reason(data[:2] + bytes([VERSION + 1]) + data[3:], codec) == "newer"
+    assert drop_reason(data[:2] + bytes([FRAME_VERSION + 1]) + data[3:], codec) == "newer"
     assert drop_reason(data[: FRAME.size - 1], codec) == "short"
     assert drop_reason(b"x" * 60, codec) == "garbage"
     assert drop_reason(data[:-1], codec) == "damaged"
     with pytest.raises(EnvelopeTooLong, match="octets"):
-        codec.encode(Envelope("e1", 7, 1, 5, "e2", 1000, Payload("quota", b"x" * MAX_OCTETS)))
+        codec.encode(Envelope("e1", 7, 1, 5, "e2", 1000, Payload("quota", b"x" * MAX_DATAGRAM_OCTETS)))
 
 
 def test_fields_of_a_later_version_are_passed_over() -> None:
--- a/packages/membership/src/puffindeck_membership/__init__.py
+++ b/packages/membership/src/puffindeck_membership/__init__.py
@@ -1,7 +1,8 @@
-"""Membership of a fleet: which members there are and which of them are alive, decided without I/O.
+"""Fleet membership: a sans-I/O implementation of SWIM with Lifeguard's local health.
 
-`Membership.handle` takes events and a moment in milliseconds, and returns what to send and what has changed. It
-opens no socket and reads no clock. docs/design/membership.md compares it with other protocols.
+`Membership.handle` takes events and the current time in milliseconds and returns actions, such as datagrams
+to send and changes of members. It opens no socket and reads no clock. docs/design/membership.md compares the
+protocol with others.
 """
 
 from puffindeck_membership.errors import MembershipError, NameTaken, PeerMisnamed
@@ -12,7 +13,7 @@
     Event,
     Leave,
     MemberChanged,
-    NameTakenOver,
+    NameInUse,
     PayloadReceived,
     PeersChanged,
     ScheduleTimer,
@@ -34,8 +35,8 @@
     "MemberUpdate",
     "Membership",
     "MembershipError",
+    "NameInUse",
     "NameTaken",
-    "NameTakenOver",
     "Payload",
     "PayloadReceived",
     "PeerMisnamed",
--- a/packages/membership/src/puffindeck_membership/datagram_receiver.py
+++ b/packages/membership/src/puffindeck_membership/datagram_receiver.py
@@ -1,4 +1,4 @@
-"""Filters received datagrams and hands their content to the parts of the protocol."""
+"""Filters received datagrams and dispatches their content to the parts of the protocol."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from puffindeck_membership.contact import ContactTracker
 from puffindeck_membership.datagram_sender import DatagramSender
 from puffindeck_membership.dissemination import Dissemination
-from puffindeck_membership.events import DatagramReceived, NameTakenOver, PayloadReceived
+from puffindeck_membership.events import DatagramReceived, NameInUse, PayloadReceived
 from puffindeck_membership.failure_detector import FailureDetector
 from puffindeck_membership.local_health import LocalHealth
 from puffindeck_membership.local_member import LocalMember
@@ -30,7 +30,7 @@
 
 
 class DatagramReceiver:
-    """Receives the datagrams of other members. `dropped` counts those of no use by their reason."""
+    """Receives the datagrams of other members. `dropped` counts the datagrams dropped, by reason."""
 
     def __init__(
         self,
@@ -59,7 +59,7 @@
         self.dropped: Counter[str] = Counter()
 
     def receive(self, event: DatagramReceived) -> None:
-        """Take in a datagram: its member updates, the contact with its sender, and its body."""
+        """Apply a datagram's member updates, record the contact with its sender, and dispatch its body."""
         envelope = event.envelope
         if envelope.sender == self._local.name:
             self._receive_from_same_name(envelope, event.source)
@@ -76,7 +76,7 @@
             self._dispatch(envelope)
 
     def _record_contact(self, envelope: Envelope, source: str) -> bool:
-        """Record the contact with the sender. False if a later process of the sender's name is known."""
+        """Record the contact with the sender. Return False if the sender's process has been superseded."""
         member = self._table.members.get(envelope.sender)
         if member is None:
             return True
@@ -91,7 +91,11 @@
         return True
 
     def _is_addressed_here(self, envelope: Envelope) -> bool:
-        """Whether the body is for this member. Pings for another name are answered, so that the sender notices."""
+        """Return whether to process the body.
+
+        A body for another name is ignored, except a ping, whose Ack shows the sender that its address is
+        wrong.
+        """
         if envelope.recipient in ("", self._local.name):
             return True
         self.dropped["misnamed"] += 1
@@ -114,7 +118,11 @@
                 self._runtime.actions.add(received)
 
     def _receive_from_same_name(self, envelope: Envelope, source: str) -> None:
-        """A datagram of another process with this member's name, or of this process through a wrong address."""
+        """Handle a datagram that has this member's name as its sender.
+
+        Either another process with the same name has sent it, or this process has sent it to itself because
+        an address is wrong.
+        """
         local = self._local
         if envelope.process_incarnation == local.process_incarnation:
             self.dropped["own"] += 1
@@ -122,6 +130,6 @@
         self.dropped["namesake"] += 1
         body = envelope.body
         if isinstance(body, NameConflict) and body.process_incarnation < local.process_incarnation:
-            self._runtime.actions.add(NameTakenOver(body.address))
+            self._runtime.actions.add(NameInUse(body.address))
         elif envelope.process_incarnation > local.process_incarnation:
             self._sender.send("", NameConflict(local.process_incarnation, local.address), address=source)
--- a/packages/membership/src/puffindeck_membership/datagram_sender.py
+++ b/packages/membership/src/puffindeck_membership/datagram_sender.py
@@ -1,4 +1,4 @@
-"""Sends the local member's datagrams, with member updates on each."""
+"""Sends the local member's datagrams, each with piggybacked member updates."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class AddressBook:
-    """The addresses of the other members. Configured addresses go before those that members announce."""
+    """The addresses of the other members. A configured address takes precedence over an announced one."""
 
     def __init__(self, configured: dict[str, str], table: MemberTable) -> None:
         self.configured = dict(configured)
@@ -24,13 +24,13 @@
         self.configured = dict(peers)
 
     def address_of(self, name: str) -> str:
-        """The address of a member; empty if none is known."""
+        """Return the address of a member, or an empty string if none is known."""
         member = self._table.members.get(name)
         return self.configured.get(name) or (member.update.address if member is not None else "")
 
 
 class DatagramSender:
-    """Numbers the local member's datagrams and puts member updates on them."""
+    """Assigns sequence numbers to the local member's datagrams and piggybacks member updates on them."""
 
     def __init__(
         self,
@@ -55,9 +55,10 @@
         updates: Iterable[MemberUpdate] = (),
         piggyback_octets: int | None = None,
     ) -> None:
-        """Send to a member, or to an address if the name is empty. Nothing is sent if no address is known.
+        """Send `body` to a member, or to `address` if the name is empty. Send nothing if no address is known.
 
-        `updates` are sent in any case; updates of the gossip queue are added up to `piggyback_octets`.
+        The datagram always contains `updates`. Updates from the gossip queue are added up to
+        `piggyback_octets`; None means `Timing.piggyback_octets`.
         """
         address = address or self._addresses.address_of(name)
         if not address:
--- a/packages/membership/src/puffindeck_membership/dissemination.py
+++ b/packages/membership/src/puffindeck_membership/dissemination.py
@@ -1,4 +1,4 @@
-"""Applies updates about members and disseminates them: on every datagram, and in gossip rounds while they are new."""
+"""Applies member updates and disseminates them, piggybacked on datagrams and in gossip rounds."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 ROUNDS_PER_UPDATE = 3  # gossip rounds after a new update
 MEMBERS_PER_ROUND = 2  # members that receive gossip in a round
-LEAVE_FANOUT = 8  # random members that are notified of a leave, beside the observers
-LEAVE_REPEAT_MS = 150.0  # after which the notification of a leave is repeated
-EXCLUSION_NOTICE_INTERVAL_MS = 500.0  # between two notices to a member that counts as dead
+LEAVE_FANOUT = 8  # random members that are notified of a leave, in addition to the observers
+LEAVE_REPEAT_DELAY_MS = 150.0  # delay before the notification of a leave is sent again
+EXCLUSION_NOTICE_INTERVAL_MS = 500.0  # minimum interval between two notices to a member declared dead
 
 
 class GossipRounds:
@@ -42,7 +42,7 @@
         self._refilled_ms = self._runtime.now_ms
 
     def request(self) -> None:
-        """Run some rounds, as there is a new update."""
+        """Request gossip rounds for a new update."""
         self._remaining_rounds = ROUNDS_PER_UPDATE
         if not self._is_scheduled:
             self._is_scheduled = True
@@ -69,7 +69,7 @@
 
 
 class Dissemination:
-    """Decides which updates are applied and passed on, and refutes those that are wrong about the local member."""
+    """Decides which updates are applied and disseminated, and refutes false ones about the local member."""
 
     def __init__(
         self,
@@ -90,7 +90,7 @@
         self._runtime = runtime
 
     def receive(self, update: MemberUpdate) -> None:
-        """Apply an update of another member if it supersedes what the table has."""
+        """Apply a received update if it supersedes the one in the table."""
         if update.name == self._local.name:
             self._receive_about_local_member(update)
             return
@@ -98,13 +98,13 @@
         if member is not None and not supersedes(update, member.update):
             return
         if member is not None and _only_refutes(update, member.update):
-            # a refutation concerns only those that suspected the member: it is not passed on
+            # A refutation is not disseminated, because it concerns only the members that suspected this one.
             self._table.put(update, self._runtime.now_ms)
             return
         self.publish(update)
 
     def publish(self, update: MemberUpdate) -> None:
-        """Apply an update about another member and pass it on."""
+        """Apply an update about another member and disseminate it."""
         previous_phase = self._table.put(update, self._runtime.now_ms)
         stored = self._table.members[update.name].update
         self._queue.add(stored, len(self._table.living))
@@ -121,7 +121,7 @@
             local.incarnation = max(local.incarnation, update.incarnation)
             return
         if update.phase == Phase.DEAD and is_this_process:
-            local.excluded_by_peers = True  # until a ping is answered: the refutation may not arrive
+            local.excluded_by_peers = True  # reset when a ping is answered, as the refutation may be lost
         if update.phase == Phase.ALIVE and update.process_incarnation > local.process_incarnation:
             conflict = NameConflict(local.process_incarnation, local.address)
             self._sender.send("", conflict, address=update.address)
@@ -130,37 +130,37 @@
             self._queue.add(local.update(), len(self._table.living))
             self._rounds.request()
 
-    def refute(self, incarnation: int, suspecter: str) -> None:
-        """Answer a suspicion of the local member: the suspecter is the first to receive the refutation."""
+    def refute(self, incarnation: int, observer: str) -> None:
+        """Refute a suspicion of the local member. The refutation is sent to the observer that suspects it."""
         if self._local.phase == Phase.ALIVE:
             self._local.raise_incarnation(incarnation)
-        self._sender.send(suspecter, Gossip(), updates=[self._local.update()])
+        self._sender.send(observer, Gossip(), updates=[self._local.update()])
 
     def notify_excluded(self, envelope: Envelope, source: str) -> None:
-        """Notify a sender that counts as dead here, or is another process of its name, so that it can refute.
+        """Notify a sender that is dead in the local table, or is another process than the one in the table.
 
-        The notice goes to the address that the datagram came from, the one that the sender announces, and the
-        configured one, as any of them may be wrong.
+        The notice lets the sender refute. It goes to the source address of the datagram, the address that the
+        sender announces, and the configured or stored address, because any of these may be wrong.
         """
         member = self._table.members[envelope.sender]
         is_same_process = envelope.process_incarnation == member.update.process_incarnation
         if member.update.phase == Phase.LEFT and is_same_process:
-            return  # it is shutting down
+            return  # the sender is shutting down
         now_ms = self._runtime.now_ms
-        if now_ms - member.notified_ms < EXCLUSION_NOTICE_INTERVAL_MS:
+        if now_ms - member.exclusion_notified_ms < EXCLUSION_NOTICE_INTERVAL_MS:
             return
-        member.notified_ms = now_ms
+        member.exclusion_notified_ms = now_ms
         announced = {update.address for update in envelope.updates if update.name == envelope.sender}
         known = {source, self._addresses.address_of(envelope.sender)}
         for address in sorted((known | announced) - {""}):
             self._sender.send("", Gossip(), address=address, updates=[member.update])
 
     def leave(self) -> None:
-        """Notify the others that the local member is leaving: at once, and once more."""
+        """Notify other members that the local member is leaving, now and after `LEAVE_REPEAT_DELAY_MS`."""
         if self._local.phase != Phase.LEFT:
             self._local.phase = Phase.LEFT
             self._broadcast_leave()
-            self._runtime.scheduler.call_later(LEAVE_REPEAT_MS, self._broadcast_leave)
+            self._runtime.scheduler.call_later(LEAVE_REPEAT_DELAY_MS, self._broadcast_leave)
 
     def _broadcast_leave(self) -> None:
         recipients = set(self._table.random_members(self._runtime.random, LEAVE_FANOUT))
@@ -170,5 +170,5 @@
 
 
 def _only_refutes(update: MemberUpdate, previous: MemberUpdate) -> bool:
-    """Whether the only difference is a higher incarnation of a member that is alive."""
+    """Return whether the only change is a higher incarnation of a living member."""
     return previous.phase == update.phase == Phase.ALIVE and previous.process_incarnation == update.process_incarnation
--- a/packages/membership/src/puffindeck_membership/errors.py
+++ b/packages/membership/src/puffindeck_membership/errors.py
@@ -1,4 +1,4 @@
-"""The errors of the membership protocol that an operator has to resolve."""
+"""Errors of the membership protocol that an operator has to resolve."""
 
 from puffindeck_errors import OperatorError
 
@@ -10,7 +10,7 @@
 
 
 class NameTaken(MembershipError):
-    """Another living process had this member's name first."""
+    """Another living process has used this member's name since before this process started."""
 
     message_template = "a living process at {address} had the name before this one."
     remedy_template = (
@@ -19,7 +19,7 @@
 
 
 class PeerMisnamed(MembershipError):
-    """Another member than the configured one answers at a peer's address."""
+    """A member with another name than the configured peer answers at the peer's address."""
 
     message_template = "at {address} answers {found}."
     remedy_template = "Correct the address of {where}, or that instance's `name`."
--- a/packages/membership/src/puffindeck_membership/events.py
+++ b/packages/membership/src/puffindeck_membership/events.py
@@ -1,4 +1,4 @@
-"""The events that a `Membership` is given and the actions that it returns. All times are milliseconds."""
+"""The events that a `Membership` handles and the actions that it returns. All times are in milliseconds."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(slots=True)
 class DatagramReceived:
-    """A decoded datagram. `source` is the address that it came from."""
+    """A datagram has been received and decoded. `source` is the address that it was sent from."""
 
     envelope: Envelope
     source: str = ""
@@ -20,24 +20,24 @@
 
 @dataclass(slots=True)
 class ConnectionRefused:
-    """The machine of this member reports that no process listens on the member's port."""
+    """The host of the member `name` reports that no process listens on the member's port."""
 
     name: str
 
 
 @dataclass(slots=True)
 class TimerFired:
-    """The time of the latest ScheduleTimer has come."""
+    """The timer of the latest `ScheduleTimer` has fired."""
 
 
 @dataclass(slots=True)
 class Leave:
-    """This member is shutting down."""
+    """The local member is shutting down."""
 
 
 @dataclass(slots=True)
 class PeersChanged:
-    """New addresses of the configured peers, by name."""
+    """The addresses of the configured peers, by name, have changed."""
 
     peers: dict[str, str]
 
@@ -50,7 +50,10 @@
 
 @dataclass(slots=True)
 class SendDatagram:
-    """Send a datagram to a member's address. `probe`: by a socket that notices when the connection is refused."""
+    """Send a datagram to a member's address.
+
+    If `probe` is set, the datagram is sent on a socket that reports when the connection is refused.
+    """
 
     name: str
     address: str
@@ -60,7 +63,7 @@
 
 @dataclass(slots=True)
 class ScheduleTimer:
-    """Hand in a TimerFired at this time."""
+    """Deliver a `TimerFired` event at this time."""
 
     at_ms: float
 
@@ -75,7 +78,7 @@
 
 @dataclass(slots=True)
 class PayloadReceived:
-    """A message for another module has arrived from a member."""
+    """Deliver a message from a member to the module that `channel` names."""
 
     sender: str
     channel: str
@@ -83,10 +86,10 @@
 
 
 @dataclass(slots=True)
-class NameTakenOver:
-    """A living process at `address` had this member's name first: this process has to end."""
+class NameInUse:
+    """End this process, because a living process at `address` has used its name for longer."""
 
     address: str
 
 
-Action = SendDatagram | ScheduleTimer | MemberChanged | PayloadReceived | Report | NameTakenOver
+Action = SendDatagram | ScheduleTimer | MemberChanged | PayloadReceived | Report | NameInUse
--- a/packages/membership/src/puffindeck_membership/failure_detector.py
+++ b/packages/membership/src/puffindeck_membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's probes: pings the monitored members in turn, answers pings of others, and evaluates the Acks."""
+"""SWIM's failure detector: pings the monitored members in turn, answers pings, and evaluates the Acks."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class FailureDetector:
-    """Probes a few members regularly and evaluates what they answer."""
+    """Probes the monitored members at regular intervals and evaluates their Acks."""
 
     def __init__(
         self,
@@ -48,15 +48,15 @@
         self._runtime = runtime
 
     def probe_next_subject(self) -> None:
-        """Ping the next monitored member, probe those that are silent, and schedule the next probe."""
+        """Ping the next monitored member, probe silent ones as suspects, and schedule the next probe."""
         subjects = self._subjects.refresh()
         if subjects:
             self._pinger.ping(self._subjects.next())
-            self._probe_silent(subjects)
+            self._probe_silent_subjects(subjects)
         interval_ms = self._runtime.timing.probe_interval_ms / max(1, len(subjects))
         self._runtime.scheduler.call_later(interval_ms, self.probe_next_subject)
 
-    def _probe_silent(self, subjects: tuple[str, ...]) -> None:
+    def _probe_silent_subjects(self, subjects: tuple[str, ...]) -> None:
         for name in subjects:
             member = self._table.living.get(name)
             if member is None:
@@ -66,16 +66,16 @@
                 self._suspicions.probe_suspect(member)
 
     def on_ping(self, envelope: Envelope, ping: Ping) -> None:
-        """Answer a ping."""
+        """Answer a ping with an Ack."""
         self._sender.send(envelope.sender, Ack(ping.probe_number, self._local.name))
 
     def on_indirect_ping_request(self, sender: str, request: IndirectPingRequest) -> None:
-        """Ping a member for another one that does not receive its answers."""
+        """Ping `request.target` on behalf of a member that receives no answer from the target."""
         requester = ProbeRequester(sender, request.probe_number)
         self._pinger.ping_for(requester, request.target)
 
     def on_ack(self, envelope: Envelope, ack: Ack) -> None:
-        """Evaluate the answer to a ping, to an indirect ping, or to a suspicion."""
+        """Evaluate the Ack of a ping, of an indirect ping, or of a suspicion."""
         probe = self._pinger.pop_answered(ack.probe_number)
         if ack.member != envelope.sender:
             self._on_indirect_ack(ack, probe)
@@ -83,7 +83,7 @@
             self._on_direct_ack(envelope, probe)
 
     def _on_indirect_ack(self, ack: Ack, probe: OutstandingProbe | None) -> None:
-        """Another member has pinged the suspect successfully, or has heard it recently."""
+        """Handle the Ack of a member that has pinged the suspect or has had recent contact with it."""
         member = self._table.living.get(ack.member)
         if member is None:
             return
--- a/packages/membership/src/puffindeck_membership/local_health.py
+++ b/packages/membership/src/puffindeck_membership/local_health.py
@@ -1,47 +1,50 @@
-"""The health of the local member: a silence of others may be its own fault (Lifeguard: Dadgar and others, 2017)."""
+"""The local health of Lifeguard (Dadgar and others, 2017).
+
+A member that is slow itself may not receive answers in time, so its timeouts are extended by a multiplier.
+"""
 
 from puffindeck_membership.timing import Timing
 
-MAX_LATENESS = 8  # the lateness score's upper bound
-LATENESS_PER_MULTIPLE = 4  # lateness at which all timeouts are doubled
-ISOLATION_INTERVALS = 1.5  # probe intervals without any datagram after which this member is isolated
+MAX_HEALTH_COUNTER = 8  # upper bound of the local health counter
+HEALTH_COUNTS_PER_TIMEOUT_MULTIPLE = 4  # counter value at which all timeouts are doubled
+ISOLATION_PROBE_INTERVALS = 1.5  # probe intervals without any datagram that show that this member is isolated
 
 
 class LocalHealth:
-    """Whether the local process was paused, runs late, or receives nothing."""
+    """Tracks whether the local process was paused, runs late, or receives no datagrams."""
 
     def __init__(self, timing: Timing) -> None:
         self._timing = timing
-        self._lateness = 0  # late wakeups, less the probes that were answered in time
-        self._last_received_ms = float("-inf")  # when the latest datagram of any member arrived
-        self.resumed_ms = float("-inf")  # when this process last noticed that it had been paused
+        self._health_counter = 0  # incremented by a late wakeup, decremented by an answered probe
+        self._last_received_ms = float("-inf")  # time of the latest datagram from any member
+        self.resumed_ms = float("-inf")  # time at which this process last detected that it had been paused
 
     def record_wakeup(self, now_ms: float, due_ms: float | None) -> bool:
-        """Record a wakeup and when the next timer was due. True if the process was paused in between."""
+        """Record a wakeup and when the next timer was due. Return whether the process was paused."""
         late_ms = 0.0 if due_ms is None else now_ms - due_ms
         if late_ms > self._timing.late_wakeup_ms:
-            self._lateness = min(MAX_LATENESS, self._lateness + 1)
+            self._health_counter = min(MAX_HEALTH_COUNTER, self._health_counter + 1)
         if late_ms <= self._timing.pause_ms:
             return False
         self.resumed_ms = now_ms
         return True
 
     def record_received(self, now_ms: float) -> None:
-        """Record that a datagram of another member has arrived."""
+        """Record that a datagram from another member has arrived."""
         self._last_received_ms = now_ms
 
     def record_success(self) -> None:
         """Record a probe that was answered."""
-        self._lateness = max(0, self._lateness - 1)
+        self._health_counter = max(0, self._health_counter - 1)
 
     def timeout_multiplier(self) -> float:
-        """The factor by which timeouts are longer while this process runs late."""
-        return 1.0 + self._lateness / LATENESS_PER_MULTIPLE
+        """Return the factor that extends timeouts while this process runs late."""
+        return 1.0 + self._health_counter / HEALTH_COUNTS_PER_TIMEOUT_MULTIPLE
 
     def is_isolated(self, now_ms: float, living_members: int) -> bool:
-        """Whether this member receives nothing, or has resumed too recently to know.
+        """Return whether the local member receives no datagrams, or has resumed too recently to decide.
 
-        With one other member nothing shows which of the two is cut off.
+        With a single other member, silence is not isolation, as it doesn't show which of the two is cut off.
         """
         timing = self._timing
         if now_ms - self.resumed_ms < timing.suspect_after_ms:
@@ -49,5 +52,5 @@
         silence_ms = now_ms - self._last_received_ms
         return (
             living_members > 1
-            and silence_ms > ISOLATION_INTERVALS * timing.probe_interval_ms * self.timeout_multiplier()
+            and silence_ms > ISOLATION_PROBE_INTERVALS * timing.probe_interval_ms * self.timeout_multiplier()
         )
--- a/packages/membership/src/puffindeck_membership/local_member.py
+++ b/packages/membership/src/puffindeck_membership/local_member.py
@@ -6,7 +6,7 @@
 
 
 class LocalMember:
-    """The local member, as it describes itself to the others."""
+    """The local member, as it describes itself to other members."""
 
     def __init__(self, name: str, address: str, region: str, process_incarnation: int, incarnation: int) -> None:
         self.name = name
@@ -15,15 +15,15 @@
         self.process_incarnation = process_incarnation
         self.incarnation = incarnation
         self.phase = Phase.ALIVE
-        self.excluded_by_peers = False  # others count it as dead, and may not have received its refutation
+        self.excluded_by_peers = False  # whether it was declared dead and its refutation may not have arrived
 
     def update(self) -> MemberUpdate:
-        """The update that describes this member."""
+        """Return the update that describes the local member."""
         return MemberUpdate(
             self.name, self.phase, self.incarnation, self.process_incarnation, self.address, self.region
         )
 
     def raise_incarnation(self, refuted: int) -> None:
-        """Go beyond an incarnation that others have used, so that this member's update supersedes theirs."""
+        """Raise the incarnation above the refuted one, so that the local member's update supersedes it."""
         if refuted >= self.incarnation:
             self.incarnation = refuted + 1
--- a/packages/membership/src/puffindeck_membership/member_table.py
+++ b/packages/membership/src/puffindeck_membership/member_table.py
@@ -16,41 +16,41 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedSuspicion:
-    """When another observer's suspicion was received, and if that observer has confirmed it."""
+    """The time at which another observer's suspicion was received, and whether that observer confirmed it."""
 
     received_ms: float
     confirmed: bool
 
 
 class Member:
-    """Another member. All times are milliseconds of the local clock."""
+    """Another member. All times are in milliseconds of the local clock."""
 
     __slots__ = (
         "changed_ms",
         "clock_offset_ms",
+        "exclusion_notified_ms",
         "last_contact_ms",
         "last_direct_contact_ms",
         "monitored_since_ms",
-        "notified_ms",
         "probed_as_suspect",
         "refused_since_ms",
         "round_trip_ms",
-        "suspecters",
+        "suspicions_by_observer",
         "update",
     )
 
     def __init__(self, update: MemberUpdate, now_ms: float) -> None:
         self.update = update
-        self.last_contact_ms = now_ms  # the latest sign of life, direct or through another member
-        self.last_direct_contact_ms = NEVER_MS  # the latest datagram of the member itself
+        self.last_contact_ms = now_ms  # latest contact, direct or reported by another member
+        self.last_direct_contact_ms = NEVER_MS  # latest datagram from the member itself
         self.monitored_since_ms = now_ms
-        self.notified_ms = NEVER_MS  # when it was last notified that it counts as dead
+        self.exclusion_notified_ms = NEVER_MS  # latest notice to the member that it was declared dead
         self.changed_ms = now_ms
-        self.refused_since_ms = NEVER_MS  # since when its machine refuses connections
-        self.suspecters: dict[str, ReceivedSuspicion] = {}  # by the name of the observer
+        self.refused_since_ms = NEVER_MS  # time at which the member's host began to refuse connections
+        self.suspicions_by_observer: dict[str, ReceivedSuspicion] = {}
         self.probed_as_suspect = False
-        self.clock_offset_ms = 0.0  # of its clock, by the fastest recent answer
-        self.round_trip_ms = float("inf")  # of that answer
+        self.clock_offset_ms = 0.0  # offset of the member's clock by the Ack with the shortest round trip
+        self.round_trip_ms = float("inf")  # round trip time of that Ack, increased with each later Ack
 
     @property
     def name(self) -> str:
@@ -64,12 +64,12 @@
 
     @property
     def is_refusing(self) -> bool:
-        """Whether its machine refuses connections."""
+        """Whether the member's host refuses connections."""
         return self.refused_since_ms != NEVER_MS
 
 
 def supersedes(update: MemberUpdate, other: MemberUpdate) -> bool:
-    """Whether an update about a member replaces another one about the same member."""
+    """Return whether an update supersedes another one about the same member."""
     return (update.incarnation, update.phase, update.process_incarnation) > (
         other.incarnation,
         other.phase,
@@ -78,7 +78,7 @@
 
 
 class MemberTable:
-    """All other members by name. The living ones, and the local member, are on the monitoring rings."""
+    """All other members by name. Living members and the local member are on the monitoring rings."""
 
     def __init__(self, local_name: str, observers: int) -> None:
         self.topology = MonitoringTopology(observers)
@@ -88,7 +88,10 @@
         self.topology.add(local_name)
 
     def put(self, update: MemberUpdate, now_ms: float) -> Phase | None:
-        """Store an update, without a check whether it supersedes. Returns the phase before; None for a new member."""
+        """Store an update without checking whether it supersedes the stored one.
+
+        Return the previous phase, or None for a new member.
+        """
         member = self.members.get(update.name)
         previous = member.update if member is not None else None
         if previous is not None:
@@ -107,7 +110,7 @@
     def _replace_member(self, previous: Member | None, update: MemberUpdate, now_ms: float) -> Member:
         member = Member(update, now_ms)
         if previous is not None:
-            member.probed_as_suspect = previous.probed_as_suspect  # its timer still runs
+            member.probed_as_suspect = previous.probed_as_suspect  # the timer of the probes is still running
         self.members[update.name] = member
         return member
 
@@ -120,13 +123,13 @@
             self.topology.remove(member.name)
 
     def start_monitoring(self, now_ms: float) -> None:
-        """Count the silence of all members from now on."""
+        """Measure the silence of all members from `now_ms`."""
         for member in self.members.values():
             member.last_contact_ms = now_ms
             member.monitored_since_ms = now_ms
             member.changed_ms = now_ms
 
-    def forget(self, name: str) -> None:
+    def remove_member(self, name: str) -> None:
         """Remove a member."""
         member = self.members.pop(name)
         self.bucket_hashes.replace(member.update, None)
@@ -134,11 +137,14 @@
             self.topology.remove(name)
 
     def random_members(self, random: Random, count: int, excluding: str = "") -> list[str]:
-        """Names of so many living members at random; fewer if there are not as many."""
+        """Return the names of up to `count` random living members, without `excluding`."""
         candidates = [name for name in self.living if name != excluding]
         return random.sample(candidates, min(count, len(candidates)))
 
 
 def _resets_evidence(previous: MemberUpdate, update: MemberUpdate) -> bool:
-    """Whether evidence against a member is void: it concerned an earlier process, or the member has refuted it."""
+    """Return whether an update invalidates the evidence against a member.
+
+    The evidence concerned an earlier process of the member, or the member has refuted it.
+    """
     return previous.process_incarnation != update.process_incarnation or previous.incarnation < update.incarnation
--- a/packages/membership/src/puffindeck_membership/membership.py
+++ b/packages/membership/src/puffindeck_membership/membership.py
@@ -1,4 +1,4 @@
-"""One member of the fleet: takes events and a moment, and returns what to send and what has changed."""
+"""One member of the fleet: composes the parts of the protocol, handles events and returns actions."""
 
 from __future__ import annotations
 
@@ -32,20 +32,21 @@
 from puffindeck_membership.messages import MemberUpdate, Payload, Phase
 from puffindeck_membership.probes import MonitoredSubjects, Pinger
 from puffindeck_membership.reconnection import Reconnection
-from puffindeck_membership.runtime import ActionLog, Runtime
+from puffindeck_membership.runtime import ActionBuffer, Runtime
 from puffindeck_membership.scheduler import Scheduler
 from puffindeck_membership.suspicion import SuspicionProtocol
 from puffindeck_membership.timing import Timing
 
-MAX_FIRST_PING_DELAY_MS = 50.0  # within which unreachable peers are pinged for the first time
+MAX_FIRST_PING_DELAY_MS = 50.0  # maximum delay between the start and the first pings of unreachable peers
 
 
 class Membership:
-    """A member of the fleet, composed of the parts of the protocol. It does no I/O and reads no clock.
+    """A member of the fleet. It does no I/O and reads no clock.
 
-    `process_incarnation` is higher than that of any earlier process of this name. `peers` are the configured
-    addresses by name. `incarnation` is one that no earlier process has used, where that is known. `initial_updates`
-    describe the members that are known from the start. The same seed and events give the same actions.
+    `process_incarnation` must be higher than that of any earlier process of this name. `peers` maps the names
+    of the configured peers to their addresses. `incarnation` should be higher than any that an earlier
+    process has used, if that is known. `initial_updates` describe members that are known at the start. The
+    same seed and events give the same actions.
     """
 
     def __init__(
@@ -62,7 +63,7 @@
         initial_updates: Iterable[MemberUpdate] = (),
     ) -> None:
         timing = timing or Timing()
-        self._runtime = Runtime(Scheduler(), Random(seed), timing, ActionLog())
+        self._runtime = Runtime(Scheduler(), Random(seed), timing, ActionBuffer())
         self._local = LocalMember(name, address, region, process_incarnation, incarnation)
         self._health = LocalHealth(timing)
         self._is_started = False
@@ -75,7 +76,7 @@
         self._compose()
 
     def _compose(self) -> None:
-        """Create the parts of the protocol, each with its collaborators."""
+        """Create the parts of the protocol and connect them."""
         local = self._local
         table = self.table
         health = self._health
@@ -112,7 +113,7 @@
     # Events
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Handle events at a moment in milliseconds, and run the timers that are due."""
+        """Handle events at the time `now_ms`, run the timers that are due, and return the actions."""
         scheduler = self._runtime.scheduler
         self._runtime.actions.take()
         scheduler.now_ms = now_ms
@@ -142,7 +143,7 @@
                 self._runtime.scheduler.wakeup_fired()
 
     def _start(self) -> None:
-        """Start all periodic work at random moments of its interval."""
+        """Start all periodic work, each task at a random time within its first interval."""
         self._is_started = True
         self._rounds.start()
         self.table.start_monitoring(self._runtime.now_ms)
@@ -157,21 +158,21 @@
 
     @property
     def incarnation(self) -> int:
-        """The incarnation that this member has reached."""
+        """The current incarnation of the local member."""
         return self._local.incarnation
 
     @property
     def excluded_by_peers(self) -> bool:
-        """Whether others count this member as dead and may not have received its refutation."""
+        """Whether the local member was declared dead and its refutation may not have arrived."""
         return self._local.excluded_by_peers
 
     @property
     def dropped(self) -> Counter[str]:
-        """The number of received datagrams that were of no use, by reason."""
+        """The number of dropped datagrams by reason."""
         return self._receiver.dropped
 
     def members(self) -> list[MemberUpdate]:
-        """All known members, the local one among them, by name. Those that are silent have the phase SUSPECT."""
+        """Return all known members and the local one, sorted by name. Suspects have the phase SUSPECT."""
         found = [self._local.update()]
         for member in self.table.members.values():
             is_suspect = member.phase == Phase.ALIVE and self._is_suspect(member)
@@ -180,21 +181,24 @@
         return sorted(found, key=lambda update: update.name)
 
     def _is_suspect(self, member: Member) -> bool:
-        if member.suspecters:
+        if member.suspicions_by_observer:
             return True
         timeout_ms = self._runtime.timing.announce_suspicion_after_ms
         return member.probed_as_suspect and self._contacts.silence_ms(member) >= timeout_ms
 
     def living(self) -> list[str]:
-        """The sorted names of all living members, the local one among them."""
+        """Return the sorted names of all living members, including the local one."""
         return sorted([self._local.name, *self.table.living])
 
     def clock_offset_ms(self) -> float:
-        """How far the local clock is ahead of the median of all clocks, in milliseconds."""
+        """Return the milliseconds by which the local clock is ahead of the median of all members' clocks."""
         return self._contacts.clock_offset_ms()
 
     def send_payload(self, name: str, channel: str, data: bytes) -> list[SendDatagram]:
-        """The datagrams that carry a message of another module to a member; none if its address is unknown."""
+        """Return the datagrams that send a message of another module to a member.
+
+        The list is empty if the member's address is unknown.
+        """
         self._runtime.actions.take()
         self._sender.send(name, Payload(channel, data), piggyback_octets=0)
         return [action for action in self._runtime.actions.take() if isinstance(action, SendDatagram)]
--- a/packages/membership/src/puffindeck_membership/monitoring_topology.py
+++ b/packages/membership/src/puffindeck_membership/monitoring_topology.py
@@ -1,7 +1,7 @@
-"""Which members monitor which: each member is observed by its predecessor on each of several hash rings.
+"""The monitoring topology: each member is observed by its predecessor on each of several hash rings.
 
-Members that know the same names compute the same rings without any communication. A member has as many observers as
-there are rings, and as many subjects, however large the fleet is (as in Rapid: Suresh and others, 2018).
+Members that know the same names compute the same rings without communication. A member has as many observers,
+and as many subjects, as there are rings, regardless of the fleet's size (Rapid: Suresh and others, 2018).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 @lru_cache(POSITION_CACHE_SIZE)
 def ring_position(ring: int, name: str) -> RingPosition:
-    """The position of a name on the ring with that index."""
+    """Return the position of a name on the ring with the index `ring`."""
     return RingPosition(xxh64_intdigest(name.encode(), ring + 1), name)
 
 
@@ -36,7 +36,7 @@
         self._rings: list[list[RingPosition]] = [[] for _ in range(ring_count)]
 
     def add(self, name: str) -> None:
-        """Put a member on all rings. One that is there already stays."""
+        """Add a member to all rings. Adding it again has no effect."""
         for index, ring in enumerate(self._rings):
             position = ring_position(index, name)
             slot = bisect_left(ring, position)
@@ -44,7 +44,7 @@
                 insort(ring, position)
 
     def remove(self, name: str) -> None:
-        """Take a member off all rings."""
+        """Remove a member from all rings."""
         for index, ring in enumerate(self._rings):
             position = ring_position(index, name)
             slot = bisect_left(ring, position)
@@ -52,23 +52,23 @@
                 del ring[slot]
 
     def subjects(self, name: str) -> list[str]:
-        """The members that this member monitors: its successor on each ring, each once."""
+        """Return the members that `name` monitors, its successor on each ring, without repetition."""
         return self._neighbours(name, 1)
 
     def observers(self, name: str) -> list[str]:
-        """The members that monitor this member: its predecessor on each ring, each once."""
+        """Return the members that monitor `name`, its predecessor on each ring, without repetition."""
         return self._neighbours(name, -1)
 
     def _neighbours(self, name: str, step: int) -> list[str]:
         found: list[str] = []
         for index in range(len(self._rings)):
-            neighbour = next((other for other in self._walk(index, name, step) if other not in found), None)
+            neighbour = next((other for other in self._ring_neighbours(index, name, step) if other not in found), None)
             if neighbour is not None:
                 found.append(neighbour)
         return found
 
-    def _walk(self, index: int, name: str, step: int) -> Iterator[str]:
-        """The other members on a ring in that direction, nearest first."""
+    def _ring_neighbours(self, index: int, name: str, step: int) -> Iterator[str]:
+        """Yield the other members on a ring, nearest first, clockwise if `step` is positive."""
         ring = self._rings[index]
         start = bisect_left(ring, ring_position(index, name))
         size = len(ring)
--- a/packages/membership/src/puffindeck_membership/probes.py
+++ b/packages/membership/src/puffindeck_membership/probes.py
@@ -1,4 +1,4 @@
-"""The pings that the local member has sent and the members that it pings in turn."""
+"""The local member's outstanding pings, and the members that it pings in turn."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from puffindeck_membership.messages import IndirectPingRequest, MemberUpdate, Ping
 from puffindeck_membership.runtime import Runtime
 
-MAX_OUTSTANDING_PROBES = 512  # unanswered pings that are remembered
-FIRST_NUMBER_BITS = 40  # of the random first probe number
+MAX_OUTSTANDING_PROBES = 512  # unanswered pings that are stored at most; the oldest is discarded
+FIRST_PROBE_NUMBER_BITS = 40  # size of the random first probe number
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeRequester:
-    """The member that has requested an indirect ping, and the number that it gave the ping."""
+    """The member that has requested an indirect ping, and the probe number that it has assigned."""
 
     name: str
     probe_number: int
@@ -24,33 +24,36 @@
 
 @dataclass(frozen=True, slots=True)
 class OutstandingProbe:
-    """A ping that was sent, or requested of another member, and not yet answered."""
+    """A ping that was sent, or requested from another member, and is not yet answered."""
 
     target: str
     sent_ms: float
-    requester: ProbeRequester | None  # None for a ping of the local member's own
+    requester: ProbeRequester | None  # None if no other member has requested the ping
 
 
 class Pinger:
-    """Sends and numbers pings, and remembers those that are not yet answered.
+    """Sends pings with consecutive probe numbers and stores those that are not yet answered.
 
-    Numbers begin at random, so that answers to an earlier process of this name are not taken for answers to this one.
+    The first number is random, so that answers to an earlier process of this name match no ping of this one.
     """
 
     def __init__(self, local: LocalMember, sender: DatagramSender, runtime: Runtime) -> None:
         self._local = local
         self._sender = sender
         self._runtime = runtime
-        self._last_number = runtime.random.getrandbits(FIRST_NUMBER_BITS)
+        self._last_number = runtime.random.getrandbits(FIRST_PROBE_NUMBER_BITS)
         self._outstanding: dict[int, OutstandingProbe] = {}
 
     def ping(self, name: str) -> None:
-        """Ping a member by a socket that notices when the connection is refused."""
+        """Ping a member on a socket that reports when the connection is refused."""
         number = self._add_outstanding(name)
         self._sender.send(name, Ping(number), probe=True, updates=[self._local.update()])
 
     def ping_unreachable(self, name: str, last_update: MemberUpdate | None) -> None:
-        """Ping a member that is dead or was never heard. It also receives the last update about it, if any."""
+        """Ping a member that is dead or has never been contacted.
+
+        The datagram also contains the last update about the member, if any, so that the member can refute it.
+        """
         updates = [self._local.update()]
         if last_update is not None:
             updates.append(last_update)
@@ -58,17 +61,17 @@
         self._sender.send(name, Ping(number), updates=updates)
 
     def ping_for(self, requester: ProbeRequester, target: str) -> None:
-        """Ping a member for another one."""
+        """Ping `target` on behalf of another member."""
         number = self._add_outstanding(target, requester)
         self._sender.send(target, Ping(number), updates=[self._local.update()])
 
-    def request_indirect_ping(self, helper: str, target: str) -> None:
-        """Ask a member to ping another one."""
+    def request_indirect_ping(self, intermediary: str, target: str) -> None:
+        """Request that `intermediary` ping `target`."""
         number = self._add_outstanding(target)
-        self._sender.send(helper, IndirectPingRequest(number, target))
+        self._sender.send(intermediary, IndirectPingRequest(number, target))
 
     def pop_answered(self, number: int) -> OutstandingProbe | None:
-        """The ping of that number, which is answered now; None if none is outstanding."""
+        """Remove and return the outstanding ping with this number; None if there is none."""
         return self._outstanding.pop(number, None)
 
     def _add_outstanding(self, target: str, requester: ProbeRequester | None = None) -> int:
@@ -87,13 +90,13 @@
         self._table = table
         self._runtime = runtime
         self._subjects: tuple[str, ...] = ()
-        self._turn = 0
+        self._round_robin_index = 0
 
     def __contains__(self, name: object) -> bool:
         return name in self._subjects
 
     def refresh(self) -> tuple[str, ...]:
-        """Compute the subjects anew. Monitoring of those that are new begins now."""
+        """Recompute and return the subjects. Monitoring of new subjects begins now."""
         subjects = tuple(self._table.topology.subjects(self._local.name))
         for name in set(subjects) - set(self._subjects):
             if name in self._table.living:
@@ -102,6 +105,6 @@
         return subjects
 
     def next(self) -> str:
-        """The subject whose turn it is. There has to be one."""
-        self._turn += 1
-        return self._subjects[self._turn % len(self._subjects)]
+        """Return the next subject in turn. There must be at least one subject."""
+        self._round_robin_index += 1
+        return self._subjects[self._round_robin_index % len(self._subjects)]
--- a/packages/membership/src/puffindeck_membership/reconnection.py
+++ b/packages/membership/src/puffindeck_membership/reconnection.py
@@ -1,4 +1,4 @@
-"""Pings members that are dead and configured peers that were never heard: partitions heal by this."""
+"""Pings dead members and configured peers that were never contacted, so that partitions heal."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Reconnection:
-    """Tries unreachable members at random intervals."""
+    """Pings unreachable members at randomized intervals."""
 
     def __init__(
         self, local: LocalMember, table: MemberTable, pinger: Pinger, addresses: AddressBook, runtime: Runtime
@@ -23,9 +23,9 @@
         self._runtime = runtime
 
     def run(self) -> None:
-        """Ping one unreachable member at random, or all if no member is alive, and schedule the next run."""
+        """Ping a random unreachable member, or all of them if no member is alive. Schedule the next run."""
         random = self._runtime.random
-        candidates = self._never_heard() + self._dead()
+        candidates = self._never_contacted_peers() + self._dead_members()
         if self._table.living and candidates:
             candidates = random.sample(candidates, 1)
         for name in candidates:
@@ -34,9 +34,9 @@
         interval_ms = self._runtime.timing.reconnect_interval_ms * (0.75 + random.random() / 2)
         self._runtime.scheduler.call_later(interval_ms, self.run)
 
-    def _never_heard(self) -> list[str]:
+    def _never_contacted_peers(self) -> list[str]:
         known = self._table.members
         return [name for name in self._addresses.configured if name not in known and name != self._local.name]
 
-    def _dead(self) -> list[str]:
+    def _dead_members(self) -> list[str]:
         return [member.name for member in self._table.members.values() if member.phase == Phase.DEAD]
--- a/packages/membership/src/puffindeck_membership/runtime.py
+++ b/packages/membership/src/puffindeck_membership/runtime.py
@@ -1,4 +1,4 @@
-"""What all parts of a member share: its moment and timers, its random numbers, its settings, and its actions."""
+"""The objects that all parts of a member share: the scheduler, random numbers, the timing and the actions."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from puffindeck_membership.timing import Timing
 
 
-class ActionLog:
-    """The actions of the events that are being handled, in their order."""
+class ActionBuffer:
+    """Collects the actions of the events that are being handled, in order."""
 
     def __init__(self) -> None:
         self._actions: list[Action] = []
@@ -21,7 +21,7 @@
         self._actions.append(action)
 
     def take(self) -> list[Action]:
-        """All actions since the last call."""
+        """Remove and return the collected actions."""
         actions = self._actions
         self._actions = []
         return actions
@@ -29,14 +29,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """The collaborators that every part of a member is given."""
+    """The objects that every part of a member receives."""
 
     scheduler: Scheduler
     random: Random
     timing: Timing
-    actions: ActionLog
+    actions: ActionBuffer
 
     @property
     def now_ms(self) -> float:
-        """The moment of the events that are being handled, in milliseconds."""
+        """The time in milliseconds at which the current events are handled."""
         return self.scheduler.now_ms
--- a/packages/membership/src/puffindeck_membership/suspicion.py
+++ b/packages/membership/src/puffindeck_membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions: probes suspects, exchanges suspicions with the other observers, and declares members dead."""
+"""SWIM's suspicion mechanism: probes suspects, agrees with the other observers, and declares members dead."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from puffindeck_membership.probes import MonitoredSubjects, Pinger
 from puffindeck_membership.runtime import Runtime
 
-UNSOLICITED_ACK = 0  # the probe number of an Ack that answers a suspicion
-LONE_DEATH_FACTOR = 1.5  # of the confirmation timeout, after which one observer suffices
+UNSOLICITED_PROBE_NUMBER = 0  # probe number of an Ack that answers a suspicion
+SINGLE_OBSERVER_TIMEOUT_FACTOR = 1.5  # multiplies the confirmation timeout, after which one observer suffices
 
 
 class SuspicionProtocol:
-    """Judges suspects together with their other observers."""
+    """Decides together with the other observers of a suspect whether it is dead."""
 
     def __init__(
         self,
@@ -48,14 +48,17 @@
     # Probes of suspects
 
     def connection_refused(self, name: str) -> None:
-        """The machine of a member refuses connections: its process has ended, or is being started again."""
+        """Handle the refusal of a connection by a member's host.
+
+        The member's process has ended, or is being restarted.
+        """
         member = self._table.living.get(name)
         if member is not None and not member.is_refusing:
             member.refused_since_ms = self._runtime.now_ms
             self.probe_suspect(member)
 
     def probe_suspect(self, member: Member) -> None:
-        """Begin to probe a member more often and through others, until there is contact or it is dead."""
+        """Start frequent direct and indirect probes of a member, until it answers or is declared dead."""
         if not member.probed_as_suspect:
             member.probed_as_suspect = True
             self._continue_probing(member.name)
@@ -77,11 +80,11 @@
         self._runtime.scheduler.call_later(interval_ms, partial(self._continue_probing, name))
 
     def _request_indirect_ping(self, target: str) -> None:
-        for helper in self._table.random_members(self._runtime.random, 1, excluding=target):
-            self._pinger.request_indirect_ping(helper, target)
+        for intermediary in self._table.random_members(self._runtime.random, 1, excluding=target):
+            self._pinger.request_indirect_ping(intermediary, target)
 
     def _probe_after_suspicion(self, name: str) -> None:
-        """Another observer suspects a member: ping it at once, and go on only if this member suspects it too."""
+        """Ping a member that another observer suspects. Continue only if the local member suspects it too."""
         if name in self._table.living:
             self._pinger.ping(name)
             delay_ms = self._runtime.timing.refusal_confirmation_ms
@@ -90,7 +93,10 @@
     # Exchange of suspicions
 
     def _announce(self, member: Member) -> None:
-        """Notify the suspect, which may refute, and its other observers."""
+        """Notify the suspect's other observers, and the suspect itself, which may refute.
+
+        A suspect whose host refuses connections is not notified.
+        """
         is_refusing = member.is_refusing
         if not is_refusing:
             timeout_ms = self._runtime.timing.announce_suspicion_after_ms * self._health.timeout_multiplier()
@@ -105,7 +111,7 @@
             self._sender.send(member.name, suspicion)
 
     def receive(self, sender: str, suspicion: Suspicion) -> None:
-        """Another member suspects one: refute it with what is known here, or take it as evidence."""
+        """Handle another member's suspicion: refute it with newer state or recent contact, or record it."""
         if suspicion.name == self._local.name:
             self._dissemination.refute(suspicion.incarnation, sender)
             return
@@ -117,15 +123,15 @@
         elif suspicion.incarnation < member.update.incarnation:
             self._send_known_state(sender, member)
         elif not suspicion.refused and self._contacts.is_recent(member):
-            self._sender.send(sender, Ack(UNSOLICITED_ACK, suspicion.name))
+            self._sender.send(sender, Ack(UNSOLICITED_PROBE_NUMBER, suspicion.name))
         else:
             self._record(sender, member, suspicion)
 
     def _send_known_state(self, recipient: str, member: Member) -> None:
-        self._sender.send(recipient, Ack(UNSOLICITED_ACK, self._local.name), updates=[member.update])
+        self._sender.send(recipient, Ack(UNSOLICITED_PROBE_NUMBER, self._local.name), updates=[member.update])
 
     def _record(self, sender: str, member: Member, suspicion: Suspicion) -> None:
-        member.suspecters[sender] = ReceivedSuspicion(self._runtime.now_ms, suspicion.confirmed)
+        member.suspicions_by_observer[sender] = ReceivedSuspicion(self._runtime.now_ms, suspicion.confirmed)
         if suspicion.name not in self._subjects:
             return
         if not member.probed_as_suspect:
@@ -139,7 +145,7 @@
         return self._health.is_isolated(self._runtime.now_ms, len(self._table.living))
 
     def _suspicion_confirmed(self, member: Member) -> bool:
-        """Whether the member has been silent, or its machine has refused connections, for long enough."""
+        """Return whether the member has been silent, or its host refusing connections, for long enough."""
         if member.is_refusing:
             refusing_ms = self._runtime.now_ms - member.refused_since_ms
             return refusing_ms >= self._runtime.timing.refusal_confirmation_ms
@@ -147,7 +153,7 @@
         return self._contacts.silence_ms(member) >= timeout_ms
 
     def _declare_dead_if_confirmed(self, member: Member) -> None:
-        """Declare a member dead if this observer's suspicion is confirmed and another one agrees or none can."""
+        """Declare a member dead if its suspicion is confirmed and another observer agrees or none can."""
         if not self._suspicion_confirmed(member):
             return
         if self._is_isolated() and not member.is_refusing:
@@ -161,11 +167,14 @@
             suspicion.confirmed
             and now_ms - suspicion.received_ms < self._runtime.timing.agreement_window_ms
             and observer in self._table.living
-            for observer, suspicion in member.suspecters.items()
+            for observer, suspicion in member.suspicions_by_observer.items()
         )
 
     def _may_declare_alone(self, member: Member) -> bool:
-        """Whether this observer suffices: a longer timeout is over and no other observer has been heard of late."""
+        """Return whether this observer may declare a member dead alone.
+
+        That requires a longer timeout and no recent contact with the other observers.
+        """
         timing = self._runtime.timing
         living = self._table.living
         now_ms = self._runtime.now_ms
@@ -176,7 +185,7 @@
             timeout_ms = timing.agreement_window_ms
         else:
             elapsed_ms = self._contacts.silence_ms(member)
-            timeout_ms = LONE_DEATH_FACTOR * timing.confirm_after_ms
+            timeout_ms = SINGLE_OBSERVER_TIMEOUT_FACTOR * timing.confirm_after_ms
         observers = [living[name] for name in self._table.topology.observers(member.name) if name in living]
         return elapsed_ms >= timeout_ms and all(
             now_ms - observer.last_contact_ms >= timing.confirm_after_ms / 2 for observer in observers
--- a/packages/membership/tests/test_gossip_queue.py
+++ b/packages/membership/tests/test_gossip_queue.py
@@ -1,4 +1,4 @@
-"""Each queued update is sent a number of times, least sent first, as many as fit into a datagram."""
+"""Each queued update is sent a limited number of times, the least sent first, as many as fit into a datagram."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     return MemberUpdate(name, Phase.ALIVE, incarnation, 1, "10.0.0.1:7000", "north")
 
 
-def test_an_update_is_sent_more_often_in_a_larger_fleet() -> None:
+def test_number_of_transmissions_grows_with_the_logarithm_of_the_fleet_size() -> None:
     for living_members, sends in ((0, SENDS_PER_DOUBLING), (2, 2 * SENDS_PER_DOUBLING), (14, 4 * SENDS_PER_DOUBLING)):
         queue = GossipQueue()
         queue.add(update("e1"), living_members)
@@ -21,20 +21,20 @@
         assert len(queue) == 0
 
 
-def test_a_later_update_of_a_member_replaces_the_earlier_one() -> None:
+def test_later_update_of_a_member_replaces_the_earlier_one() -> None:
     queue = GossipQueue()
     queue.add(update("e1"), 2)
     queue.add(update("e1", 2), 2)
     assert queue.take(DATAGRAM_OCTETS) == [update("e1", 2)]
 
 
-def test_the_least_sent_updates_go_first_and_none_goes_to_its_own_member() -> None:
+def test_least_sent_updates_go_first_and_none_is_sent_to_its_subject() -> None:
     queue = GossipQueue()
     queue.add(update("e1"), 2)
     queue.take(DATAGRAM_OCTETS)
     queue.add(update("e2"), 2)
-    octets_of_one = encoded_size(update("e2"))
-    assert queue.take(octets_of_one) == [update("e2")]
+    octets_per_update = encoded_size(update("e2"))
+    assert queue.take(octets_per_update) == [update("e2")]
     queue.add(update("e3"), 2)
-    assert queue.take(octets_of_one, excluding="e3") == [update("e1")]
-    assert queue.take(octets_of_one - 1) == []
+    assert queue.take(octets_per_update, excluding="e3") == [update("e1")]
+    assert queue.take(octets_per_update - 1) == []
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Faults of processes, machines, links and clocks on virtual time, and how every member then sees the others."""
+"""Faults of processes, hosts, links and clocks in virtual time, and how each member then sees the others."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     Leave,
     Membership,
     MemberUpdate,
-    NameTakenOver,
+    NameInUse,
     PeerMisnamed,
     Phase,
     ScheduleTimer,
@@ -28,7 +28,7 @@
 def fleet(
     count: int, seed: int = 1, *, link: Link | None = None, known: bool = True, settle: float = 5000.0
 ) -> VirtualNetwork:
-    """Members e1, e2, ... that know each other; or that have to find each other by their peers."""
+    """Start members e1, e2, ...; if not `known`, they discover each other through their peers."""
     net = VirtualNetwork(seed, link)
     names = [f"e{i}" for i in range(1, count + 1)]
     all_updates = [MemberUpdate(name, Phase.ALIVE, 1, i, address(i), "north") for i, name in enumerate(names, 1)]
@@ -48,34 +48,41 @@
     return net
 
 
-def phases(net: VirtualNetwork, at: str) -> dict[str, Phase]:
-    return {update.name: Phase(update.phase) for update in net.hosts[at].member.members()}
+def phases(net: VirtualNetwork, observer: str) -> dict[str, Phase]:
+    return {update.name: Phase(update.phase) for update in net.hosts[observer].member.members()}
 
 
-def all_alive(net: VirtualNetwork, *but: str) -> bool:
-    return all(phase == Phase.ALIVE for name in net.hosts if name not in but for phase in phases(net, name).values())
+def all_alive(net: VirtualNetwork, *excluded: str) -> bool:
+    return all(
+        phase == Phase.ALIVE for name in net.hosts if name not in excluded for phase in phases(net, name).values()
+    )
 
 
 def deaths(net: VirtualNetwork) -> list[tuple[float, str, str]]:
-    return [(when, who, c.update.name) for when, who, c in net.changes if c.update.phase == Phase.DEAD]
+    """The time, the declaring member and the declared member of each change to DEAD."""
+    return [
+        (at_ms, observer, change.update.name)
+        for at_ms, observer, change in net.changes
+        if change.update.phase == Phase.DEAD
+    ]
 
 
-def incarnation(net: VirtualNetwork, of: str, at: str) -> int:
-    return next(int(update.incarnation) for update in net.hosts[at].member.members() if update.name == of)
+def incarnation(net: VirtualNetwork, subject: str, observer: str) -> int:
+    return next(int(update.incarnation) for update in net.hosts[observer].member.members() if update.name == subject)
 
 
-def process_incarnations(net: VirtualNetwork, of: str) -> set[int]:
+def process_incarnations(net: VirtualNetwork, subject: str) -> set[int]:
     return {
         update.process_incarnation
         for host in net.hosts.values()
         for update in host.member.members()
-        if update.name == of
+        if update.name == subject
     }
 
 
-def test_members_find_each_other_by_one_peer_that_answers() -> None:
+def test_members_discover_each_other_through_one_reachable_peer() -> None:
     net = VirtualNetwork(3)
-    for i in range(1, 8):  # e1 knows nobody; each other one only the one before
+    for i in range(1, 8):  # e1 has no peers; each other member has only the previous one
         peers = {f"e{i - 1}": address(i - 1)} if i > 1 else {}
         net.add(
             f"e{i}", address(i), Membership(f"e{i}", address(i), "south", process_incarnation=i, peers=peers, seed=i)
@@ -86,44 +93,44 @@
     assert {update.region for update in net.hosts["e1"].member.members()} == {"south"}
 
 
-def test_a_wrong_peer_is_reported_and_harms_nobody() -> None:
+def test_misconfigured_peer_is_reported_and_all_members_stay_alive() -> None:
     net = fleet(3)
     peers = {"e9": address(1), "e8": "10.9.9.9:1", "e2": address(2)}
     net.add("e4", address(4), Membership("e4", address(4), process_incarnation=4, peers=peers, seed=4))
     net.run(net.now + 10000)
     assert set(phases(net, "e4")) == {"e1", "e2", "e3", "e4"}
     assert all_alive(net)
-    reported = [a for _, who, a in net.other_actions if who == "e4" and isinstance(a, Report)]
-    assert {(type(r.error), r.error.where, r.error.details["found"]) for r in reported} == {
+    reported = [action for _, name, action in net.other_actions if name == "e4" and isinstance(action, Report)]
+    assert {(type(report.error), report.error.where, report.error.details["found"]) for report in reported} == {
         (PeerMisnamed, "fleet.peers.e9", "e1")
     }
 
 
 @pytest.mark.parametrize("count", [2, 3, 5, 40])
-def test_a_killed_process_is_known_to_all_soon(count: int) -> None:
+def test_killed_process_is_declared_dead_by_all_within_3_s(count: int) -> None:
     for seed in range(1, 6):
         net = fleet(count, seed)
-        begun = net.now
+        start_ms = net.now
         net.kill("e2")
-        net.run(begun + 3000)
+        net.run(start_ms + 3000)
         assert all(phases(net, name)["e2"] == Phase.DEAD for name in net.hosts if name != "e2"), seed
         assert {name for _, _, name in deaths(net)} == {"e2"}
 
 
 @pytest.mark.parametrize("count", [2, 5, 40])
-def test_a_machine_that_vanishes_is_known_to_all_though_it_says_nothing(count: int) -> None:
+def test_silently_failed_host_is_declared_dead_by_all(count: int) -> None:
     net = fleet(count)
-    begun = net.now
+    start_ms = net.now
     net.kill("e2", machine=True)
-    net.run(begun + 4000)
+    net.run(start_ms + 4000)
     assert not deaths(net)
-    net.run(begun + (12000 if count > 2 else 20000))
+    net.run(start_ms + (12000 if count > 2 else 20000))
     assert all(phases(net, name)["e2"] == Phase.DEAD for name in net.hosts if name != "e2")
     assert {name for _, _, name in deaths(net)} == {"e2"}
 
 
 @pytest.mark.parametrize("count", [2, 5, 40])
-def test_a_pause_of_4_s_kills_nobody_and_the_one_that_wakes_declares_nobody(count: int) -> None:
+def test_pause_of_4_s_causes_no_death_declaration_by_any_member(count: int) -> None:
     for seed in range(1, 6):
         net = fleet(count, seed)
         net.pause("e1", 4000)
@@ -133,7 +140,7 @@
         assert all_alive(net)
 
 
-def test_a_pause_of_4_s_right_after_a_bad_stretch_of_network_kills_nobody() -> None:
+def test_pause_of_4_s_right_after_a_partition_causes_no_death() -> None:
     net = fleet(5)
     others = ("e1", "e3", "e4", "e5")
     for other in others:
@@ -147,21 +154,21 @@
     assert all_alive(net)
 
 
-def test_a_pause_of_20_s_is_a_death_and_the_way_back_takes_2_s() -> None:
+def test_member_paused_for_20_s_is_declared_dead_and_rejoins_within_2_s() -> None:
     for count in (5, 40):
         net = fleet(count)
-        begun = net.now
+        start_ms = net.now
         net.pause("e1", 20000)
-        net.run(begun + 19000)
+        net.run(start_ms + 19000)
         assert all(phases(net, name)["e1"] == Phase.DEAD for name in net.hosts if name != "e1")
-        net.run(begun + 22000)
+        net.run(start_ms + 22000)
         assert all_alive(net)
         assert incarnation(net, "e1", "e2") == 2
-        assert {name for _, _, name in deaths(net)} == {"e1"}  # and it declared no other member dead
+        assert {name for _, _, name in deaths(net)} == {"e1"}  # e1 declared no other member dead either
         assert not net.hosts["e1"].member.excluded_by_peers
 
 
-def test_a_third_of_all_datagrams_lost_for_minutes_kills_nobody() -> None:
+def test_datagram_loss_of_30_percent_for_minutes_causes_no_death() -> None:
     for count in (3, 5, 40):
         net = fleet(count, link=Link(loss=0.3))
         net.run(net.now + (3 if count < 40 else 1) * MINUTE)
@@ -172,7 +179,7 @@
 
 
 @pytest.mark.parametrize("count", [3, 5, 40])
-def test_one_that_does_not_hear_another_asks_others(count: int) -> None:
+def test_indirect_pings_prevent_a_death_when_one_link_is_cut(count: int) -> None:
     net = fleet(count)
     observers = net.hosts["e2"].member.table.topology.observers("e2")
     net.cut("e2", observers[0])
@@ -181,7 +188,7 @@
     assert all_alive(net)
 
 
-def test_one_that_hears_nobody_but_is_heard_doubts_itself() -> None:
+def test_member_that_receives_nothing_declares_no_death() -> None:
     net = fleet(5)
     for other in ("e2", "e3", "e4", "e5"):
         net.cut(other, "e1")
@@ -190,7 +197,7 @@
     assert set(phases(net, "e2").values()) == {Phase.ALIVE}
 
 
-def test_one_that_is_heard_by_nobody_learns_that_it_counts_as_dead() -> None:
+def test_member_whose_datagrams_are_lost_learns_that_it_was_declared_dead() -> None:
     net = fleet(5)
     for other in ("e2", "e3", "e4", "e5"):
         net.cut("e1", other)
@@ -205,20 +212,20 @@
     assert not net.hosts["e1"].member.excluded_by_peers
 
 
-def test_a_split_of_3_and_2_and_its_healing() -> None:
+def test_partition_of_3_and_2_members_heals() -> None:
     net = fleet(5)
-    one, other = {"e1", "e2", "e3"}, {"e4", "e5"}
-    net.split(one, other)
+    majority, minority = {"e1", "e2", "e3"}, {"e4", "e5"}
+    net.split(majority, minority)
     net.run(net.now + 20000)
-    for side, others in ((one, other), (other, one)):
+    for side, other_side in ((majority, minority), (minority, majority)):
         for name in side:
-            assert {n for n, p in phases(net, name).items() if p == Phase.DEAD} == others
-    net.split(one, other, cut=False)
+            assert {subject for subject, phase in phases(net, name).items() if phase == Phase.DEAD} == other_side
+    net.split(majority, minority, cut=False)
     net.run(net.now + 4000)
     assert all_alive(net)
 
 
-def test_a_link_that_flaps_each_second_changes_nothing() -> None:
+def test_link_that_flaps_every_second_causes_no_death() -> None:
     net = fleet(5)
     for i in range(60):
         net.cut("e1", "e2", cut=i % 2 == 0, both=True)
@@ -227,18 +234,18 @@
     assert all_alive(net)
 
 
-def test_copies_disorder_and_delays_of_half_a_second_change_nothing() -> None:
+def test_duplicates_reordering_and_delays_up_to_500_ms_cause_no_death() -> None:
     net = fleet(5, link=Link(loss=0.05, delay_ms=(0.0, 500.0), copies=0.3))
     net.run(net.now + MINUTE)
     assert not deaths(net)
     assert net.hosts["e1"].member.dropped["repeated"] > 0
-    begun = net.now
+    start_ms = net.now
     net.kill("e3")
-    net.run(begun + 6000)
+    net.run(start_ms + 6000)
     assert all(phases(net, name)["e3"] == Phase.DEAD for name in net.hosts if name != "e3")
 
 
-def test_a_clock_that_is_an_hour_off_changes_nothing_but_is_known() -> None:
+def test_clock_skew_of_an_hour_is_measured_and_causes_no_death() -> None:
     net = VirtualNetwork(1)
     for i in range(1, 6):
         peers = {f"e{j}": address(j) for j in range(1, 6) if j != i}
@@ -251,40 +258,40 @@
     assert abs(net.hosts["e1"].member.clock_offset_ms()) < 5
 
 
-def test_a_start_at_once_after_a_kill_takes_the_name_over() -> None:
-    for gap in (0, 50, 400, 5000):
+def test_process_restarted_after_a_kill_takes_over_its_name() -> None:
+    for delay_ms in (0, 50, 400, 5000):
         net = fleet(5)
         net.kill("e2")
-        net.run(net.now + gap)
+        net.run(net.now + delay_ms)
         peers = {f"e{j}": address(j) for j in (1, 3, 4, 5)}
         net.add("e2", address(2), Membership("e2", address(2), "north", process_incarnation=99, peers=peers, seed=99))
         net.run(net.now + 4000)
-        assert all_alive(net), gap
-        assert not any(isinstance(a, NameTakenOver) for _, _, a in net.other_actions)
+        assert all_alive(net), delay_ms
+        assert not any(isinstance(action, NameInUse) for _, _, action in net.other_actions)
         assert process_incarnations(net, "e2") == {99}
 
 
 @pytest.mark.parametrize("excluded_before", [False, True])
-def test_of_two_living_processes_under_one_name_the_later_ends(excluded_before: bool) -> None:
+def test_later_of_two_living_processes_with_one_name_ends(excluded_before: bool) -> None:
     net = fleet(5)
-    if excluded_before:  # the first has a higher incarnation than a new process begins with
+    if excluded_before:  # the first process then has a higher incarnation than a new process starts with
         net.pause("e2", 15000)
         net.run(net.now + 18000)
     peers = {f"e{j}": address(j) for j in (1, 3, 4, 5)}
     later = Membership("e2", address(9), "north", process_incarnation=99, peers=peers, seed=99)
-    net.add("e2 again", address(9), later)
+    net.add("e2 second", address(9), later)
     net.run(net.now + 3000)
-    conflicts = [(who, a.address) for _, who, a in net.other_actions if isinstance(a, NameTakenOver)]
-    assert {who for who, _ in conflicts} == {"e2 again"}
+    conflicts = [(name, action.address) for _, name, action in net.other_actions if isinstance(action, NameInUse)]
+    assert {name for name, _ in conflicts} == {"e2 second"}
     assert conflicts[0][1] == address(2)
-    net.kill("e2 again")  # as its process does
+    net.kill("e2 second")  # the process that has to perform NameInUse ends itself
     net.run(net.now + 10000)
-    del net.hosts["e2 again"]
+    del net.hosts["e2 second"]
     assert all_alive(net)
     assert process_incarnations(net, "e2") == {2}
 
 
-def test_one_that_leaves_tells_so_at_once() -> None:
+def test_leave_is_known_to_all_within_1500_ms() -> None:
     net = fleet(40)
     net.perform(net.hosts["e2"], net.hosts["e2"].member.handle(net.now, [Leave()]))
     net.run(net.now + 300)
@@ -297,9 +304,9 @@
     assert all_alive(net)
 
 
-def test_a_refusal_alone_or_of_a_stranger_kills_nobody() -> None:
+def test_refused_connection_of_a_living_or_unknown_member_causes_no_death() -> None:
     net = fleet(5)
-    for name in ("e2", "nobody"):
+    for name in ("e2", "unknown"):
         for _ in range(3):
             net.perform(net.hosts["e1"], net.hosts["e1"].member.handle(net.now, [ConnectionRefused(name)]))
             net.run(net.now + 100)
@@ -308,7 +315,7 @@
     assert all_alive(net)
 
 
-def test_what_a_member_sends_does_not_grow_with_the_fleet() -> None:
+def test_send_rate_of_a_member_is_independent_of_the_fleet_size() -> None:
     rates = []
     for count in (5, 40, 150):
         net = fleet(count)
@@ -320,18 +327,18 @@
     assert max(rates) <= 10, rates
 
 
-def test_the_same_seed_plays_the_same() -> None:
-    def play() -> list[tuple[float, str, str]]:
+def test_same_seed_gives_the_same_changes() -> None:
+    def run_fleet() -> list[tuple[float, str, str]]:
         net = fleet(12, 7, link=Link(loss=0.2, copies=0.1))
         net.kill("e3")
         net.run(net.now + 10000)
-        return [(when, who, repr(change)) for when, who, change in net.changes]
+        return [(at_ms, observer, repr(change)) for at_ms, observer, change in net.changes]
 
-    assert play() == play()
+    assert run_fleet() == run_fleet()
 
 
-def test_a_wake_that_comes_a_hair_early_is_asked_for_again() -> None:
+def test_timer_that_fires_slightly_early_is_scheduled_again() -> None:
     member = Membership("e1", address(1), process_incarnation=1, peers={"e2": address(2)}, seed=1)
-    wake = next(a for a in member.handle(0.0, []) if isinstance(a, ScheduleTimer))
-    again = [a for a in member.handle(wake.at_ms - 1e-9, [TimerFired()]) if isinstance(a, ScheduleTimer)]
-    assert again == [wake]
+    timer = next(action for action in member.handle(0.0, []) if isinstance(action, ScheduleTimer))
+    rescheduled = [a for a in member.handle(timer.at_ms - 1e-9, [TimerFired()]) if isinstance(a, ScheduleTimer)]
+    assert rescheduled == [timer]
