--- a/packages/errors/tests/test_errors.py
+++ b/packages/errors/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""What an error says, and the order of a tree."""
+"""The texts of an error, and the order of a tree of error classes."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class Root(OperatorError):
-    message_template = "the kettle is cold"
+    message_template = "the tank is empty"
 
 
 class Child(Root):
-    message_template = "the kettle at {where} has {left} litres left."
-    remedy_template = "Fill it up to {most} litres."
+    message_template = "the tank at {where} has {remaining} litres left."
+    remedy_template = "Fill it up to {capacity} litres."
 
 
-def test_an_error_says_what_where_and_what_to_do() -> None:
-    error = Child("shelf 2", left=0.2, most=3)
-    assert str(error) == "the kettle at shelf 2 has 0.2 litres left."
+def test_error_contains_what_happened_where_and_the_remedy() -> None:
+    error = Child("pump 2", remaining=0.2, capacity=3)
+    assert str(error) == "the tank at pump 2 has 0.2 litres left."
     assert error.remedy == "Fill it up to 3 litres."
-    assert describe(error) == f"Child: shelf 2: {error} Fill it up to 3 litres."
+    assert describe(error) == f"Child: pump 2: {error} Fill it up to 3 litres."
 
 
-def test_a_tree_has_each_kind_under_its_own() -> None:
+def test_subclass_tree_lists_a_class_before_its_subclasses() -> None:
     assert subclass_tree(Root) == [Root, Child]
--- a/packages/fleet/src/puffindeck_fleet/__init__.py
+++ b/packages/fleet/src/puffindeck_fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Joins a node to the other nodes of its fleet. docs/fleet-operations.md is the operators' page."""
+"""Connects a node to the other nodes of its fleet. Operators' documentation: docs/fleet-operations.md."""
 
 from puffindeck_fleet.errors import BindFailed, FleetError, FolderUnusable, StateUnreadable
 from puffindeck_fleet.gateway import Fleet
--- a/packages/fleet/src/puffindeck_fleet/config.py
+++ b/packages/fleet/src/puffindeck_fleet/config.py
@@ -1,4 +1,4 @@
-"""The configuration of a member, as this package needs it."""
+"""The configuration of a fleet member that this package requires."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class FleetConfig(Protocol):
-    """A node's `[fleet]` table, checked. `puffindeck.config.fleet` reads it."""
+    """A node's validated `[fleet]` table. `puffindeck.config.fleet` parses it."""
 
     @property
     def name(self) -> str:
@@ -15,19 +15,19 @@
 
     @property
     def bind(self) -> tuple[str, int]:
-        """Host and port of the socket for datagrams."""
+        """Host and port that the datagram socket binds to."""
 
     @property
     def region(self) -> str:
-        """The region of this member; empty if there are no regions."""
+        """The region of this member; empty if no regions are configured."""
 
     @property
     def folder(self) -> str:
-        """The folder of the state file; empty to store nothing."""
+        """The folder of the state file; empty if no state is stored."""
 
     @property
     def advertise(self) -> str:
-        """The address that others use, if it is another one than `bind`."""
+        """The address that other members send to; empty if it is the same as `bind`."""
 
     @property
     def peers(self) -> dict[str, str]:
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberIdentity:
-    """What distinguishes a member and its process from others."""
+    """The name of a member, the incarnation of its process and the seed of its random numbers."""
 
     name: str
     process_incarnation: int
--- a/packages/fleet/src/puffindeck_fleet/datagram_codec.py
+++ b/packages/fleet/src/puffindeck_fleet/datagram_codec.py
@@ -1,4 +1,4 @@
-"""The encoding of datagrams: a frame with version, fleet and checksum around an envelope."""
+"""The encoding of datagrams: a frame of magic, version, fleet hash and checksum, followed by an envelope."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 
 MAGIC = b"pf"
 FRAME_VERSION = 1
-MAX_DATAGRAM_OCTETS = 1200  # of a datagram: it passes every usual network without fragmentation
+MAX_DATAGRAM_OCTETS = 1200  # size that common networks transmit without fragmentation
 FRAME = Struct("<2sBIQ")  # magic, version, hash of the fleet's name, checksum of the envelope
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(Envelope)
 
 
 class DropReason(StrEnum):
-    """Why a datagram was dropped. The operators' call `/_fleet` counts drops under these names."""
+    """The reason for which a datagram was dropped. `GET /_fleet` counts drops under these names."""
 
     SHORT = "short"
     GARBAGE = "garbage"
-    NEWER = "newer"  # of a later version of the frame
-    FOREIGN = "foreign"  # of another fleet
+    NEWER = "newer"  # the frame has a later version
+    FOREIGN = "foreign"  # the datagram belongs to another fleet
     DAMAGED = "damaged"
     UNREADABLE = "unreadable"
-    TOO_LONG = "too long"  # it was not sent
+    TOO_LONG = "too long"  # the datagram was not sent
     UNKNOWN_CHANNEL = "channel"
 
 
 class InvalidDatagram(Exception):
-    """A datagram that holds no envelope for this fleet."""
+    """A datagram does not contain a valid envelope for this fleet."""
 
     def __init__(self, reason: DropReason) -> None:
         super().__init__(reason.value)
@@ -43,7 +43,7 @@
     """An envelope does not fit into a datagram."""
 
     def __init__(self, octets: int) -> None:
-        super().__init__(f"an envelope of {octets} octets")
+        super().__init__(f"the envelope has {octets} octets")
 
 
 class DatagramCodec:
@@ -53,14 +53,14 @@
         self._fleet_hash = xxh32_intdigest(fleet.encode())
 
     def encode(self, envelope: Envelope) -> bytes:
-        """The datagram of an envelope. Raises EnvelopeTooLong."""
+        """Return the datagram of an envelope. Raise EnvelopeTooLong if it exceeds `MAX_DATAGRAM_OCTETS`."""
         payload = ENCODER.encode(envelope)
         if len(payload) > MAX_DATAGRAM_OCTETS - FRAME.size:
             raise EnvelopeTooLong(len(payload))
         return FRAME.pack(MAGIC, FRAME_VERSION, self._fleet_hash, self._checksum(payload)) + payload
 
     def decode(self, data: bytes) -> Envelope:
-        """The envelope of a datagram. Raises InvalidDatagram."""
+        """Return the envelope of a datagram. Raise InvalidDatagram if there is no valid one."""
         if len(data) < FRAME.size:
             raise InvalidDatagram(DropReason.SHORT)
         magic, version, fleet_hash, checksum = FRAME.unpack_from(data)
--- a/packages/fleet/src/puffindeck_fleet/datagram_sockets.py
+++ b/packages/fleet/src/puffindeck_fleet/datagram_sockets.py
@@ -1,4 +1,4 @@
-"""The UDP sockets of a member: one for all datagrams, and connected ones that notice refused connections."""
+"""The UDP sockets of a member: a main socket, and connected probe sockets that detect refused connections."""
 
 from __future__ import annotations
 
@@ -11,57 +11,61 @@
 from puffindeck.core.datagram_port import DatagramPort, listen_datagrams
 from puffindeck_fleet.errors import BindFailed
 
-MAX_READ_OCTETS = 65535  # of a datagram
-MAX_PROBE_SOCKETS = 16  # a member pings few others at once, and more only while it suspects some
+MAX_READ_OCTETS = 65535  # maximum size of a received datagram
+MAX_PROBE_SOCKETS = 16  # a member pings few others at a time, unless it suspects several
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Host and port of `HOST:PORT`; an IPv6 host stands in brackets. Raises ValueError if the port is no number."""
+    """Return the host and port of `HOST:PORT`, with an IPv6 host in brackets.
+
+    Raise ValueError if the port is not a number.
+    """
     host, _, port = address.rpartition(":")
     return host.removeprefix("[").removesuffix("]"), int(port)
 
 
 class MainSocket(DatagramProtocol):
-    """The socket that all datagrams of other members arrive at."""
+    """The socket that receives all datagrams of other members."""
 
-    transport: Any = None  # a DatagramPort, which Twisted sets when it is bound
+    transport: Any = None  # the DatagramPort, which Twisted sets when the socket is bound
 
     def __init__(self, on_datagram: Callable[[bytes, str], None]) -> None:
         self._on_datagram = on_datagram
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        """A datagram has arrived from this address."""
+        """Handle a datagram from this address."""
         self._on_datagram(datagram, f"{addr[0]}:{addr[1]}")
 
 
 class ProbeSocket(DatagramProtocol):
-    """A socket connected to one member: the machine at its other end reports when nobody listens there.
+    """A socket that is connected to one member, so that refused connections are reported to it.
 
-    The reactor may close the socket for such an error, so a refusal may also show as the end of the socket.
+    The member's host reports (ICMP port unreachable) that no process listens on the port. The reactor may
+    close the socket because of this error, so an unexpected close is also treated as a refusal.
     """
 
-    transport: Any = None  # a DatagramPort, which Twisted sets when it is bound
+    transport: Any = None  # the DatagramPort, which Twisted sets when the socket is bound
 
     def __init__(self, address: tuple[str, int], on_refused: Callable[[ProbeSocket], None]) -> None:
         self._address = address
         self._on_refused = on_refused
-        self._is_closed = False  # by this process
+        self._is_closed = False  # whether `close` was called
 
     def startProtocol(self) -> None:
-        """The socket is bound: connect it."""
+        """Connect the socket, which has been bound."""
         self.transport.connect(*self._address)
 
     def connectionRefused(self) -> None:
-        """The other machine reports that nobody listens."""
+        """Handle the report that no process listens at the address."""
         self._on_refused(self)
 
     def stopProtocol(self) -> None:
-        """The socket is closed, by this process or for an error."""
+        """Handle the close of the socket, by `close` or because of an error."""
         if not self._is_closed:
             self._on_refused(self)
 
     def close(self) -> None:
-        """Close the socket. No refusal is reported any more."""
+        """Close the socket. It reports no further refusals."""
         self._is_closed = True
         if self.transport is not None:
             self.transport.stopListening()
@@ -70,8 +74,8 @@
 class DatagramSockets:
     """All sockets of a member.
 
-    `on_datagram` is called with a datagram and its source address, `on_refused` with the name of a member whose
-    machine refuses connections.
+    `on_datagram` is called with a received datagram and its source address, `on_refused` with the name of a
+    member whose host refuses connections.
     """
 
     def __init__(
@@ -86,10 +90,10 @@
         self._on_refused = on_refused
         self._main = MainSocket(on_datagram)
         self._main_port: DatagramPort | None = None
-        self._probe_sockets: dict[str, ProbeSocket] = {}  # by address; the one used last stands last
+        self._probe_sockets: dict[str, ProbeSocket] = {}  # by address, in order of use with the latest last
 
     def open(self) -> str:
-        """Bind the main socket and return its address. Raises BindFailed."""
+        """Bind the main socket and return its address. Raise BindFailed if the address can't be bound."""
         host, port = self._address
         try:
             self._main_port = listen_datagrams(self._reactor, port, self._main, host, MAX_READ_OCTETS)
@@ -100,14 +104,17 @@
         return f"{bound.host}:{bound.port}"
 
     def send(self, address: str, data: bytes) -> None:
-        """Send to an address. An error of the network loses the datagram, as may happen to any."""
+        """Send a datagram to an address. It is lost without notice if the network reports an error."""
         try:
             self._main.transport.write(data, parse_address(address))
         except (OSError, ValueError):
             return
 
     def send_probe(self, name: str, address: str, data: bytes) -> None:
-        """Send by a connected socket: a refusal is reported by the member's name in a later turn of the reactor."""
+        """Send a datagram on a connected socket.
+
+        If the connection is refused, `on_refused` is called in a later iteration of the reactor.
+        """
         socket = self._probe_sockets.pop(address, None) or self._open_probe_socket(name, address)
         if socket is None:
             self.send(address, data)
@@ -119,7 +126,7 @@
             return
 
     def _open_probe_socket(self, name: str, address: str) -> ProbeSocket | None:
-        """A new connected socket; None if there is no descriptor left or the address can't be used."""
+        """Return a new connected socket; None if no descriptor is available or the address can't be used."""
         if len(self._probe_sockets) >= MAX_PROBE_SOCKETS:
             self._probe_sockets.pop(next(iter(self._probe_sockets))).close()
 
@@ -132,7 +139,7 @@
 
         try:
             socket = ProbeSocket(parse_address(address), on_refused)
-            # answers go to the main socket: this one only sends, and notices refusals
+            # The recipient answers to the main socket. This one only sends and detects refusals.
             listen_datagrams(self._reactor, 0, socket, self._address[0])
         except (CannotListenError, OSError, ValueError):
             return None
--- a/packages/fleet/src/puffindeck_fleet/errors.py
+++ b/packages/fleet/src/puffindeck_fleet/errors.py
@@ -1,4 +1,4 @@
-"""The errors of a member's sockets and files that an operator can resolve."""
+"""Errors of a member's sockets and files that an operator can resolve."""
 
 from puffindeck_errors import OperatorError
 
@@ -17,7 +17,7 @@
 
 
 class FolderUnusable(FleetError):
-    """The state file can't be read from or written to the folder."""
+    """The state file can't be read from the folder or written to it."""
 
     message_template = "nothing can be kept there: {reason}."
     remedy_template = (
@@ -26,7 +26,7 @@
 
 
 class StateUnreadable(FleetError):
-    """A state file is damaged, or of another version."""
+    """A state file is corrupt or has another version."""
 
     message_template = "the file can't be read: {reason}; it was set aside as {aside}."
     remedy_template = "Nothing has to be done: the member starts as a new one; look at the disk if this comes again."
--- a/packages/fleet/src/puffindeck_fleet/filtered_request.py
+++ b/packages/fleet/src/puffindeck_fleet/filtered_request.py
@@ -1,4 +1,4 @@
-"""What the request filter knows of a request that it has admitted."""
+"""The state that the request filter stores for an admitted request."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 @dataclass(slots=True)
 class FilteredRequest:
-    """An admitted request. `view` is what conditions of tenants and services are evaluated on."""
+    """An admitted request. The conditions of tenants and services are evaluated on `view`."""
 
     charge: Charge | None
     view: Any
     is_established: bool = False
-    may_have_been_served: bool = False  # by an endpoint whose attempt was given up
+    may_have_been_served: bool = False  # whether an endpoint of an abandoned attempt may have served it
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -1,4 +1,4 @@
-"""A node's part in its fleet: its membership, its quotas and its rules of residency."""
+"""A node's connection to its fleet: its membership, its quotas and its residency rules."""
 
 from __future__ import annotations
 
@@ -23,28 +23,31 @@
 from puffindeck_quota import Tick as QuotaTick
 from puffindeck_residency import LiveMembersUpdated, Ruleset
 
-TICK_INTERVAL = milliseconds(50)  # between two ticks of quotas and rules
+TICK_INTERVAL = milliseconds(50)  # interval at which quotas and residency rules are updated
 QUOTA_CHANNEL = "quota"
 RESIDENCY_CHANNEL = "residency"
-INCARNATION_RANDOM_BITS = 20  # of a process incarnation, below its milliseconds
+INCARNATION_RANDOM_BITS = 20  # low-order bits of a process incarnation, below the milliseconds
 
 
 def new_process_incarnation(now_ms: float) -> int:
-    """A number for this process, higher than that of any earlier one of its name as far as the clocks agree."""
+    """Return an incarnation for this process.
+
+    It is higher than that of any earlier process of the same name, provided that the clocks agree.
+    """
     return (int(now_ms) << INCARNATION_RANDOM_BITS) | secrets.randbits(INCARNATION_RANDOM_BITS)
 
 
 class EventSink(Protocol):
-    """The part of the node's engine that takes events for the decision module."""
+    """The part of the node's engine that accepts events for the decision module."""
 
     def dispatch(self, event: Event) -> None:
         """Handle an event."""
 
 
 class Fleet:
-    """One member, on its node's reactor and timers.
+    """One fleet member, which runs on its node's reactor and timers.
 
-    `on_name_taken` is called with the error if this process has to end because another one has its name.
+    `on_name_taken` is called with the error if this process has to end because another process has its name.
     """
 
     def __init__(
@@ -75,7 +78,7 @@
         self._tick_timer: Deadline | None = None
 
     def join(self, engine: EventSink | None, request_filter: RequestFilter | None) -> None:
-        """Set the node's engine, and its request filter if there are quotas or rules."""
+        """Set the node's engine, and its request filter if quotas or residency rules are configured."""
         self._engine = engine
         self._request_filter = request_filter
         if request_filter is None:
@@ -86,12 +89,12 @@
             self._residency = ResidencyDriver(request_filter.ruleset_store, self._send_residency)
 
     def start(self) -> None:
-        """Open the sockets and look for the other members. Raises BindFailed."""
+        """Open the sockets and contact the other members. Raise BindFailed if the address can't be bound."""
         self._driver.start()
         self._tick()
 
     def reload(self, config: FleetConfig, limits: tuple[Limit, ...], ruleset: Ruleset | None) -> None:
-        """Apply the peers, limits and rules of a file that was read again."""
+        """Apply the peers, limits and rules of a reloaded configuration."""
         self._driver.handle(PeersChanged(config.peers))
         if self._residency is not None and ruleset is not None:
             self._residency.ruleset_store.reload(ruleset)
@@ -103,7 +106,7 @@
         self._driver.handle(Leave())
 
     def stop(self) -> None:
-        """Close the sockets. Nothing is sent or received any more."""
+        """Close the sockets. Nothing is sent or received afterwards."""
         self._timers.cancel(self._tick_timer)
         self._driver.stop()
 
@@ -123,11 +126,11 @@
         if self._quota is not None:
             regions = {member.name: member.update.region for member in living.values()}
             offset_ms = self.membership.clock_offset_ms()
-            seen = MembersChanged(regions, offset_ms, self.membership.excluded_by_peers)
-            self._quota.handle(self._now_ms(), seen, QuotaTick())
+            members_changed = MembersChanged(regions, offset_ms, self.membership.excluded_by_peers)
+            self._quota.handle(self._now_ms(), members_changed, QuotaTick())
 
     def _flush(self) -> None:
-        """Have the request filter hand out the actions that have come up between two events."""
+        """Make the request filter return the actions that are pending outside the handling of an event."""
         if self._engine is not None:
             self._engine.dispatch(FLUSH)
 
@@ -146,10 +149,10 @@
     def _send_residency(self, message: SendMessage) -> None:
         self._driver.send(message.to, RESIDENCY_CHANNEL, message.data)
 
-    # Operators' calls
+    # Status for operators
 
     def status(self) -> FleetStatus:
-        """`GET /_fleet`."""
+        """Return the document of `GET /_fleet`."""
         return FleetStatus(
             instance=self._name,
             incarnation=self.membership.incarnation,
@@ -159,11 +162,11 @@
         )
 
     def quota_status(self) -> QuotaStatus:
-        """`GET /_quotas`."""
+        """Return the document of `GET /_quotas`."""
         return self._quota.status(self._now_ms()) if self._quota is not None else QuotaStatus([])
 
     def residency_status(self) -> ResidencyStatus:
-        """`GET /_residency`."""
+        """Return the document of `GET /_residency`."""
         if self._residency is None or self._request_filter is None:
             return ResidencyStatus(version=0)
         violations = self._request_filter.count_violating_connections()
--- a/packages/fleet/src/puffindeck_fleet/incarnation_store.py
+++ b/packages/fleet/src/puffindeck_fleet/incarnation_store.py
@@ -1,4 +1,4 @@
-"""Stores the incarnation that a member has reached, so that its next process begins beyond it."""
+"""Stores a member's incarnation, so that its next process starts with a higher one."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 log = Logger("puffindeck")
 
-RETRY_INTERVAL = milliseconds(1000)  # between two attempts to write to a folder that fails
+RETRY_INTERVAL = milliseconds(1000)  # delay before a failed write is retried
 
 
 class IncarnationStore:
-    """The newest incarnation of a member, on disk. Without a folder nothing is stored."""
+    """Stores the latest incarnation of a member on disk. If `folder` is empty, nothing is stored."""
 
     def __init__(self, folder: str, name: str, timers: TimerQueue) -> None:
         self._name = name
@@ -30,7 +30,7 @@
         self._retry: Deadline | None = None
 
     def load(self) -> int:
-        """The incarnation that an earlier process has reached; 0 if that is not known."""
+        """Return the latest incarnation of the earlier processes; 0 if none is stored or it can't be read."""
         try:
             state = self._file.read() if self._file is not None else None
         except FleetError as error:
@@ -39,7 +39,7 @@
         return state.incarnation if state is not None else 0
 
     def save(self, incarnation: int) -> None:
-        """Store an incarnation if it is new. A write that fails is repeated until it succeeds."""
+        """Store an incarnation unless it is already stored. A failed write is retried until it succeeds."""
         self._latest = incarnation
         if self._file is None or self._retry is not None or incarnation == self._stored:
             return
@@ -61,5 +61,5 @@
         self.save(self._latest)
 
     def stop(self) -> None:
-        """Attempt no further writes."""
+        """Cancel the retry of a failed write."""
         self._timers.cancel(self._retry)
--- a/packages/fleet/src/puffindeck_fleet/membership_driver.py
+++ b/packages/fleet/src/puffindeck_fleet/membership_driver.py
@@ -1,4 +1,4 @@
-"""Drives a `Membership`: decodes its datagrams, runs its timer and carries out its actions."""
+"""Drives a `Membership`: decodes its datagrams, runs its timer and performs its actions."""
 
 from __future__ import annotations
 
@@ -43,10 +43,10 @@
 
 
 class MembershipDriver:
-    """One member on its node's reactor and timers.
+    """Runs the membership of one member on its node's reactor and timers.
 
     `on_payload` is called with each message for another module, `on_name_taken` with the error if this process has
-    to end because another one has its name.
+    to end because another process has its name.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
         )
 
     def start(self) -> None:
-        """Open the sockets and look for the other members. Raises BindFailed."""
+        """Open the sockets and contact the other members. Raise BindFailed if the address can't be bound."""
         address = self._sockets.open()
         log.info(
             "fleet {fleet}: {name} at {address}, incarnation {incarnation}",
@@ -93,14 +93,14 @@
         self.handle()
 
     def stop(self) -> None:
-        """Close the sockets. Nothing is sent or received any more."""
+        """Close the sockets. Nothing is sent or received afterwards."""
         self._is_stopped = True
         self._timers.cancel(self._wakeup)
         self._incarnations.stop()
         self._sockets.close()
 
     def handle(self, *events: Event) -> None:
-        """Hand events to the membership and carry out its actions."""
+        """Pass events to the membership and perform its actions."""
         if self._is_stopped:
             return
         for action in self.membership.handle(self._now_ms(), events):
@@ -108,7 +108,7 @@
         self.save_incarnation()
 
     def save_incarnation(self) -> None:
-        """Store the incarnation that this member has reached."""
+        """Store this member's current incarnation."""
         self._incarnations.save(self.membership.incarnation)
 
     def send(self, name: str, channel: str, data: bytes) -> None:
@@ -119,11 +119,11 @@
             self._send_datagram(datagram)
 
     def count_dropped(self, reason: DropReason) -> None:
-        """Count a datagram that was of no use."""
+        """Count a dropped datagram."""
         self._dropped[reason.value] += 1
 
     def dropped(self) -> dict[str, int]:
-        """The number of datagrams that were of no use, by reason."""
+        """Return the number of dropped datagrams by reason."""
         return dict(self._dropped + self.membership.dropped)
 
     def _now_ms(self) -> float:
@@ -166,7 +166,7 @@
         except EnvelopeTooLong as error:
             self.count_dropped(DropReason.TOO_LONG)
             log.warn(
-                "fleet: not sent to {name}: {error}, at most {most}",
+                "fleet: datagram to {name} was not sent: {error}; a datagram has at most {most} octets",
                 name=datagram.name,
                 error=error,
                 most=MAX_DATAGRAM_OCTETS,
--- a/packages/fleet/src/puffindeck_fleet/quota_admission.py
+++ b/packages/fleet/src/puffindeck_fleet/quota_admission.py
@@ -10,7 +10,7 @@
 
 
 class QuotaAdmission:
-    """The charges of requests. Without a quota every request is admitted and nothing is charged."""
+    """Tracks the charges of requests. Without a quota, every request is admitted and none is charged."""
 
     def __init__(self, quota: Quota | None, tenant_of: Callable[[Any], str]) -> None:
         self.quota = quota
@@ -18,7 +18,10 @@
         self._request_by_charge: dict[Charge, int] = {}
 
     def admit(self, request: int, view: Any, now_ms: float, deadline_ms: float) -> Charge | Rejection | None:
-        """Charge a request that has to be answered by its deadline; a Rejection if the quota is used up."""
+        """Charge a request that has to be answered by `deadline_ms`.
+
+        Return its charge, a Rejection if the quota is used up, or None if there is no quota.
+        """
         if self.quota is None:
             return None
         charge = self.quota.admit(self._tenant_of(view), now_ms, deadline_ms)
@@ -27,16 +30,16 @@
         return charge
 
     def request_of(self, charge: Charge) -> int | None:
-        """The request of a charge; None if it has ended."""
+        """Return the request that a charge belongs to; None if the request has ended."""
         return self._request_by_charge.get(charge)
 
     def on_established(self, request: FilteredRequest, now_ms: float) -> None:
-        """A request has been established at an endpoint."""
+        """Handle the establishment of a request at an endpoint."""
         if request.charge is not None and self.quota is not None:
             self.quota.on_established(request.charge, now_ms)
 
     def on_closed(self, request: FilteredRequest, now_ms: float) -> None:
-        """A request has ended. Its charge is returned if no endpoint can have served it."""
+        """Handle the end of a request. Its charge is refunded if no endpoint can have served it."""
         if request.charge is None or self.quota is None:
             return
         self._request_by_charge.pop(request.charge, None)
--- a/packages/fleet/src/puffindeck_fleet/quota_driver.py
+++ b/packages/fleet/src/puffindeck_fleet/quota_driver.py
@@ -1,4 +1,4 @@
-"""Drives a `Quota`: hands it events and carries out its actions."""
+"""Drives a `Quota`: passes it events and performs its actions."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class QuotaDriver:
-    """The quotas of one member.
+    """Runs the quotas of one member.
 
-    `send` sends a message to the quotas of another member, `release` gives up a connection's charge, and `flush` has
-    the connections moved whose charges were given up.
+    `send` sends a message to the quotas of another member. `release` is called with a charge that was
+    revoked, and `flush` makes the connections of released charges migrate.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._flush = flush
 
     def handle(self, now_ms: float, *events: MessageReceived | MembersChanged | QuotaTick | LimitsChanged) -> None:
-        """Hand events to the quotas. Messages are sent after all other actions."""
+        """Pass events to the quotas and perform their actions. Messages are sent after all other actions."""
         must_flush = False
         messages = []
         for action in self._quota.handle(now_ms, events):
@@ -53,5 +53,5 @@
             self._flush()
 
     def status(self, now_ms: float) -> QuotaStatus:
-        """`GET /_quotas`."""
+        """Return the document of `GET /_quotas`."""
         return QuotaStatus(self._quota.status(now_ms))
--- a/packages/fleet/src/puffindeck_fleet/region_enforcement.py
+++ b/packages/fleet/src/puffindeck_fleet/region_enforcement.py
@@ -1,4 +1,4 @@
-"""Enforces the rules of residency: which regions a request may go to, and which connections have to migrate."""
+"""Enforces the residency rules: which regions a request may be sent to and which connections must migrate."""
 
 from __future__ import annotations
 
@@ -8,23 +8,26 @@
 from puffindeck_fleet.filtered_request import FilteredRequest
 from puffindeck_residency import RegionConstraint, RulesetStore, evaluate
 
-CHECK_INTERVAL_MS = 250.0  # between two checks for connections in regions that are not allowed
-MIGRATION_TIME_FRACTION = 0.8  # of the time within which they have to migrate: the last one does so by then
+CHECK_INTERVAL_MS = 250.0  # interval between two checks for connections in regions that are not allowed
+MIGRATION_TIME_FRACTION = 0.8  # fraction of the allowed time by which the last migration is started
 
 
 class RegionalDecisions(Protocol):
-    """The part of a regional decision module that is used here. `puffindeck_residency.RegionalBalancer` has it."""
+    """The part of a regional decision module that this module uses.
+
+    `puffindeck_residency.RegionalBalancer` implements it.
+    """
 
     @property
     def orders(self) -> dict[int, tuple[str, ...]]:
-        """The allowed regions of requests that a rule applies to, in the order of preference."""
+        """The allowed regions, in order of preference, of each request that a rule applies to."""
 
     def connections_outside_regions(self) -> list[int]:
-        """The requests whose connection is in a region that is not allowed."""
+        """Return the requests whose connection is in a region that is not allowed."""
 
 
 class RegionEnforcement:
-    """The rules of residency between a node's engine and its regional decision module."""
+    """Applies the residency rules to the requests of a regional decision module."""
 
     def __init__(
         self, module: RegionalDecisions, ruleset_store: RulesetStore, region: str, migrate_within_ms: float
@@ -33,12 +36,12 @@
         self._ruleset_store = ruleset_store
         self._region = region
         self._migrate_within_ms = migrate_within_ms
-        self._generation = -1  # of the rules that are applied
+        self._generation = -1  # generation of the rules that are applied
         self._checked_ms = float("-inf")
         self._violated_since_ms: float | None = None  # None while no connection violates a rule
 
     def admit(self, request: int, view: Any, now_ms: float) -> bool:
-        """Set the regions that a request may go to. False if no service here may take it now."""
+        """Set the regions that a request may be sent to. Return False if it may not be served here now."""
         constraint = evaluate(self._ruleset_store.active(), view, self._region)
         if constraint is None:
             return True
@@ -48,11 +51,11 @@
         return True
 
     def withdraw(self, request: int) -> None:
-        """Remove the regions of a request that is not admitted."""
+        """Remove the regions of a request that was not admitted."""
         self._set_regions(request, None)
 
     def apply_new_rules(self, requests: Mapping[int, FilteredRequest]) -> None:
-        """If the rules have changed, apply them to existing requests too, except to those that may stay."""
+        """Apply changed rules to existing requests, except established ones that may remain."""
         if self._generation == self._ruleset_store.generation:
             return
         self._generation = self._ruleset_store.generation
@@ -62,7 +65,10 @@
                 self._set_regions(number, constraint)
 
     def due_migrations(self, now_ms: float) -> list[int]:
-        """The requests that have to migrate now: at an even rate, all within the time that the rules set."""
+        """Return the requests that have to migrate now.
+
+        Migrations are spread evenly over the time within which all connections have to migrate.
+        """
         if now_ms - self._checked_ms < CHECK_INTERVAL_MS:
             return []
         self._checked_ms = now_ms
@@ -77,7 +83,7 @@
         return violating[: max(1, round(len(violating) / remaining_checks + 0.5))]
 
     def violations_by_service(self, requests: Mapping[int, FilteredRequest]) -> dict[str, int]:
-        """The number of connections in regions that are not allowed, by service."""
+        """Return the number of connections in regions that are not allowed, by service."""
         counts: dict[str, int] = {}
         for number in self._module.connections_outside_regions():
             constraint = evaluate(self._ruleset_store.active(), requests[number].view, self._region)
--- a/packages/fleet/src/puffindeck_fleet/request_filter.py
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -1,7 +1,8 @@
-"""A filter between a node's engine and its decision module: it admits requests by quotas and rules of residency.
+"""A filter between a node's engine and its decision module that applies quotas and residency rules.
 
-It has the module's own interface, so that every front obeys it. It makes no decisions itself: `puffindeck-quota`
-decides whether a request is admitted, `puffindeck-residency` where it may go, and the module where it goes.
+The filter implements the decision module's interface, so that it applies to every protocol front end. It does
+not decide anything itself: `puffindeck-quota` decides whether a request is admitted, `puffindeck-residency`
+which regions it may be sent to, and the decision module which endpoint it is sent to.
 """
 
 from __future__ import annotations
@@ -34,10 +35,10 @@
 from puffindeck_quota import Charge, Quota, Rejection
 from puffindeck_residency import RulesetStore
 
-DEFAULT_TENANT = "default"  # of requests that match no configured tenant
-FLUSH = TimerFired(-1)  # hand out the actions that have come up between two events
-UNSERVED_OUTCOMES = NOT_PROCESSED | {Outcome.ERROR}  # of attempts that no endpoint counts as served
-NOT_SERVED_RETRY_AFTER_MS = 1000.0  # after which a client may retry whose service may not be served here now
+DEFAULT_TENANT = "default"  # tenant of requests that match no configured tenant
+FLUSH = TimerFired(-1)  # makes the filter return pending actions without another event
+UNSERVED_OUTCOMES = NOT_PROCESSED | {Outcome.ERROR}  # outcomes of attempts that no endpoint has served
+NOT_SERVED_RETRY_AFTER_MS = 1000.0  # retry delay for a client whose service may not be served here now
 
 
 class RequestFilter:
@@ -71,37 +72,37 @@
             module = cast(RegionalDecisions, inner)
             self._regions = RegionEnforcement(module, ruleset_store, region, migrate_within_ms)
         self._requests: dict[int, FilteredRequest] = {}
-        self._released: list[int] = []  # requests that migrate with the next actions
+        self._released: list[int] = []  # requests to migrate with the next actions
 
     def load_limits(self) -> dict[int, float]:
-        """The load limits of the decision module."""
+        """Return the load limits of the decision module."""
         return self._inner.load_limits()
 
     def release(self, charge: Charge) -> None:
-        """A connection has lost its permit: it migrates with the next actions (`FLUSH`)."""
+        """Migrate a connection whose charge was revoked, with the next call of `handle` (`FLUSH`)."""
         request = self._admission.request_of(charge)
         if request is not None:
             self._released.append(request)
 
     def count_violating_connections(self) -> dict[str, int]:
-        """The number of connections in regions that are not allowed, by service."""
+        """Return the number of connections in regions that are not allowed, by service."""
         return self._regions.violations_by_service(self._requests) if self._regions is not None else {}
 
     def handle(self, now_ms: float, events: Iterable[Event]) -> list[Action]:
-        """Handle events as the decision module does, and return its actions and those of the filter."""
+        """Pass admitted events to the decision module, and return its actions and those of the filter."""
         if self._regions is not None:
             self._regions.apply_new_rules(self._requests)
-        passed: list[Event] = []
+        forwarded: list[Event] = []
         rejections: list[Action] = []
         for event in events:
             if event is FLUSH:
                 continue
             rejection = self._filter(now_ms, event)
             if rejection is None:
-                passed.append(event)
+                forwarded.append(event)
             else:
                 rejections.append(rejection)
-        actions = self._inner.handle(now_ms, passed)
+        actions = self._inner.handle(now_ms, forwarded)
         for action in actions:
             if isinstance(action, (Reject, Fail)):
                 self._on_final_answer(now_ms, action.request)
@@ -117,12 +118,12 @@
     # Admission
 
     def _filter(self, now_ms: float, event: Event) -> Reject | None:
-        """Follow an event. A Reject if the decision module must not see it."""
+        """Update the state of the event's request. Return a Reject if the event must not be forwarded."""
         match event:
             case RequestArrived():
                 return self._admit(now_ms, event)
             case ConnectionRestored():
-                pass  # it was charged before this process started
+                pass  # the connection was charged before this process started
             case SettingsChanged():
                 self._settings = event.settings
             case AttemptEstablished():
@@ -176,7 +177,7 @@
             self._close(now_ms, event.request, request)
 
     def _on_aborted(self, event: RequestAborted) -> None:
-        """The request ends with its final answer."""
+        """Handle the abort of a request, which ends with its final answer."""
         request = self._requests.get(event.request)
         if request is not None:
             request.may_have_been_served = True  # an attempt may still be established
--- a/packages/fleet/src/puffindeck_fleet/residency_driver.py
+++ b/packages/fleet/src/puffindeck_fleet/residency_driver.py
@@ -1,4 +1,4 @@
-"""Drives the `RulesetStore` of residency: hands them events and carries out their actions."""
+"""Drives the `RulesetStore` of residency: passes it events and performs its actions."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 class ResidencyDriver:
-    """The rules of residency of one member. `send` sends a message to those of another member."""
+    """Runs the residency rules of one member. `send` sends a message to those of another member."""
 
     def __init__(self, ruleset_store: RulesetStore, send: Callable[[SendMessage], None]) -> None:
         self.ruleset_store = ruleset_store
         self._send = send
 
     def handle(self, now_ms: float, event: MessageReceived | LiveMembersUpdated) -> None:
-        """Hand an event to the rules."""
+        """Pass an event to the ruleset store and perform its actions."""
         for action in self.ruleset_store.handle(now_ms, [event]):
             match action:
                 case SendMessage():
@@ -31,7 +31,10 @@
                     log.error("residency: {error}", error=describe(action.error))
 
     def status(self, now_ms: float, violations: Mapping[str, int]) -> ResidencyStatus:
-        """`GET /_residency`. `violations` counts connections in regions that are not allowed, by service."""
+        """Return the document of `GET /_residency`.
+
+        `violations` is the number of connections in regions that are not allowed, by service.
+        """
         services = [
             ServiceStatus(name, allowed, violations.get(name, 0))
             for name, allowed in sorted(self._allowed_regions().items())
@@ -44,10 +47,10 @@
         )
 
     def _allowed_regions(self) -> dict[str, list[str]]:
-        """The regions that all ruleset_store in force allow, by service."""
+        """Return the regions that all active rulesets allow, by service."""
         allowed: dict[str, list[str]] = {}
         for ruleset in self.ruleset_store.active():
             for service in ruleset.services:
-                before = allowed.get(service.name, list(service.allowed))
-                allowed[service.name] = [region for region in before if region in service.allowed]
+                candidates = allowed.get(service.name, list(service.allowed))
+                allowed[service.name] = [region for region in candidates if region in service.allowed]
         return allowed
--- a/packages/fleet/src/puffindeck_fleet/state_file.py
+++ b/packages/fleet/src/puffindeck_fleet/state_file.py
@@ -1,4 +1,4 @@
-"""The state of a member that outlives its process, in a file that is replaced atomically."""
+"""Persists the state of a member in a file that is replaced atomically."""
 
 from __future__ import annotations
 
@@ -12,27 +12,27 @@
 from puffindeck_fleet.errors import FolderUnusable, StateUnreadable
 
 FORMAT_VERSION = 1
-FOLDER_MODE = 0o700  # of a folder that has to be created
+FOLDER_MODE = 0o700  # mode of a newly created folder
 
 
 class MemberState(msgspec.Struct):
-    """The state that is stored for a member. The names of the fields are those of the stored JSON."""
+    """The stored state of a member. The names of the fields are the keys of the stored JSON."""
 
     name: str
     incarnation: int
 
 
 class StateFile:
-    """The file of one member: a line with version and checksum, and the state as JSON."""
+    """The state file of one member: a line with the format version and a checksum, then the state as JSON."""
 
     def __init__(self, folder: Path, name: str) -> None:
         self.path = folder / f"member-{name.encode().hex()}"
 
     def read(self) -> MemberState | None:
-        """The state that an earlier process stored; None if there is none.
+        """Return the state that an earlier process has stored; None if there is none.
 
-        Raises FolderUnusable if the file can't be opened, and StateUnreadable, after the file was set aside, if its
-        content is damaged.
+        Raise FolderUnusable if the file can't be read. If its content is invalid, rename the file with the
+        suffix `.unreadable` and raise StateUnreadable.
         """
         try:
             data = self.path.read_bytes()
@@ -50,17 +50,17 @@
 
     @staticmethod
     def _decode(data: bytes) -> MemberState:
-        """The state in a file's bytes. Raises ValueError or MsgspecError if they are damaged."""
-        head, _, body = data.partition(b"\n")
-        version, checksum = head.decode("ascii").split()
+        """Decode the content of a state file. Raise ValueError or MsgspecError if it is invalid."""
+        header, _, body = data.partition(b"\n")
+        version, checksum = header.decode("ascii").split()
         if int(version) != FORMAT_VERSION:
-            raise ValueError(f"version {version}")
+            raise ValueError(f"unsupported format version {version}")
         if checksum != xxh64_hexdigest(body):
-            raise ValueError("its checksum is wrong")
+            raise ValueError("checksum mismatch")
         return msgspec.json.decode(body, type=MemberState)
 
     def write(self, state: MemberState) -> None:
-        """Store the state. Raises FolderUnusable if that fails; the file is unchanged then."""
+        """Store the state. If that fails, leave the file unchanged and raise FolderUnusable."""
         body = msgspec.json.encode(state)
         draft = self.path.with_suffix(".draft")
         try:
@@ -75,7 +75,7 @@
             raise FolderUnusable(str(self.path), reason=error.strerror) from None
 
     def _sync_folder(self) -> None:
-        """Make the replacement of the file durable."""
+        """Sync the folder, which makes the replacement of the file durable."""
         folder = os.open(self.path.parent, os.O_RDONLY)
         try:
             os.fsync(folder)
--- a/packages/fleet/src/puffindeck_fleet/status.py
+++ b/packages/fleet/src/puffindeck_fleet/status.py
@@ -1,4 +1,4 @@
-"""The documents of the operators' calls `/_fleet`, `/_quotas` and `/_residency`. Field names are the JSON keys."""
+"""The documents of `GET /_fleet`, `/_quotas` and `/_residency`. The names of the fields are the JSON keys."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 
 class FleetStatus(msgspec.Struct, frozen=True):
-    """`GET /_fleet`."""
+    """The document of `GET /_fleet`."""
 
     instance: str
     incarnation: int
     members: list[MemberStatus]
-    counts_as_dead: bool  # by others, as far as this member knows
-    dropped: dict[str, int]  # datagrams that were of no use, by reason
+    counts_as_dead: bool  # whether other members have declared this one dead, as far as it knows
+    dropped: dict[str, int]  # number of dropped datagrams by reason
 
 
 class QuotaStatus(msgspec.Struct, frozen=True):
-    """`GET /_quotas`. `puffindeck_quota` has the keys of a limit."""
+    """The document of `GET /_quotas`. `puffindeck_quota` defines the keys of a limit."""
 
     limits: list[dict[str, object]]
 
@@ -38,12 +38,12 @@
     """A service in `/_residency`."""
 
     name: str
-    allowed: list[str]  # regions
-    standing_outside: int  # connections in other regions
+    allowed: list[str]  # names of the allowed regions
+    standing_outside: int  # number of connections in other regions
 
 
 class ResidencyStatus(msgspec.Struct, frozen=True):
-    """`GET /_residency`. Without rules there is no `stale` and no `serves`."""
+    """The document of `GET /_residency`. Without rules, `stale` and `serves` are absent."""
 
     version: int
     stale: bool | msgspec.UnsetType = msgspec.UNSET
@@ -52,5 +52,5 @@
 
 
 def member_status(update: MemberUpdate) -> MemberStatus:
-    """A member as `/_fleet` has it."""
+    """Return the entry of a member in `/_fleet`."""
     return MemberStatus(update.name, PHASE_NAMES[Phase(update.phase)], update.incarnation, update.region)
--- a/packages/fleet/tests/test_datagram_codec.py
+++ b/packages/fleet/tests/test_datagram_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams that are damaged, of another fleet or of another version are dropped for that reason."""
+"""Datagrams that are corrupt, belong to another fleet or have another version are dropped, and why."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def drop_reason(data: bytes, codec: DatagramCodec) -> str:
-    """Why a datagram is dropped; empty if it is decoded."""
+    """Return the reason for which a datagram is dropped; empty if it is decoded."""
     try:
         codec.decode(data)
     except InvalidDatagram as invalid:
@@ -31,7 +31,7 @@
     return ""
 
 
-def test_a_datagram_comes_back_as_it_was_and_others_fleets_and_versions_are_told_apart() -> None:
+def test_datagram_round_trip_and_drop_reasons() -> None:
     codec = DatagramCodec("sfpx")
     data = codec.encode(ENVELOPE)
     assert codec.decode(data) == ENVELOPE
@@ -44,10 +44,10 @@
         codec.encode(Envelope("e1", 7, 1, 5, "e2", 1000, Payload("quota", b"x" * MAX_DATAGRAM_OCTETS)))
 
 
-def test_fields_of_a_later_version_are_passed_over() -> None:
+def test_unknown_fields_of_a_later_version_are_ignored() -> None:
     codec = DatagramCodec("sfpx")
     fields = msgspec.msgpack.decode(msgspec.msgpack.encode(ENVELOPE))
-    payload = msgspec.msgpack.encode([*fields, "a field of later", {"more": 1}])
+    payload = msgspec.msgpack.encode([*fields, "later field", {"more": 1}])
     frame = codec.encode(ENVELOPE)[: FRAME.size]
     magic, version, fleet, _ = FRAME.unpack(frame)
     assert codec.decode(FRAME.pack(magic, version, fleet, xxh64_intdigest(payload, fleet)) + payload) == ENVELOPE
@@ -55,9 +55,10 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.binary(max_size=80), st.integers(0, 200), st.integers(0, 7))
-def test_no_octets_raise_anything_else(noise: bytes, at: int, bit: int) -> None:
+def test_corrupt_octets_raise_only_invalid_datagram(noise: bytes, position: int, bit: int) -> None:
     codec = DatagramCodec("sfpx")
     assert drop_reason(noise, codec)
     data = bytearray(codec.encode(ENVELOPE))
-    data[at % len(data)] ^= 1 << bit
-    assert drop_reason(bytes(data), codec) in ("garbage", "newer", "foreign", "damaged", "")  # an older version is read
+    data[position % len(data)] ^= 1 << bit
+    # A lower version number is accepted, so that the flipped bit may have no effect.
+    assert drop_reason(bytes(data), codec) in ("garbage", "newer", "foreign", "damaged", "")
--- a/packages/fleet/tests/test_error_table.py
+++ b/packages/fleet/tests/test_error_table.py
@@ -1,4 +1,4 @@
-"""docs/fleet-errors.md says of each error what the code does."""
+"""The table in docs/fleet-errors.md matches the error classes in the code."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 ROOTS: tuple[type[OperatorError], ...] = (FleetError, MembershipError, QuotaError, ResidencyError)
 
 
-def plain(template: str) -> str:
-    """A template as the page has it: what is filled in stands in capitals."""
-    return re.sub(r"\{(\w+)(:[^}]*)?\}", lambda found: found[1].upper(), template)
+def page_text(template: str) -> str:
+    """Return a template as it is written on the page, with the names of its placeholders in capitals."""
+    return re.sub(r"\{(\w+)(:[^}]*)?\}", lambda match: match[1].upper(), template)
 
 
-def row(kind: type[OperatorError]) -> str:
+def table_row(kind: type[OperatorError]) -> str:
+    """Return the row of an error class in the page's table."""
     parent = kind.__mro__[1].__name__
-    return f"| {kind.__name__} | {parent} | {plain(kind.message_template)} | {plain(kind.remedy_template)} |"
+    return f"| {kind.__name__} | {parent} | {page_text(kind.message_template)} | {page_text(kind.remedy_template)} |"
 
 
-def test_the_page_has_each_error_once_as_the_code_has_it() -> None:
-    found = [line for line in PAGE.read_text().splitlines() if line.startswith("| ") and "---" not in line][1:]
-    assert found == [row(kind) for root in ROOTS for kind in subclass_tree(root)[1:]]
+def test_page_lists_each_error_class_once_with_its_templates() -> None:
+    rows = [line for line in PAGE.read_text().splitlines() if line.startswith("| ") and "---" not in line][1:]
+    assert rows == [table_row(kind) for root in ROOTS for kind in subclass_tree(root)[1:]]
--- a/packages/fleet/tests/test_fleet_tables.py
+++ b/packages/fleet/tests/test_fleet_tables.py
@@ -1,4 +1,4 @@
-"""The fleet's tables of an operator's file: defaults, and errors that name the wrong key."""
+"""The tables for fleets in an operator's file: their defaults, and errors that contain the invalid key."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 }
 
 
-def test_the_tables_are_read_with_their_defaults() -> None:
-    found = parse_fleet_member(FLEET, QUOTA, RESIDENCY, "e1")
-    assert found is not None
-    assert found.quota is not None
-    assert found.residency is not None
-    assert found.voters == ("e1", "e2")
-    sliced, standing = found.quota.limits
-    assert (sliced.amount, sliced.window_ms, sliced.strict) == (100, 10000, True)
-    assert (standing.unit, standing.tenant) == ("standing", "*")
-    assert (found.residency.ruleset.version, found.residency.refuse_when_stale) == (7, True)
+def test_tables_are_parsed_with_defaults() -> None:
+    parsed = parse_fleet_member(FLEET, QUOTA, RESIDENCY, "e1")
+    assert parsed is not None
+    assert parsed.quota is not None
+    assert parsed.residency is not None
+    assert parsed.voters == ("e1", "e2")
+    rate_limit, connection_limit = parsed.quota.limits
+    assert (rate_limit.amount, rate_limit.window_ms, rate_limit.strict) == (100, 10000, True)
+    assert (connection_limit.unit, connection_limit.tenant) == ("standing", "*")
+    assert (parsed.residency.ruleset.version, parsed.residency.refuse_when_stale) == (7, True)
     assert parse_fleet_member(None, None, None, "e1") is None
 
 
 @pytest.mark.parametrize(
-    ("path", "value", "named"),
+    ("path", "value", "expected_key"),
     [
         ("fleet.bind", "127.0.0.1:0", "fleet.bind"),
         ("fleet.bind", "x", "fleet.bind"),
@@ -68,7 +68,7 @@
         ("residency.stale_after", "soon", "residency.stale_after"),
     ],
 )
-def test_a_wrong_key_is_named(path: str, value: object, named: str) -> None:
+def test_error_contains_the_invalid_key(path: str, value: object, expected_key: str) -> None:
     tables: Any = copy.deepcopy({"fleet": FLEET, "quota": QUOTA, "residency": RESIDENCY})
     *outer, last = path.split(".")
     inner = tables
@@ -77,10 +77,10 @@
     inner[last] = value
     with pytest.raises(config.ConfigError) as raised:
         parse_fleet_member(tables["fleet"], tables["quota"], tables["residency"], "e1")
-    assert named.replace(".0.", "[0]").replace(".1.", "[1]") in str(raised.value)
+    assert expected_key.replace(".0.", "[0]").replace(".1.", "[1]") in str(raised.value)
 
 
-def test_quotas_and_rules_need_a_fleet_and_an_operators_file(tmp_path: Path) -> None:
+def test_quotas_and_residency_rules_require_a_fleet_and_an_operators_file(tmp_path: Path) -> None:
     for quota, rules in ((QUOTA, None), (None, RESIDENCY)):
         with pytest.raises(config.ConfigError, match=r"needs a .fleet. table"):
             parse_fleet_member(None, quota, rules, "e1")
@@ -90,14 +90,14 @@
         config.load_node_config({"EDGE_CONFIG": str(file)})
 
 
-def test_the_example_files_are_read() -> None:
+def test_example_files_are_valid() -> None:
     for number in (1, 2, 3):
-        told = config.load_node_config({}, f"deploy/operator-fleet-{number}.toml")
-        assert told.fleet_member is not None
-        assert told.fleet_member.fleet.name == "sfpx"
-        assert len(told.fleet_member.voters) == 3
+        node_config = config.load_node_config({}, f"deploy/operator-fleet-{number}.toml")
+        assert node_config.fleet_member is not None
+        assert node_config.fleet_member.fleet.name == "sfpx"
+        assert len(node_config.fleet_member.voters) == 3
 
 
 @pytest.mark.parametrize(("text", "ms"), [("250ms", 250), ("60s", 60000), ("1.5m", 90000), ("1h", 3600000)])
-def test_spans(text: str, ms: float) -> None:
+def test_durations_are_parsed_in_milliseconds(text: str, ms: float) -> None:
     assert duration_ms(text, "key") == ms
--- a/packages/fleet/tests/test_incarnation_store.py
+++ b/packages/fleet/tests/test_incarnation_store.py
@@ -1,4 +1,4 @@
-"""A member's incarnation is stored later if its folder fails for a while."""
+"""A member's incarnation is stored by a retry if writing to its folder fails at first."""
 
 from __future__ import annotations
 
@@ -19,20 +19,20 @@
 from puffindeck_fleet.state_file import StateFile
 
 
-class SetClock(Clock):
-    """A clock that a test sets."""
+class SettableClock(Clock):
+    """A clock whose time is set by a test."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.moment = super().now()
+        self.current_time = super().now()
 
     def now(self) -> timedelta:
-        """The moment that was set."""
-        return self.moment
+        """Return the time that was set."""
+        return self.current_time
 
 
-def test_an_incarnation_that_a_full_disk_refused_is_kept_once_there_is_room(tmp_path: Path) -> None:
-    clock, timers = SetClock(), FakeTimers()
+def test_incarnation_is_stored_once_a_full_disk_has_free_space_again(tmp_path: Path) -> None:
+    clock, timers = SettableClock(), FakeTimers()
     config = FleetConfig("test", ("127.0.0.1", 0), "", str(tmp_path), "", {})
     identity = MemberIdentity("e1", process_incarnation=1, seed=1)
     driver = MembershipDriver(
@@ -40,10 +40,10 @@
     )
     with patch.object(os, "fsync", side_effect=OSError(errno.ENOSPC, "No space left on device")) as fsync:
         driver.save_incarnation()
-        driver.save_incarnation()  # not tried again before the interval is over
+        driver.save_incarnation()  # must not retry before the interval is over
     assert fsync.call_count == 1
     assert StateFile(tmp_path, "e1").read() is None
-    clock.moment += RETRY_INTERVAL
+    clock.current_time += RETRY_INTERVAL
     timers.advance(RETRY_INTERVAL.total_seconds())
     state = StateFile(tmp_path, "e1").read()
     assert state is not None
--- a/packages/messaging/src/puffindeck_messaging/messages.py
+++ b/packages/messaging/src/puffindeck_messaging/messages.py
@@ -1,4 +1,4 @@
-"""Messages from one member of a fleet to another. The module that receives them decodes their octets."""
+"""Messages from one member of a fleet to another. The receiving module decodes their `data`."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class MessageReceived:
-    """Event: a message from another member, by its name."""
+    """Event: a message from the member named `sender` has been received."""
 
     sender: str
     data: bytes
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True)
 class SendMessage:
-    """Action: send a message to another member, by its name."""
+    """Action: send a message to the member named `to`."""
 
     to: str
     data: bytes
--- a/packages/messaging/tests/test_reports.py
+++ b/packages/messaging/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""An error is reported once in an interval."""
+"""Reports of the same error are limited to one per interval."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     """Something is damaged."""
 
 
-def test_an_error_is_reported_once_in_an_interval() -> None:
+def test_error_is_reported_once_per_interval() -> None:
     throttle, error = ReportThrottle(), Missing("a")
     assert throttle.reports(0.0, error) == [Report(error)]
     assert throttle.reports(REPORT_INTERVAL_MS - 1, Missing("a")) == []
     assert len(throttle.reports(REPORT_INTERVAL_MS, Missing("a"))) == 1
 
 
-def test_other_errors_and_other_places_have_intervals_of_their_own() -> None:
+def test_interval_is_separate_for_each_error_class_and_place() -> None:
     throttle = ReportThrottle()
-    found = [throttle.reports(0.0, error) for error in (Missing("a"), Missing("b"), Damaged("a"))]
-    assert [len(reports) for reports in found] == [1, 1, 1]
+    reports_by_error = [throttle.reports(0.0, error) for error in (Missing("a"), Missing("b"), Damaged("a"))]
+    assert [len(reports) for reports in reports_by_error] == [1, 1, 1]
