--- a/packages/errors/src/puffindeck_errors/__init__.py
+++ b/packages/errors/src/puffindeck_errors/__init__.py
@@ -9,9 +9,9 @@
     """The base class of all errors that an operator can resolve.
 
     A subclass defines two templates for `str.format`: `message_template` describes what happened and
-    `remedy_template` what to do. The templates may contain `{where}` and the names of `details`. The constructor
-    and `remedy` raise KeyError if a name in their template is missing from `details`. A subclass can declare its
-    details as keyword arguments of its own constructor.
+    `remedy_template` what to do. The templates may contain `{where}` and the names of `details`. The
+    constructor and `remedy` raise KeyError if a name in their template is missing from `details`. A subclass
+    can declare its details as keyword arguments of its own constructor.
     """
 
     message_template: ClassVar[str] = "something failed"
--- a/packages/fleet/src/puffindeck_fleet/membership_driver.py
+++ b/packages/fleet/src/puffindeck_fleet/membership_driver.py
@@ -45,8 +45,8 @@
 class MembershipDriver:
     """Runs the membership of one member on its node's reactor and timers.
 
-    `on_payload` is called with each message for another module, `on_name_taken` with the error if this process has
-    to end because another process has its name.
+    `on_payload` is called with each message for another module, `on_name_taken` with the error if this process
+    has to end because another process has its name.
     """
 
     def __init__(
--- a/packages/fleet/src/puffindeck_fleet/request_filter.py
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -44,8 +44,8 @@
 class RequestFilter:
     """Wraps the decision module `inner` and applies quotas and residency rules to its requests.
 
-    `view` returns the attributes of a request that conditions are evaluated on, and `tenant` returns the tenant for
-    those attributes. If `ruleset_store` is given, `inner` must be a `puffindeck_residency.RegionalBalancer`.
+    `view` returns the attributes of a request that conditions are evaluated on, and `tenant` returns the tenant
+    for those attributes. If `ruleset_store` is given, `inner` must be a `puffindeck_residency.RegionalBalancer`.
     Connections in a region that is no longer allowed migrate within `migrate_within_ms` milliseconds.
     """
 
--- a/packages/fleet/src/puffindeck_fleet/residency_driver.py
+++ b/packages/fleet/src/puffindeck_fleet/residency_driver.py
@@ -15,7 +15,7 @@
 
 
 class ResidencyDriver:
-    """Runs the residency rules of one member. `send` sends a message to those of another member."""
+    """Runs the residency rules of one member. `send` sends a message to another member's rules."""
 
     def __init__(self, ruleset_store: RulesetStore, send: Callable[[SendMessage], None]) -> None:
         self.ruleset_store = ruleset_store
--- a/packages/fleet/tests/test_gateway_rules.py
+++ b/packages/fleet/tests/test_gateway_rules.py
@@ -82,7 +82,9 @@
 
 
 def test_restricted_service_stays_in_its_regions_during_a_rule_change_and_a_restart(world: World) -> None:
-    world.wait_until(lambda: all(world.status(name, "/_residency").get("serves") for name in REGIONS), "all to serve")
+    world.wait_until(
+        lambda: all(world.status(name, "/_residency").get("serves") for name in REGIONS), "all members to serve"
+    )
     north = {"atlanta", "memphis"}
     connections_before = len(world.connections)
     world.send_load(dict.fromkeys(REGIONS, 20.0), 1.5, RESTRICTED_GROUP)
--- a/packages/membership/tests/test_gossip_queue.py
+++ b/packages/membership/tests/test_gossip_queue.py
@@ -1,4 +1,4 @@
-"""Each queued update is sent a limited number of times, the least sent first, as many as fit into a datagram."""
+"""Each update is sent a limited number of times, the least sent first, as many as fit into a datagram."""
 
 from __future__ import annotations
 
--- a/packages/membership/tests/test_membership.py
+++ b/packages/membership/tests/test_membership.py
@@ -18,7 +18,7 @@
 from puffindeck_messaging import Report
 from puffindeck_testing.virtual_network import Link, VirtualNetwork
 
-MINUTE = 60000.0
+MINUTE_MS = 60000.0
 
 
 def address(i: int) -> str:
@@ -26,7 +26,7 @@
 
 
 def fleet(
-    count: int, seed: int = 1, *, link: Link | None = None, known: bool = True, settle: float = 5000.0
+    count: int, seed: int = 1, *, link: Link | None = None, known: bool = True, settle_ms: float = 5000.0
 ) -> VirtualNetwork:
     """Start members e1, e2, ...; if not `known`, they discover each other through their peers."""
     net = VirtualNetwork(seed, link)
@@ -44,7 +44,7 @@
             initial_updates=all_updates if known else (),
         )
         net.add(name, address(i), member)
-    net.run(settle)
+    net.run(settle_ms)
     return net
 
 
@@ -171,7 +171,7 @@
 def test_datagram_loss_of_30_percent_for_minutes_causes_no_death() -> None:
     for count in (3, 5, 40):
         net = fleet(count, link=Link(loss=0.3))
-        net.run(net.now + (3 if count < 40 else 1) * MINUTE)
+        net.run(net.now + (3 if count < 40 else 1) * MINUTE_MS)
         assert not deaths(net), count
         net.default_link = Link()
         net.run(net.now + 5000)
@@ -236,7 +236,7 @@
 
 def test_duplicates_reordering_and_delays_up_to_500_ms_cause_no_death() -> None:
     net = fleet(5, link=Link(loss=0.05, delay_ms=(0.0, 500.0), copies=0.3))
-    net.run(net.now + MINUTE)
+    net.run(net.now + MINUTE_MS)
     assert not deaths(net)
     assert net.hosts["e1"].member.dropped["repeated"] > 0
     start_ms = net.now
--- a/packages/messaging/src/puffindeck_messaging/reports.py
+++ b/packages/messaging/src/puffindeck_messaging/reports.py
@@ -27,7 +27,7 @@
         self._reported_ms: dict[tuple[type[OperatorError], str], float] = {}
 
     def reports(self, now_ms: float, error: OperatorError) -> list[Report]:
-        """Return the report of an error; an empty list if it was reported within the interval before `now_ms`."""
+        """Return the report of an error; an empty list if it was reported less than an interval ago."""
         key = (type(error), error.where)
         if now_ms - self._reported_ms.get(key, float("-inf")) < self._interval_ms:
             return []
