--- a/packages/fleet/src/puffindeck_fleet/region_enforcement.py
+++ b/packages/fleet/src/puffindeck_fleet/region_enforcement.py
@@ -19,7 +19,7 @@
     """
 
     @property
-    def orders(self) -> dict[int, tuple[str, ...]]:
+    def allowed_regions(self) -> dict[int, tuple[str, ...]]:
         """The allowed regions, in order of preference, of each request that a rule applies to."""
 
     def connections_outside_regions(self) -> list[int]:
@@ -93,6 +93,6 @@
 
     def _set_regions(self, request: int, constraint: RegionConstraint | None) -> None:
         if constraint is None:
-            self._module.orders.pop(request, None)
+            self._module.allowed_regions.pop(request, None)
         else:
-            self._module.orders[request] = constraint.allowed
+            self._module.allowed_regions[request] = constraint.allowed
--- a/puffindeck/config/client_config.py
+++ b/puffindeck/config/client_config.py
@@ -1,4 +1,4 @@
-"""The configuration of a client-side plug-in: the node's settings, and how calls become requests."""
+"""The configuration of a client-side plug-in: settings as for a node, and how calls become requests."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from puffindeck.config.checks import check_at_least, check_seconds, parse_address, parse_seed
 from puffindeck.config.endpoint_list import EndpointList
 from puffindeck.config.errors import ConfigError, InvalidValueError
-from puffindeck.config.policy_settings import check_class_names, class_index, parse_settings
+from puffindeck.config.policy_settings import check_class_names, find_class_number, parse_settings
 from puffindeck.config.routing import RoutingTable, parse_routing
 from puffindeck.interface import Settings
 
@@ -21,7 +21,7 @@
 
 
 class TlsTable(msgspec.Struct, forbid_unknown_fields=True):
-    """Files in PEM; relative paths start at the configuration's folder."""
+    """The table `rpc.tls`: PEM files, whose relative paths start at the configuration file's folder."""
 
     ca: str = ""
     cert: str = ""
@@ -30,7 +30,7 @@
 
 
 class RpcTable(msgspec.Struct, forbid_unknown_fields=True):
-    """How calls become the decision module's requests, as it is read."""
+    """The table `rpc` as it is read: how calls become requests of the decision module."""
 
     class_: str = msgspec.field(name="class", default="")
     methods: dict[str, str] = msgspec.field(default_factory=dict)
@@ -43,7 +43,7 @@
 
 
 class ClientFile(msgspec.Struct, forbid_unknown_fields=True):
-    """The file as it is read."""
+    """The configuration file as it is read."""
 
     settings: dict[str, Any]
     name: str = "client"
@@ -55,7 +55,7 @@
 
 
 class TlsConfig(msgspec.Struct, frozen=True):
-    """The content of the files that `rpc.tls` names; empty where none is named."""
+    """The contents of the files that `rpc.tls` names; empty where it names none."""
 
     ca: bytes
     cert: bytes
@@ -64,28 +64,30 @@
 
 
 class RpcConfig(msgspec.Struct, frozen=True):
-    """How calls become requests, checked."""
+    """The checked table `rpc`: how calls become requests."""
 
-    cls: int  # the class of a call whose method is not named
-    methods: dict[str, int]  # classes by "/package.Service/Method", or by "/package.Service/" for all of its
+    class_number: int  # the class of calls whose method is not in `methods`
+    methods: dict[
+        str, int
+    ]  # class numbers by "/package.Service/Method", or "/package.Service/" for all methods
     key_metadata: str
     group_metadata: str
-    subchannels: int  # endpoints at most that a channel has a connection to
-    idle: timedelta  # how long a connection without a call stays open
-    replay: int  # messages of a request stream that are buffered for another attempt
+    max_subchannels: int  # endpoints that a channel is connected to at the same time
+    idle_timeout: timedelta  # a connection without calls is closed after it
+    max_replayed_messages: int  # messages of a request stream that are buffered for another attempt
     tls: TlsConfig | None
 
 
 class ClientConfig(msgspec.Struct, frozen=True):
-    """A client-side plug-in's whole configuration, checked."""
+    """The whole checked configuration of a client-side plug-in."""
 
     name: str
-    discovery: tuple[str, int] | None  # None: the file's list is the only one
+    discovery: tuple[str, int] | None  # None: only the file's list of endpoints is used
     seed: int
-    known: EndpointList
+    file_endpoints: EndpointList
     settings: Settings
     rpc: RpcConfig
-    routing: Routing | None = None  # its package is not loaded by a client without routing
+    routing: Routing | None = None  # puffindeck.routing is loaded only if this is set
 
 
 def _read_pem(folder: Path, name: str, key: str) -> bytes:
@@ -116,7 +118,8 @@
 
 def _parse_methods(methods: dict[str, str], settings: Settings) -> dict[str, int]:
     classes = {
-        method: class_index(settings, name, f"rpc.methods.{method!r}") for method, name in methods.items()
+        method: find_class_number(settings, name, f"rpc.methods.{method!r}")
+        for method, name in methods.items()
     }
     for method in methods:
         if not method.startswith("/") or method.count("/") != 2:
@@ -129,21 +132,21 @@
 def parse_rpc(table: RpcTable, settings: Settings, folder: Path) -> RpcConfig:
     """Check the table `rpc`; relative paths of files start at `folder`.
 
-    Raises ConfigError, which names the key at fault.
+    Raises ConfigError, which names the invalid key.
     """
-    cls = class_index(settings, table.class_, "rpc.class") if table.class_ else 0
+    class_number = find_class_number(settings, table.class_, "rpc.class") if table.class_ else 0
     methods = _parse_methods(table.methods, settings)
     check_at_least(table.subchannels, 1, "rpc.subchannels")
     check_at_least(table.replay, 0, "rpc.replay")
     check_seconds(table.idle_s, "rpc.idle_s")
     return RpcConfig(
-        cls=cls,
+        class_number=class_number,
         methods=methods,
         key_metadata=_parse_metadata_name(table.key_metadata, "rpc.key_metadata"),
         group_metadata=_parse_metadata_name(table.group_metadata, "rpc.group_metadata"),
-        subchannels=table.subchannels,
-        idle=timedelta(seconds=table.idle_s),
-        replay=table.replay,
+        max_subchannels=table.subchannels,
+        idle_timeout=timedelta(seconds=table.idle_s),
+        max_replayed_messages=table.replay,
         tls=_parse_tls(table.tls, folder) if table.tls else None,
     )
 
@@ -153,24 +156,24 @@
     settings = parse_settings(file.settings)
     check_class_names(settings)
     if not file.discovery and file.known is None:
-        raise ConfigError("discovery is missing, and there is no list in known")
+        raise ConfigError("discovery is missing, and known has no list of endpoints")
     if file.routing and file.routing.listeners:
-        raise ConfigError("routing.listeners: a client listens on none")
+        raise ConfigError("routing.listeners: a client has no listeners")
     return ClientConfig(
         routing=parse_routing(file.routing) if file.routing else None,
         name=file.name,
         discovery=parse_address(file.discovery, "discovery") if file.discovery else None,
         seed=seed,
-        known=file.known or EndpointList(0, True, []),
+        file_endpoints=file.known or EndpointList(0, True, []),
         settings=settings,
         rpc=parse_rpc(file.rpc, settings, folder),
     )
 
 
 def load_client_config(path: str | Path) -> ClientConfig:
-    """Read a plug-in's TOML file. Raises ConfigError, which names the file and the key at fault.
+    """Read a plug-in's TOML file. Raises ConfigError, which names the file and the invalid key.
 
-    Without `seed` one is drawn, so that no two clients have the same random numbers.
+    Without `seed` a random one is used, so that clients have different random numbers.
     """
     path = Path(path)
     try:
--- a/puffindeck/config/quic.py
+++ b/puffindeck/config/quic.py
@@ -9,10 +9,10 @@
 
 from puffindeck.config.checks import check_at_least, check_seconds, parse_address, parse_hexadecimal
 from puffindeck.config.errors import ConfigError, InvalidValueError
-from puffindeck.config.policy_settings import class_index
+from puffindeck.config.policy_settings import find_class_number
 from puffindeck.interface import Settings
 
-MAX_CONFIG_ID = 6  # QUIC-LB keeps 7 for ids that carry no server id
+MAX_CONFIG_ID = 6  # QUIC-LB reserves 7 for connection ids without a server id
 MAX_SERVER_ID_OCTETS = 15
 MIN_NONCE_OCTETS = 4
 MAX_SERVER_ID_AND_NONCE_OCTETS = 19
@@ -20,7 +20,7 @@
 
 
 class QuicTable(msgspec.Struct):
-    """The QUIC table as it is read; QUIC is off where the file has none."""
+    """The table `quic` as it is read. QUIC is off if the file has no such table."""
 
     listen: str
     class_: str = msgspec.field(name="class", default="")
@@ -36,19 +36,19 @@
 
 
 class QuicConfig(msgspec.Struct, frozen=True):
-    """The QUIC front's configuration, checked."""
+    """The checked configuration of the QUIC front."""
 
     listen: tuple[str, int]
-    cls: int  # the number of the class that connections belong to
-    deadline: timedelta  # from a client's first Initial to the answer
-    idle: timedelta  # how long a flow without datagrams lasts
-    silent: timedelta  # how long a flow without an answer of its endpoint lasts
+    class_number: int  # the index in the settings of the request class of all connections
+    deadline: timedelta  # time from a client's first Initial packet to the answer
+    idle_timeout: timedelta  # a flow without datagrams is removed after it
+    silence_timeout: timedelta  # a flow whose endpoint sends nothing is removed after it
     config_id: int
     server_id_length: int  # octets
     nonce_length: int  # octets
     key: bytes
-    connections: int  # flows at once
-    boxes: dict[bytes, str]  # an endpoint's uid by the server id in its connection ids
+    max_connections: int  # flows open at the same time
+    uid_by_server_id: dict[bytes, str]  # uids of endpoints by the server id in their connection ids
 
 
 def _check_connection_id_layout(table: QuicTable) -> None:
@@ -60,8 +60,8 @@
     if not MIN_NONCE_OCTETS <= table.nonce_length <= max_nonce_octets:
         raise InvalidValueError(
             "quic.nonce_length",
-            f"must be {MIN_NONCE_OCTETS} or more, and {MAX_SERVER_ID_AND_NONCE_OCTETS} or less with "
-            "server_id_length",
+            f"must be {MIN_NONCE_OCTETS} or more, and {MAX_SERVER_ID_AND_NONCE_OCTETS} or less together "
+            "with server_id_length",
         )
 
 
@@ -73,25 +73,23 @@
 
 
 def _parse_server_ids(table: QuicTable) -> dict[bytes, str]:
-    """The endpoints' uids by server id."""
+    """Return the endpoints' uids by server id."""
     uids: dict[bytes, str] = {}
     for uid, text in table.boxes.items():
         server_id = parse_hexadecimal(text, f"quic.boxes.{uid}")
         if len(server_id) != table.server_id_length:
             raise InvalidValueError(f"quic.boxes.{uid}", "must have server_id_length octets")
         if server_id in uids:
-            raise ConfigError(f"quic.boxes.{uid} has the id of {uids[server_id]}")
+            raise ConfigError(f"quic.boxes.{uid} has the same server id as {uids[server_id]}")
         uids[server_id] = uid
     return uids
 
 
 def parse_quic(table: QuicTable, settings: Settings) -> QuicConfig:
-    """Check the QUIC table. Raises ConfigError, which names the key at fault or the library to install."""
+    """Check the QUIC table. Raises ConfigError, which names the invalid key or the library to install."""
     if find_spec("aioquic") is None:
-        raise ConfigError(
-            "quic: the front wants what requirements-operator.txt names, aioquic, which is not installed"
-        )
-    cls = class_index(settings, table.class_, "quic.class") if table.class_ else 0
+        raise ConfigError("quic: aioquic, which requirements-operator.txt names, is not installed")
+    class_number = find_class_number(settings, table.class_, "quic.class") if table.class_ else 0
     _check_connection_id_layout(table)
     key = _parse_key(table.key)
     check_at_least(table.connections, 1, "quic.connections")
@@ -100,14 +98,14 @@
     uids = _parse_server_ids(table)
     return QuicConfig(
         listen=parse_address(table.listen, "quic.listen"),
-        cls=cls,
-        deadline=timedelta(milliseconds=table.deadline_ms or settings.classes[cls].deadline_ms),
-        idle=timedelta(seconds=table.idle_s),
-        silent=timedelta(seconds=table.silent_s),
+        class_number=class_number,
+        deadline=timedelta(milliseconds=table.deadline_ms or settings.classes[class_number].deadline_ms),
+        idle_timeout=timedelta(seconds=table.idle_s),
+        silence_timeout=timedelta(seconds=table.silent_s),
         config_id=table.config_id,
         server_id_length=table.server_id_length,
         nonce_length=table.nonce_length,
         key=key,
-        connections=table.connections,
-        boxes=uids,
+        max_connections=table.connections,
+        uid_by_server_id=uids,
     )
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -57,7 +57,9 @@
         self._deadline = CallDeadline(shared.clock, options.timeout)
         self._routing_keys = read_routing_keys(options.metadata, shared.config.rpc, shared.balancer.random)
         if method.request_stream:
-            self.request_stream = RequestStream(self, shared.loop, shared.config.rpc.replay, request)
+            self.request_stream = RequestStream(
+                self, shared.loop, shared.config.rpc.max_replayed_messages, request
+            )
         self._place()
 
     # Placing
@@ -72,7 +74,7 @@
             self.finish(TOO_MANY_CALLS)
         else:
             key, group = self._routing_keys
-            request = Request(self.method.cls, key, remaining, group=group, facts=CONNECTION_INFO)
+            request = Request(self.method.cls, key, remaining, group=group, connection_info=CONNECTION_INFO)
             number = engine.request(self, request)
             if self.completion.status is None:
                 self._number = number
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -20,10 +20,10 @@
 from puffindeck.core.clock import milliseconds
 from puffindeck.interface import Effect, EndpointListUpdated, ListUpdateKind, SettingsChanged
 from puffindeck.net import served_classes
-from tests.support.node_story import ASK, Listener, Story
+from tests.support.node_test_case import REQUEST, Listener, NodeTestCase
 
 
-class ReloadStories(Story):
+class ReloadStories(NodeTestCase):
     """A node, and the file that it reads at a reload."""
 
     def folder(self) -> Path:
@@ -51,7 +51,7 @@
         for peer in listener.peers:
             peer.transport.abortConnection()
         await maybeDeferred(listener.port.stopListening)
-        await self.until(lambda: all(peer.end for peer in listener.peers), "its connections to close")
+        await self.wait_until(lambda: all(peer.end for peer in listener.peers), "its connections to close")
 
     @staticmethod
     def logged(log: Path, after: int) -> bool:
@@ -65,8 +65,8 @@
         path = self.configured()
         read = config.load_node_config({"EDGE_CONFIG": path})
         self.node.config = msgspec.structs.replace(self.node.config, file=read.file)
-        client, uid, host = await self.served(ASK)
-        old = await self.watched()
+        client, uid, host = await self.establish(REQUEST)
+        old = await self.accept_watch()
         other = Listener()
         self.addCleanup(self.discovery.port.stopListening)
         (h0, h1), before = self.hosts, self.node.watch
@@ -80,7 +80,7 @@
         self.assertIs(self.node.watch, before)
 
         self.reread(self.configured(discovery=other.address, limits={"sockets": 300}, seed="5"))
-        self.assertEqual(self.node.config.sockets, 300)
+        self.assertEqual(self.node.config.max_descriptors, 300)
         await old.ended()
         self.discovery, gone = other, self.discovery
         listing = await other.next()
@@ -91,7 +91,8 @@
         watch = await other.next()
         self.assertIn(b"watch=1&after=1 ", await watch.line())
         self.assertEqual(
-            [(e.kind, len(e.entries)) for e in self.ends(EndpointListUpdated)][-1], (ListUpdateKind.FULL, 2)
+            [(e.kind, len(e.entries)) for e in self.recorded_events(EndpointListUpdated)][-1],
+            (ListUpdateKind.FULL, 2),
         )
         self.assertEqual(len(gone.peers), 1)  # the old one is not asked again
         client.write(b"still here\r\n")
@@ -122,21 +123,21 @@
         two = {**one, "name": "two"}
         self.reread(self.configured(settings=table | {"classes": [one, two, {**one, "name": "chat"}]}))
         numbers = dict(self.node.classes.numbers)
-        client, _, host = await self.served(ASK)
+        client, _, host = await self.establish(REQUEST)
         old = self.node.engine.balancer.requests[next(iter(self.node.engine.requests)).number]
         new = {**two, "name": "new", "repeat": "side_effect", "hardLimitMs": 700.0}
         limits = table["limits"] | {"maxAttempts": 1}
         with patch.object(served_classes, "DROP_DELAY", milliseconds(300)):
             self.reread(self.configured(settings=table | {"classes": [two, new], "limits": limits}))
-        self.assertEqual([e.settings.max_attempts for e in self.ends(SettingsChanged)][-1], 1)
+        self.assertEqual([e.settings.max_attempts for e in self.recorded_events(SettingsChanged)][-1], 1)
         self.assertEqual((old.max_attempts, old.rules.name, old.cls), (3, "chat", numbers["chat"]))
         now = self.node.engine.settings.classes
         served = ("two", "new", "chat")  # the dropped one's clients learn of it later
         self.assertEqual(tuple(now[self.node.classes.numbers[name]].name for name in served), served)
         self.assertEqual(len(set(self.node.classes.numbers.values())), len(self.node.classes.numbers))
         self.assertEqual(now[self.node.classes.numbers["new"]].effect, Effect.NOT_IDEMPOTENT)
-        await self.until(lambda: "chat" not in self.node.classes.numbers, "the end of the dropped class")
-        late = await self.client(ASK)
+        await self.wait_until(lambda: "chat" not in self.node.classes.numbers, "the end of the dropped class")
+        late = await self.client(REQUEST)
         self.assertEqual(await late.line(), b"ERR")
         third = {**one, "name": "third"}
         self.reread(self.configured(settings=table | {"classes": [two, new, third], "limits": limits}))
@@ -146,7 +147,7 @@
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         client.transport.abortConnection()
-        await self.until(lambda: not len(self.node.engine.requests), "its end")
+        await self.wait_until(lambda: not len(self.node.engine.requests), "its end")
 
     def test_a_file_with_a_hole_or_a_figure_of_no_use_changes_nothing(self) -> None:
         self.discovery = Listener()
@@ -194,7 +195,7 @@
         for _ in range(2):
             before = len(log.read_text())
             program.send_signal(signal.SIGHUP)
-            await self.until(partial(self.logged, log, before), "the reload")
+            await self.wait_until(partial(self.logged, log, before), "the reload")
         program.send_signal(signal.SIGTERM)
-        await self.until(lambda: program.poll() is not None, "its end")
+        await self.wait_until(lambda: program.poll() is not None, "its end")
         self.assertEqual(program.returncode, 0)
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -6,10 +6,10 @@
 
 from puffindeck.core.clock import milliseconds
 from puffindeck.net import listening, logs
-from tests.support.node_story import Story
+from tests.support.node_test_case import NodeTestCase
 
 
-class ListeningStories(Story):
+class ListeningStories(NodeTestCase):
     """Strangers that come at full speed."""
 
     async def test_a_turn_takes_in_few_and_their_lines_are_few(self) -> None:
@@ -22,5 +22,5 @@
         ):
             for _ in range(logs.MAX_LINES + 5):
                 await (await self.client("HI")).line()
-            await self.until(lambda: written.warn.call_count > logs.MAX_LINES, "the count of the rest")
+            await self.wait_until(lambda: written.warn.call_count > logs.MAX_LINES, "the count of the rest")
         self.assertEqual(written.warn.call_args.kwargs["more"], 5)
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -5,10 +5,10 @@
 from functools import partial
 
 from puffindeck.interface import AttemptEnded, LatencyReported, Outcome
-from tests.support.node_story import Story
+from tests.support.node_test_case import NodeTestCase
 
 
-class RelayStories(Story):
+class RelayStories(NodeTestCase):
     """Clients that are served."""
 
     async def test_bytes_pass_unchanged_and_only_d_is_new(self) -> None:
@@ -16,7 +16,7 @@
         client = await self.client()
         for piece in (b"OPEN 9b1f 7f3a c=ch", b"at,d=1100,again=1,z=9\r", b"\n"):
             client.write(piece)
-        _, host = await self.host_of()
+        _, host = await self.accept_attempt()
         head = (await host.line()).decode()
         self.assertRegex(head, r"^OPEN 9b1f 7f3a c=chat,d=\d+,again=1,z=9$")
         self.assertLessEqual(int(head.split("d=")[1].split(",")[0]), 1100)
@@ -30,9 +30,9 @@
         self.assertEqual(len(await host.line()), 80000)
         for piece in (b"LO", b"AD 7.5\r\nno LOAD 9\r\n" + b"x" * 100 + b"\r", b"\nLOAD x\r\nBYE\r", b"\n"):
             host.write(piece)  # what a host tells is passed on too; here its figure is a message's delay
-            await self.until(partial(client.left, piece.rsplit(b"\n", 1)[-1]), "the piece")
+            await self.wait_until(partial(client.has_partial_line, piece.rsplit(b"\n", 1)[-1]), "the piece")
         host.transport.loseConnection()
         self.assertEqual([await client.line() for _ in range(5)][::2], [b"LOAD 7.5", b"x" * 100, b"BYE"])
-        self.assertEqual([e.latency_ms for e in self.ends(LatencyReported)], [7.5])
+        self.assertEqual([e.latency_ms for e in self.recorded_events(LatencyReported)], [7.5])
         self.assertEqual(await client.ended(), "ConnectionDone")
-        self.assertEqual(self.ends(AttemptEnded)[-1].outcome, Outcome.OK)
+        self.assertEqual(self.recorded_events(AttemptEnded)[-1].outcome, Outcome.OK)
--- a/tests/policy/test_balancer.py
+++ b/tests/policy/test_balancer.py
@@ -33,24 +33,24 @@
 from puffindeck.policy.context import DEFAULT_BOUND
 from puffindeck.policy.placement import MINIMUM_BOUND
 from puffindeck.policy.slow_start import FULL_LOAD_MULTIPLE
-from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed, sends
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived, sends
 
 
 def test_gateways_agree_on_homes_whatever_their_seed() -> None:
     one, two = Gateway(seed=1), Gateway(seed=2)
-    homes = [(one.ask(r, key=r * 7919), two.ask(r, key=r * 7919)) for r in range(1, 7)]
+    homes = [(one.submit(r, key=r * 7919), two.submit(r, key=r * 7919)) for r in range(1, 7)]
     assert all(a == b for a, b in homes)
     assert len({a for a, _ in homes}) > 2
 
 
 def test_a_server_that_goes_moves_only_its_own_keys() -> None:
     before = Gateway()
-    homes = {key: before.ask(key, key=key) for key in range(100, 103)}
+    homes = {key: before.submit(key, key=key) for key in range(100, 103)}
     after = Gateway(endpoints=0)
     lost = homes[100]
-    after.do(listed(*(entry(i) for i in range(1, 7) if i != lost)))
+    after.handle_events(list_update(*(entry(i) for i in range(1, 7) if i != lost)))
     for key, home in homes.items():
-        now = after.ask(key, key=key)
+        now = after.submit(key, key=key)
         assert now == home if home != lost else now != home
 
 
@@ -69,7 +69,7 @@
     placed = Counter(gateway.connect(r, group=77) for r in range(1000, 1040))
     assert len(placed) < 6
     fresh = Gateway()
-    assert fresh.ask(1, group=77) in placed
+    assert fresh.submit(1, group=77) in placed
 
 
 def test_near_empty_counts_keep_keys_at_home() -> None:
@@ -81,13 +81,13 @@
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o != Outcome.OK])
 def test_the_ledger_is_even_after_every_way_an_attempt_can_end(outcome: Outcome) -> None:
     gateway = Gateway()
-    gateway.ask(1, group=3)
-    gateway.end(1, outcome, final=True)
-    gateway.ask(2, group=3)
-    gateway.begin(2)
-    gateway.do(LoadReported(2, gateway.at[2], 900.0))
-    gateway.end(2, outcome, final=True)
-    gateway.end(2, outcome, final=True)  # told twice: nothing more
+    gateway.submit(1, group=3)
+    gateway.end_attempt(1, outcome, final=True)
+    gateway.submit(2, group=3)
+    gateway.establish(2)
+    gateway.handle_events(LoadReported(2, gateway.endpoint_of[2], 900.0))
+    gateway.end_attempt(2, outcome, final=True)
+    gateway.end_attempt(2, outcome, final=True)  # told twice: nothing more
     for endpoint in gateway.balancer.ready.values():
         assert endpoint.load == pytest.approx(0)
         assert not endpoint.connections
@@ -98,51 +98,53 @@
 
 def test_a_connection_open_at_the_start_counts_and_is_not_sent() -> None:
     gateway = Gateway()
-    assert not sends(gateway.do(ConnectionRestored(9, 3, 0, 0, 0.0, 0, 5)))
+    assert not sends(gateway.handle_events(ConnectionRestored(9, 3, 0, 0, 0.0, 0, 5)))
     assert gateway.balancer.endpoints[3].load > 0
-    gateway.do(AttemptEnded(9, Outcome.OK, 3, 0, True, 10.0))
+    gateway.handle_events(AttemptEnded(9, Outcome.OK, 3, 0, True, 10.0))
     assert gateway.balancer.endpoints[3].load == pytest.approx(0)
 
 
 def test_a_draining_server_gets_nothing_new() -> None:
     gateway = Gateway()
-    home = gateway.ask(1, key=42)
+    home = gateway.submit(1, key=42)
     assert home is not None
-    gateway.do(listed(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2))
-    assert gateway.ask(2, key=42) not in (home, None)
+    gateway.handle_events(
+        list_update(entry(home, EndpointStatus.DRAINING), kind=ListUpdateKind.CHANGES, version=2)
+    )
+    assert gateway.submit(2, key=42) not in (home, None)
 
 
 def test_a_stale_change_of_the_list_is_passed_over() -> None:
     gateway = Gateway()
-    gateway.do(listed(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
-    gateway.do(listed(entry(1), kind=ListUpdateKind.CHANGES, version=4))
+    gateway.handle_events(list_update(entry(1, EndpointStatus.GONE), kind=ListUpdateKind.CHANGES, version=5))
+    gateway.handle_events(list_update(entry(1), kind=ListUpdateKind.CHANGES, version=4))
     assert 1 not in gateway.balancer.ready
 
 
 def test_with_no_server_a_request_waits_and_goes_to_the_first_that_appears() -> None:
     gateway = Gateway(endpoints=0)
-    assert gateway.ask(1) is None
-    gateway.wait(500)
-    gateway.do(listed(entry(8)))
-    assert [s.endpoint for s in sends(gateway.wait(200))] == [8]
+    assert gateway.submit(1) is None
+    gateway.advance(500)
+    gateway.handle_events(list_update(entry(8)))
+    assert [s.endpoint for s in sends(gateway.advance(200))] == [8]
 
 
 def test_with_no_server_ever_it_is_answered_in_time() -> None:
     gateway = Gateway(endpoints=0)
-    gateway.ask(1)
-    answers = [a for a in gateway.wait(1200) if isinstance(a, (Reject, Fail))]
+    gateway.submit(1)
+    answers = [a for a in gateway.advance(1200) if isinstance(a, (Reject, Fail))]
     assert len(answers) == 1
 
 
 def test_a_wake_that_comes_a_hair_early_is_not_the_last() -> None:
     """Clocks round: a deadline slept through leaves a request without its answer."""
     gateway = Gateway(endpoints=0)
-    gateway.ask(1)
+    gateway.submit(1)
     for _ in range(100):
-        due, token = min(gateway.wakes)
-        gateway.wakes.remove((due, token))
+        due, token = min(gateway.pending_timers)
+        gateway.pending_timers.remove((due, token))
         gateway.now = max(gateway.now + 0.002, due - 0.0004)
-        gateway.do(TimerFired(token))
+        gateway.handle_events(TimerFired(token))
         if any(isinstance(a, (Reject, Fail)) for a in gateway.actions):
             break
     assert 2199 < gateway.now <= 2200 + SETTINGS.answer_slack_ms
@@ -156,15 +158,15 @@
         gateway.connect(1, key=number)
     young = [entry(i, started=1000.0) for i in (1, 2, 3)]
     for gateway in gateways:
-        gateway.do(listed(*young, kind=ListUpdateKind.CHANGES, version=2))
+        gateway.handle_events(list_update(*young, kind=ListUpdateKind.CHANGES, version=2))
     sent = 0
     for step in range(20):  # the first two seconds, in a storm of five returns a gateway
         for number, gateway in enumerate(gateways):
-            gateway.wait(100)
+            gateway.advance(100)
             if (number + step) % 4 == 0:
-                sent += gateway.ask(1000 + step, key=number * 31 + step) in (1, 2, 3)
-                if 1000 + step in gateway.at:
-                    gateway.end(1000 + step, Outcome.OK, final=True)
+                sent += gateway.submit(1000 + step, key=number * 31 + step) in (1, 2, 3)
+                if 1000 + step in gateway.endpoint_of:
+                    gateway.end_attempt(1000 + step, Outcome.OK, final=True)
     held, s = 40.0, SETTINGS
     warmth = s.slow_start_initial_fraction + (1 - s.slow_start_initial_fraction) * 2000 / s.slow_start_ms
     held_alike = (
@@ -199,25 +201,25 @@
     gateway = Gateway(endpoints=20)
     for request in range(1, 201):
         gateway.connect(request, group=1 + request % 10, load=1000.0)
-    gateway.wait(2000)
+    gateway.advance(2000)
     tried = set()
     for request in range(500, 560):
-        endpoint = gateway.ask(request, group=1)
+        endpoint = gateway.submit(request, group=1)
         if endpoint is not None:
             tried.add(endpoint)
             gateway.balancer.endpoints[endpoint].load_limit = 0.0
-            gateway.end(request, Outcome.FULL, final=True)
+            gateway.end_attempt(request, Outcome.FULL, final=True)
     assert len(tried) <= 6
-    assert any(isinstance(a, Reject) for a in gateway.wait(1300))
+    assert any(isinstance(a, Reject) for a in gateway.advance(1300))
 
 
 def test_a_list_that_fails_is_asked_for_again_within_the_limit() -> None:
     gateway = Gateway(replace(SETTINGS, must_watch_endpoints=True, watch_deadline_ms=4000))
     assert sum(isinstance(a, WatchEndpoints) for a in gateway.actions) == 1
     for _ in range(8):
-        gateway.do(listed(kind=ListUpdateKind.FAILED))
-        assert any(isinstance(a, WatchEndpoints) for a in gateway.wait(4000))
-    assert gateway.ask(1) is not None  # the list it had still serves
+        gateway.handle_events(list_update(kind=ListUpdateKind.FAILED))
+        assert any(isinstance(a, WatchEndpoints) for a in gateway.advance(4000))
+    assert gateway.submit(1) is not None  # the list it had still serves
 
 
 def test_a_silent_server_is_skipped_and_its_connections_are_moved() -> None:
@@ -225,76 +227,87 @@
     gateway = Gateway()
     for request in range(1, 61):
         gateway.connect(request, key=request)
-    home = gateway.at[1]
+    home = gateway.endpoint_of[1]
     held = len(gateway.balancer.endpoints[home].connections)
-    gateway.do(*(AttemptEnded(r, Outcome.OK, gateway.at[r], 0, True, 1) for r in range(41, 61)))
+    gateway.handle_events(
+        *(AttemptEnded(r, Outcome.OK, gateway.endpoint_of[r], 0, True, 1) for r in range(41, 61))
+    )
     request = 100
     while gateway.balancer.endpoints[home].connect_failures < 2 and request < 1000:
         request += 1
-        if gateway.ask(request, key=request) == home:
-            gateway.end(request, Outcome.CONNECT_FAILED)
-            assert gateway.at[request] != home
-            gateway.wait(1100)
-        if gateway.tries[request] and gateway.balancer.requests.get(request):
-            gateway.do(
-                AttemptEnded(request, Outcome.OK, gateway.at[request], gateway.tries[request] - 1, True, 1)
+        if gateway.submit(request, key=request) == home:
+            gateway.end_attempt(request, Outcome.CONNECT_FAILED)
+            assert gateway.endpoint_of[request] != home
+            gateway.advance(1100)
+        if gateway.attempt_counts[request] and gateway.balancer.requests.get(request):
+            gateway.handle_events(
+                AttemptEnded(
+                    request,
+                    Outcome.OK,
+                    gateway.endpoint_of[request],
+                    gateway.attempt_counts[request] - 1,
+                    True,
+                    1,
+                )
             )
-    gateway.wait(10000)
+    gateway.advance(10000)
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) >= held // 2
-    assert {gateway.at[a.request] for a in moved} == {home}
+    assert {gateway.endpoint_of[a.request] for a in moved} == {home}
 
 
 def test_a_burst_of_resets_means_the_server_is_gone() -> None:
     gateway = Gateway()
     for request in range(1, 61):
         gateway.connect(request, key=request)
-    home = gateway.at[1]
-    for request in [r for r, s in gateway.at.items() if s == home]:
-        gateway.end(request, Outcome.RESET, final=True)
-    assert all(gateway.ask(r, key=r) != home for r in range(100, 130))
+    home = gateway.endpoint_of[1]
+    for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
+        gateway.end_attempt(request, Outcome.RESET, final=True)
+    assert all(gateway.submit(r, key=r) != home for r in range(100, 130))
 
 
 def test_a_restarted_server_is_trusted_again() -> None:
     gateway = Gateway(replace(SETTINGS, slow_start_ms=0.0))
-    home = gateway.ask(1, key=42)
+    home = gateway.submit(1, key=42)
     assert home is not None
-    gateway.end(1, Outcome.CONNECT_FAILED)
-    assert gateway.ask(2, key=42) != home
-    gateway.do(listed(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
-    assert gateway.ask(3, key=42) == home
+    gateway.end_attempt(1, Outcome.CONNECT_FAILED)
+    assert gateway.submit(2, key=42) != home
+    gateway.handle_events(
+        list_update(entry(home, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2)
+    )
+    assert gateway.submit(3, key=42) == home
 
 
 def test_when_all_servers_fail_the_ring_still_serves() -> None:
     gateway = Gateway(endpoints=3)
     for request in range(1, 13):
-        gateway.ask(request, key=request)
-        gateway.end(request, Outcome.CONNECT_FAILED, final=True)
-    assert gateway.ask(50, key=50) is not None
+        gateway.submit(request, key=request)
+        gateway.end_attempt(request, Outcome.CONNECT_FAILED, final=True)
+    assert gateway.submit(50, key=50) is not None
 
 
 def test_set_ups_failing_everywhere_are_not_held_against_servers_and_do_not_storm() -> None:
     """A slow shared store: nobody is suspected for it, and fewer set-ups are let out at once."""
     gateway = Gateway()
     for request in range(1, 25):
-        gateway.ask(request, key=request * 31)
-    gateway.wait(300)
+        gateway.submit(request, key=request * 31)
+    gateway.advance(300)
     for request in range(1, 25):
-        gateway.end(request, Outcome.TIMEOUT, took=300.0)
+        gateway.end_attempt(request, Outcome.TIMEOUT, took=300.0)
     assert sum(s.is_avoided(gateway.now) for s in gateway.balancer.ready.values()) <= 3
     assert all(s.load_limit == float("inf") for s in gateway.balancer.ready.values())
     for request in range(100, 200):
-        gateway.ask(request, key=request)
+        gateway.submit(request, key=request)
     assert gateway.balancer.state.loads.pending_attempts < 50
 
 
 def test_tries_are_not_used_up_within_moments() -> None:
     gateway = Gateway()
-    gateway.ask(1)
+    gateway.submit(1)
     for _ in range(3):
         if gateway.balancer.requests[1].in_progress:
-            gateway.end(1, Outcome.ERROR)
-    assert gateway.tries[1] < 4
+            gateway.end_attempt(1, Outcome.ERROR)
+    assert gateway.attempt_counts[1] < 4
     assert gateway.balancer.requests[1].attempts < 4
 
 
@@ -302,30 +315,30 @@
     gateway = Gateway()
     for request in range(1, 121):
         gateway.connect(request, key=request, load=load)
-    gateway.wait(2000)
+    gateway.advance(2000)
     return gateway
 
 
 def test_a_slow_server_is_relieved_step_by_step_and_gets_less() -> None:
     gateway = filled()
-    home = gateway.at[1]
+    home = gateway.endpoint_of[1]
     before = len(gateway.balancer.endpoints[home].connections)
     moves = []
     for _ in range(3):
-        gateway.delay(home, 200)
-        moves += [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
+        gateway.report_latency(home, 200)
+        moves += [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
     assert 0 < len(moves) < before
-    assert {gateway.at[a.request] for a in moves} == {home}
-    assert all(gateway.ask(r, key=r) != home for r in range(500, 520))
+    assert {gateway.endpoint_of[a.request] for a in moves} == {home}
+    assert all(gateway.submit(r, key=r) != home for r in range(500, 520))
 
 
 def test_a_server_that_drains_what_piled_up_is_not_cut_again() -> None:
     gateway = filled()
-    home = gateway.at[1]
-    gateway.delay(home, 400)
+    home = gateway.endpoint_of[1]
+    gateway.report_latency(home, 400)
     ceiling = gateway.balancer.endpoints[home].load_limit
-    gateway.wait(1000)
-    gateway.delay(home, 200)
+    gateway.advance(1000)
+    gateway.report_latency(home, 200)
     assert gateway.balancer.endpoints[home].load_limit == ceiling
 
 
@@ -333,18 +346,18 @@
     """All servers drowning serve nobody: some must be turned away so that the rest are served."""
     gateway = filled()
     for endpoint in range(1, 7):
-        gateway.delay(endpoint, 500)
-    assert any(isinstance(a, Migrate) for a in gateway.wait(1000))
+        gateway.report_latency(endpoint, 500)
+    assert any(isinstance(a, Migrate) for a in gateway.advance(1000))
     for _ in range(4):
         for endpoint in range(1, 7):
-            gateway.delay(endpoint, 500)
-        gateway.wait(1000)
+            gateway.report_latency(endpoint, 500)
+        gateway.advance(1000)
     for request in range(1, 121):  # the moved ones leave
         if gateway.balancer.requests.get(request) and gateway.balancer.requests[request].answered:
-            gateway.end(request, Outcome.CANCELLED, final=True)
+            gateway.end_attempt(request, Outcome.CANCELLED, final=True)
     for request in range(1000, 1200):
-        gateway.ask(request, key=request)
-    refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]
+        gateway.submit(request, key=request)
+    refused = [a for a in gateway.advance(300) if isinstance(a, Reject)]
     assert refused
 
 
@@ -355,11 +368,11 @@
         gateway.connect(request, key=request, load=1.0)
     for _ in range(8):
         for endpoint in (1, 2):
-            gateway.delay(endpoint, 500)
-        gateway.wait(1000)
+            gateway.report_latency(endpoint, 500)
+        gateway.advance(1000)
     for request in range(1000, 1020):
-        gateway.ask(request, key=request)
-    refused = [a for a in gateway.wait(300) if isinstance(a, Reject)]  # their time would be up at 1200
+        gateway.submit(request, key=request)
+    refused = [a for a in gateway.advance(300) if isinstance(a, Reject)]  # their time would be up at 1200
     assert len(refused) > 2
     assert all(min(longest, 500) <= a.retry_after_ms <= longest for a in refused)
     assert longest != 1500 or len({a.retry_after_ms for a in refused}) == len(
@@ -370,24 +383,24 @@
 def test_gateways_do_not_all_fill_an_empty_server_under_its_ceiling() -> None:
     """Nine gateways that each round up to a whole connection would push a strained server over again."""
     gateway = filled()
-    home = gateway.at[1]
-    for request in [r for r, s in gateway.at.items() if s == home]:
-        gateway.end(request, Outcome.OK, final=True)
+    home = gateway.endpoint_of[1]
+    for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
+        gateway.end_attempt(request, Outcome.OK, final=True)
     endpoint = gateway.balancer.endpoints[home]
     endpoint.load_limit = 0.25 * gateway.balancer.state.loads.mean_load
     entered = 0
     for request in range(500, 700):
-        if gateway.ask(request, key=request) == home:
+        if gateway.submit(request, key=request) == home:
             entered += 1
-        if request in gateway.at:
-            gateway.end(request, Outcome.OK, final=True)
+        if request in gateway.endpoint_of:
+            gateway.end_attempt(request, Outcome.OK, final=True)
     gateway.balancer.endpoints[home].load_limit = float("inf")
     open_to_all = 0
     for request in range(700, 900):
-        if gateway.ask(request, key=request - 200) == home:
+        if gateway.submit(request, key=request - 200) == home:
             open_to_all += 1
-        if request in gateway.at:
-            gateway.end(request, Outcome.OK, final=True)
+        if request in gateway.endpoint_of:
+            gateway.end_attempt(request, Outcome.OK, final=True)
     assert 0 < entered < 0.6 * open_to_all
 
 
@@ -396,66 +409,66 @@
     for request in range(1, 21):
         gateway.connect(request, group=1, load=1000.0)
     gateway.connect(21, group=2, load=1000.0)
-    gateway.wait(2000)
-    gateway.delay(1, 300)
-    moves = [a for a in gateway.wait(1000) if isinstance(a, Migrate)]
+    gateway.advance(2000)
+    gateway.report_latency(1, 300)
+    moves = [a for a in gateway.advance(1000) if isinstance(a, Migrate)]
     assert moves
     assert moves[0].request == 21
 
 
 def test_a_server_that_turns_all_away_at_once_does_not_look_idle() -> None:
     gateway = filled()
-    home = gateway.at[1]
-    for request in [r for r, s in gateway.at.items() if s == home]:
-        gateway.end(request, Outcome.OK, final=True)
+    home = gateway.endpoint_of[1]
+    for request in [r for r, s in gateway.endpoint_of.items() if s == home]:
+        gateway.end_attempt(request, Outcome.OK, final=True)
     sent = 0
     for request in range(500, 560):
-        gateway.wait(1000)
-        if gateway.ask(request, key=request) == home:
+        gateway.advance(1000)
+        if gateway.submit(request, key=request) == home:
             sent += 1
-            gateway.end(request, Outcome.FULL)
+            gateway.end_attempt(request, Outcome.FULL)
     assert sent < 30
 
 
 def test_a_cold_server_is_let_in_slowly_even_in_a_storm() -> None:
     gateway = filled()
-    gateway.do(listed(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
+    gateway.handle_events(list_update(entry(9, started=gateway.now), kind=ListUpdateKind.CHANGES, version=2))
     for request in range(1000, 1100):
-        gateway.ask(request, key=request)
-        gateway.wait(10)
-    assert sum(gateway.at.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL_LOAD_MULTIPLE
+        gateway.submit(request, key=request)
+        gateway.advance(10)
+    assert sum(gateway.endpoint_of.get(r) == 9 for r in range(1000, 1100)) <= 3 * FULL_LOAD_MULTIPLE
     for request in range(2000, 2400):
-        gateway.ask(request, key=request)
-        gateway.wait(50)
-    assert sum(gateway.at.get(r) == 9 for r in range(2000, 2400)) > 5
+        gateway.submit(request, key=request)
+        gateway.advance(50)
+    assert sum(gateway.endpoint_of.get(r) == 9 for r in range(2000, 2400)) > 5
 
 
 def test_home_zone_first_where_crossing_costs_and_abroad_when_home_is_strained() -> None:
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.05), endpoints=0)
-    gateway.do(listed(*(entry(i, zone=i % 2) for i in range(1, 7))))
+    gateway.handle_events(list_update(*(entry(i, zone=i % 2) for i in range(1, 7))))
     assert all(gateway.connect(r, key=r, load=1000.0) % 2 == 0 for r in range(1, 31))
-    gateway.wait(2000)
+    gateway.advance(2000)
     for endpoint in (2, 4, 6):
-        gateway.delay(endpoint, 500)
-    gateway.wait(1000)
-    assert any((gateway.ask(r, key=r) or 0) % 2 for r in range(100, 140))
+        gateway.report_latency(endpoint, 500)
+    gateway.advance(1000)
+    assert any((gateway.submit(r, key=r) or 0) % 2 for r in range(100, 140))
 
 
 def test_a_tenant_over_its_share_is_turned_away_first_when_servers_are_full() -> None:
     gateway = Gateway(replace(SETTINGS, tenant_connection_quotas=(2.0,)), endpoints=1)
     for request in range(1, 10):
         gateway.connect(request, group=1, load=1000.0)  # while there is room nobody is turned away
-    gateway.wait(2000)
-    gateway.delay(1, 500)
-    gateway.do(asked(50))
-    assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.wait(300))
+    gateway.advance(2000)
+    gateway.report_latency(1, 500)
+    gateway.handle_events(request_arrived(50))
+    assert any(isinstance(a, Reject) and a.request == 50 for a in gateway.advance(300))
 
 
 def test_events_of_what_is_unknown_or_over_change_nothing() -> None:
     gateway = Gateway()
-    gateway.ask(1)
-    gateway.end(1, Outcome.ERROR, final=True)
-    gateway.do(
+    gateway.submit(1)
+    gateway.end_attempt(1, Outcome.ERROR, final=True)
+    gateway.handle_events(
         ClientDisconnected(1),
         TimerFired(0),
         AttemptEstablished(1, 2, 5.0, 0),
@@ -470,11 +483,13 @@
     gateway = Gateway()
     for round_ in range(200):
         endpoint = 100 + round_
-        gateway.do(listed(*(entry(i) for i in range(1, 6)), entry(endpoint), version=round_ + 2))
+        gateway.handle_events(
+            list_update(*(entry(i) for i in range(1, 6)), entry(endpoint), version=round_ + 2)
+        )
         for request in range(round_ * 20 + 1, round_ * 20 + 21):
             gateway.connect(request, group=request, key=request)
-            gateway.end(request, Outcome.OK, final=True)
-        gateway.wait(1500)
+            gateway.end_attempt(request, Outcome.OK, final=True)
+        gateway.advance(1500)
     balancer = gateway.balancer
     assert len(balancer.endpoints) <= 7
     assert len(balancer.state.timers) < 60
@@ -510,21 +525,21 @@
     for outcome in (Outcome.ERROR, Outcome.RESET):
         for request in range(1, 9):
             number = request + 100 * outcome
-            gateway.ask(number, key=request)
+            gateway.submit(number, key=request)
             for _ in range(4):
-                gateway.end(number, outcome)
-                gateway.wait(200)
+                gateway.end_attempt(number, outcome)
+                gateway.advance(200)
     assert not gateway.balancer.outliers.failing
 
 
 def test_a_server_that_fails_what_others_serve_is_left_out() -> None:
     gateway = Gateway(endpoints=4)
-    first = gateway.ask(1, key=7)
+    first = gateway.submit(1, key=7)
     assert first is not None
-    gateway.end(1, Outcome.RESET)
+    gateway.end_attempt(1, Outcome.RESET)
     assert not gateway.balancer.outliers.failing
-    assert gateway.at[1] != first
-    gateway.begin(1)
+    assert gateway.endpoint_of[1] != first
+    gateway.establish(1)
     assert list(gateway.balancer.outliers.failing) == [first]
 
 
@@ -533,11 +548,11 @@
     gateway = Gateway(endpoints=4)
     for request in range(1, 40):
         gateway.connect(request)
-    endpoint = gateway.ask(50, key=7)
+    endpoint = gateway.submit(50, key=7)
     assert endpoint is not None
-    gateway.do(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
+    gateway.handle_events(AttemptEnded(50, Outcome.TIMEOUT, endpoint, 0, False, 1.0))
     assert not gateway.balancer.outliers.failing
-    gateway.end(50, Outcome.TIMEOUT, took=300.0)
+    gateway.end_attempt(50, Outcome.TIMEOUT, took=300.0)
     assert len(gateway.balancer.outliers.failing) == 1
 
 
@@ -546,30 +561,30 @@
     gateway = Gateway(endpoints=6)
     for request in range(200, 280):
         gateway.connect(request, key=request)
-    gateway.at.clear()
+    gateway.endpoint_of.clear()
     for request in range(1, 13):
         gateway.connect(request, group=9)
-    strained = set(gateway.at.values())
+    strained = set(gateway.endpoint_of.values())
     for endpoint in strained:
-        gateway.delay(endpoint, 400)
+        gateway.report_latency(endpoint, 400)
     asked_at, request = gateway.now, 100
-    while gateway.ask(request, group=9) in strained | {None} and gateway.now < asked_at + 5000:
-        gateway.wait(250)
+    while gateway.submit(request, group=9) in strained | {None} and gateway.now < asked_at + 5000:
+        gateway.advance(250)
         for endpoint in strained:
             if gateway.balancer.endpoints[endpoint].connections:
-                gateway.delay(endpoint, 400)
+                gateway.report_latency(endpoint, 400)
         request += 1
-    assert gateway.at.get(request) not in strained | {None}
+    assert gateway.endpoint_of.get(request) not in strained | {None}
     assert gateway.now - asked_at <= 500
 
 
 def test_a_small_home_zone_is_not_filled_beyond_the_fleets_mean() -> None:
     """One server at home, four elsewhere: the other gateway's clients can't fill those four alone."""
     gateway = Gateway(replace(SETTINGS, cross_zone_cost=0.01), endpoints=0)
-    gateway.do(listed(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
+    gateway.handle_events(list_update(entry(1, zone=0), *(entry(i, zone=1) for i in range(2, 6))))
     for request in range(1, 61):
         gateway.connect(request, key=request)
-    home = sum(endpoint == 1 for endpoint in gateway.at.values())
+    home = sum(endpoint == 1 for endpoint in gateway.endpoint_of.values())
     assert 15 <= home <= 40  # 60 of 120 on one of five would be two and a half times the mean
 
 
@@ -579,9 +594,9 @@
         gateway = Gateway(endpoints=3, seed=seed)
         for request in range(1, 31):
             gateway.connect(request, key=request)
-        gateway.wait(5000)
-        gateway.delay(gateway.at[1], 400)
-        assert [a for a in gateway.wait(250) if isinstance(a, Migrate)]
+        gateway.advance(5000)
+        gateway.report_latency(gateway.endpoint_of[1], 400)
+        assert [a for a in gateway.advance(250) if isinstance(a, Migrate)]
 
 
 def test_a_server_is_held_back_before_its_messages_are_late() -> None:
@@ -589,11 +604,11 @@
     gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
-    endpoint = gateway.balancer.endpoints[gateway.at[1]]
-    gateway.delay(endpoint.id, 0.4 * gateway.balancer.context.message_latency_objective_ms)
+    endpoint = gateway.balancer.endpoints[gateway.endpoint_of[1]]
+    gateway.report_latency(endpoint.id, 0.4 * gateway.balancer.context.message_latency_objective_ms)
     assert endpoint.load_limit < endpoint.load
     other = gateway.balancer.endpoints[next(s for s in (1, 2, 3) if s != endpoint.id)]
-    gateway.delay(other.id, 0.3 * gateway.balancer.context.message_latency_objective_ms)
+    gateway.report_latency(other.id, 0.3 * gateway.balancer.context.message_latency_objective_ms)
     assert other.load_limit == float("inf")
 
 
@@ -601,18 +616,18 @@
     gateway = Gateway(endpoints=3)
     for request in range(1, 31):
         gateway.connect(request, key=request)
-    out = gateway.at[1]
-    standing = {r for r, endpoint in gateway.at.items() if endpoint == out}
-    late = next(r for r in range(31, 99) if gateway.ask(r, key=r) == out)
+    out = gateway.endpoint_of[1]
+    standing = {r for r, endpoint in gateway.endpoint_of.items() if endpoint == out}
+    late = next(r for r in range(31, 99) if gateway.submit(r, key=r) == out)
     for _ in range(2):
-        gateway.do(EndpointDetached(out))
-    gateway.begin(late)  # its attempt was under way
+        gateway.handle_events(EndpointDetached(out))
+    gateway.establish(late)  # its attempt was under way
     moved = [a for a in gateway.actions if isinstance(a, Migrate)]
     assert len(moved) < len(standing)
-    gateway.do(listed(*(entry(i) for i in (1, 2, 3)), version=2))
-    gateway.wait(1300)
+    gateway.handle_events(list_update(*(entry(i) for i in (1, 2, 3)), version=2))
+    gateway.advance(1300)
     assert {a.request for a in gateway.actions if isinstance(a, Migrate)} == standing | {late}
-    assert out not in {gateway.ask(r, key=r) for r in range(100, 140)}
+    assert out not in {gateway.submit(r, key=r) for r in range(100, 140)}
 
 
 def test_a_server_put_back_is_cold_and_gets_the_next_connection_that_it_may() -> None:
@@ -620,44 +635,48 @@
         gateway = Gateway(endpoints=3)
         for request in range(1, 31):
             gateway.connect(request, key=request)
-        gateway.wait(600)
-        gateway.do(EndpointDetached(1))
-        gateway.wait(2000)
-        gateway.do(listed(entry(1, started=told), entry(2), entry(3), version=2))
-        gateway.do(EndpointAttached(1))
+        gateway.advance(600)
+        gateway.handle_events(EndpointDetached(1))
+        gateway.advance(2000)
+        gateway.handle_events(list_update(entry(1, started=told), entry(2), entry(3), version=2))
+        gateway.handle_events(EndpointAttached(1))
         endpoint = gateway.balancer.endpoints[1]
         assert endpoint.started_ms == (told or gateway.now)
         assert gateway.balancer.state.capacities.warmth(endpoint) < 0.5
-        first = next(r for r in range(100, 130) if gateway.ask(r, key=r) == 1 or gateway.wait(100) is None)
-        gateway.begin(first)
+        first = next(
+            r for r in range(100, 130) if gateway.submit(r, key=r) == 1 or gateway.advance(100) is None
+        )
+        gateway.establish(first)
         assert first < 120
         assert not gateway.balancer.state.slow_start.reattached_ms
         before = len(sends(gateway.actions))
         for request in range(200, 230):  # all at once: rule 4 holds for it as for any cold one
-            gateway.ask(request, key=request)
+            gateway.submit(request, key=request)
         assert sum(s.endpoint == 1 for s in sends(gateway.actions)[before:]) <= 2
 
 
 def test_retuning_leaves_open_requests_their_rules_and_attempts() -> None:
     gateway = Gateway(endpoints=3)
-    gateway.ask(1, key=1)
+    gateway.submit(1, key=1)
     strict = replace(SETTINGS.classes[0], name="strict", deadline_ms=200)
-    gateway.do(SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1)))
-    gateway.end(1, Outcome.CONNECT_FAILED)
-    assert gateway.tries[1] == 2
-    gateway.ask(2, key=2, cls=1)
-    assert [a for a in gateway.end(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
+    gateway.handle_events(
+        SettingsChanged(replace(SETTINGS, classes=(SETTINGS.classes[0], strict), max_attempts=1))
+    )
+    gateway.end_attempt(1, Outcome.CONNECT_FAILED)
+    assert gateway.attempt_counts[1] == 2
+    gateway.submit(2, key=2, cls=1)
+    assert [a for a in gateway.end_attempt(2, Outcome.CONNECT_FAILED) if isinstance(a, Reject)]
 
 
 def test_what_the_process_before_saw_of_a_server_holds() -> None:
     before, after = Gateway(endpoints=3), Gateway(endpoints=3)
     for request in range(1, 31):
         before.connect(request, group=7)
-    strained = before.at[1]
-    before.delay(strained, 900)
+    strained = before.endpoint_of[1]
+    before.report_latency(strained, 900)
     for endpoint, ceiling in before.balancer.load_limits().items():
-        after.do(LoadLimitRestored(endpoint, ceiling))
+        after.handle_events(LoadLimitRestored(endpoint, ceiling))
     for request in range(1, 31):
-        after.ask(request, group=7)
+        after.submit(request, group=7)
     held = after.balancer.endpoints[strained]
     assert held.load <= held.load_limit == before.balancer.endpoints[strained].load_limit
--- a/tests/policy/test_many_gateways.py
+++ b/tests/policy/test_many_gateways.py
@@ -10,7 +10,7 @@
 
 from puffindeck.interface import LoadReported
 from puffindeck.policy.group_plan import PLAN_LIFETIME_MS, PLANNED_GROUPS
-from tests.support.gateway import SETTINGS, Gateway, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update
 
 ZONES = 4
 
@@ -20,7 +20,7 @@
     settings = replace(SETTINGS, gateways=gateways, cross_zone_cost=0.0067)
     made = [Gateway(replace(settings, zone=g % ZONES), endpoints=0, seed=g) for g in range(gateways)]
     for gateway in made:
-        gateway.do(listed(*(entry(s, zone=s % ZONES) for s in range(1, endpoints + 1))))
+        gateway.handle_events(list_update(*(entry(s, zone=s % ZONES) for s in range(1, endpoints + 1))))
     return made
 
 
@@ -49,7 +49,7 @@
         zone = gateway.balancer.context.settings.zone
         for key in range(1, 6):
             endpoint = gateway.connect(key, key=key + 100 * zone)
-            gateway.do(LoadReported(key, endpoint, 1.0))
+            gateway.handle_events(LoadReported(key, endpoint, 1.0))
             assert endpoint % ZONES == zone
 
 
@@ -79,9 +79,9 @@
         gateway.connect(number, group=number % PLANNED_GROUPS + 1, key=number)
     gateway.connect(1000, group=5000)
     made = gateway.balancer.plan.made_ms
-    gateway.wait(PLAN_LIFETIME_MS / 2)
+    gateway.advance(PLAN_LIFETIME_MS / 2)
     gateway.connect(1001, group=5000)
     assert gateway.balancer.plan.made_ms == made
-    gateway.wait(PLAN_LIFETIME_MS)
+    gateway.advance(PLAN_LIFETIME_MS)
     gateway.connect(1002, group=5000)
     assert gateway.balancer.plan.made_ms > made
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -6,7 +6,7 @@
 
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Send
 from puffindeck.policy.slow_start import FULL_LOAD_MULTIPLE
-from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived
 
 COLD = replace(
     SETTINGS,
@@ -22,19 +22,19 @@
     """Every server is replaced: its connections end, and it comes back cold."""
     for request in range(1, standing + 1):
         gateway.connect(request, key=request)
-    gateway.wait(5000)
-    gateway.do(
-        listed(
+    gateway.advance(5000)
+    gateway.handle_events(
+        list_update(
             *(replace(entry(i), state=EndpointStatus.DRAINING) for i in range(1, 6)),
             kind=ListUpdateKind.CHANGES,
             version=2,
         )
     )
     for request in range(1, standing + 1):
-        gateway.end(request, Outcome.CANCELLED, final=True)
-    gateway.wait(1000)
+        gateway.end_attempt(request, Outcome.CANCELLED, final=True)
+    gateway.advance(1000)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
-    gateway.do(listed(*fresh, kind=ListUpdateKind.FULL, version=3))
+    gateway.handle_events(list_update(*fresh, kind=ListUpdateKind.FULL, version=3))
 
 
 def placed(gateway: Gateway, clients: int, rounds: int) -> int:
@@ -43,12 +43,12 @@
     for begun in range(1000, 1000 * (rounds + 1), 1000):
         asking = range(begun, begun + clients - served)
         for request in asking:
-            gateway.ask(request, key=request)
+            gateway.submit(request, key=request)
         for _ in range(28):  # their deadline and a little
-            gateway.wait(50)
+            gateway.advance(50)
             for request in asking:
-                if request in gateway.at and not gateway.balancer.requests[request].established:
-                    gateway.begin(request)
+                if request in gateway.endpoint_of and not gateway.balancer.requests[request].established:
+                    gateway.establish(request)
                     served += 1
     return served
 
@@ -63,7 +63,7 @@
 def test_a_gateway_that_starts_while_all_are_cold_serves_those_that_wait() -> None:
     gateway = Gateway(COLD, endpoints=0)
     fresh = [replace(entry(i), started_ms=gateway.now) for i in range(11, 16)]
-    gateway.do(listed(*fresh))
+    gateway.handle_events(list_update(*fresh))
     assert placed(gateway, 46, rounds=12) >= 30
 
 
@@ -73,9 +73,11 @@
     gateway = Gateway(replace(COLD, gateways=20, classes=(slow,)), endpoints=5)
     for request in range(1, 21):
         gateway.connect(request, key=request)
-    gateway.do(listed(*(replace(entry(i), started_ms=gateway.now) for i in range(1, 6)), version=2))
+    gateway.handle_events(
+        list_update(*(replace(entry(i), started_ms=gateway.now) for i in range(1, 6)), version=2)
+    )
     for request in range(100, 140):
-        gateway.do(asked(request, key=request, left=60000))
+        gateway.handle_events(request_arrived(request, key=request, remaining_ms=60000))
     held = 60 / 5  # those that wait need a place too
     for second in range(10):
         warmth = (
@@ -85,12 +87,12 @@
         part = (
             5 * FULL_LOAD_MULTIPLE * held * COLD.slow_start_load_multiple * warmth * 1000 / COLD.slow_start_ms
         )
-        assert sum(isinstance(action, Send) for action in gateway.wait(1000)) <= part + 2, second
+        assert sum(isinstance(action, Send) for action in gateway.advance(1000)) <= part + 2, second
 
 
 def test_what_stood_long_ago_counts_for_little() -> None:
     gateway = Gateway(COLD, endpoints=5)
     released(gateway, 46)
     before = gateway.balancer.state.capacities.mean_connections
-    gateway.wait(3 * COLD.slow_start_ms)
+    gateway.advance(3 * COLD.slow_start_ms)
     assert gateway.balancer.state.capacities.mean_connections < 0.06 * before
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -16,7 +16,7 @@
 from puffindeck.config.client_config import load_client_config
 from puffindeck.interface import EndpointStatus, ListUpdateKind, Outcome, Reject
 from puffindeck.routing import Condition, Pool, Route, RouteTable, Routing
-from tests.support.gateway import SETTINGS, Gateway, asked, entry, listed
+from tests.support.gateway import SETTINGS, Gateway, entry, list_update, request_arrived
 from tests.support.rpc_world import Stub, World, client_config, decisions, key_metadata, wait_until
 
 RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
@@ -30,7 +30,7 @@
 
 def test_clients_agree_on_homes_within_the_tier_that_serves() -> None:
     homes = [
-        [member(seed, replace(POOL, server_limits={})).ask(1, key=key) for key in range(1, 60)]
+        [member(seed, replace(POOL, server_limits={})).submit(1, key=key) for key in range(1, 60)]
         for seed in (1, 2)
     ]
     assert homes[0] == homes[1]
@@ -46,19 +46,19 @@
 
 def test_the_backups_serve_a_client_whose_primaries_are_gone_and_the_attempts_count_on() -> None:
     one = member(1, Pool("main", (("1",), ("4",))))
-    assert one.ask(1, key=1) == 1
-    one.end(1, Outcome.CONNECT_FAILED)
-    assert one.at[1] == 4
-    one.begin(1)
-    one.do(
-        listed(
+    assert one.submit(1, key=1) == 1
+    one.end_attempt(1, Outcome.CONNECT_FAILED)
+    assert one.endpoint_of[1] == 4
+    one.establish(1)
+    one.handle_events(
+        list_update(
             entry(1, EndpointStatus.GONE),
             entry(4, EndpointStatus.GONE),
             kind=ListUpdateKind.CHANGES,
             version=2,
         )
     )
-    assert [type(a) for a in one.do(asked(2)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in one.handle_events(request_arrived(2)) if isinstance(a, Reject)] == [Reject]
 
 
 def test_what_a_client_knows_of_the_roster_is_known_over_all_pools() -> None:
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -69,14 +69,16 @@
     return EndpointEntry(endpoint, zone, 0, cell, state, 1.0, started)
 
 
-def listed(
+def list_update(
     *entries: EndpointEntry, kind: ListUpdateKind = ListUpdateKind.FULL, version: int = 1
 ) -> EndpointListUpdated:
     return EndpointListUpdated(kind, version, list(entries))
 
 
-def asked(request: int, *, group: int = 0, key: int = 0, left: float = 1200, cls: int = 0) -> RequestArrived:
-    return RequestArrived(request, cls, 0, key, left, 0.0, group)
+def request_arrived(
+    request: int, *, group: int = 0, key: int = 0, remaining_ms: float = 1200, cls: int = 0
+) -> RequestArrived:
+    return RequestArrived(request, cls, 0, key, remaining_ms, 0.0, group)
 
 
 def sends(actions: list[Action]) -> list[Send]:
@@ -91,58 +93,66 @@
     ) -> None:
         self.balancer = balancer or Balancer(settings, seed)
         self.now = 1000.0
-        self.wakes: list[tuple[float, int]] = []
+        self.pending_timers: list[tuple[float, int]] = []
         self.actions: list[Action] = []
-        self.at: dict[int, int] = {}  # request -> server of its last send
-        self.tries: dict[int, int] = {}
+        self.endpoint_of: dict[int, int] = {}  # request -> server of its last send
+        self.attempt_counts: dict[int, int] = {}
         if endpoints:
-            self.do(listed(*(entry(i) for i in range(1, endpoints + 1))))
+            self.handle_events(list_update(*(entry(i) for i in range(1, endpoints + 1))))
 
-    def do(self, *events: Event) -> list[Action]:
+    def handle_events(self, *events: Event) -> list[Action]:
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, ScheduleTimer):
-                self.wakes.append((self.now + action.delay_ms, action.token))
+                self.pending_timers.append((self.now + action.delay_ms, action.token))
             elif isinstance(action, Send):
-                self.at[action.request] = action.endpoint
-                self.tries[action.request] = self.tries.get(action.request, 0) + 1
+                self.endpoint_of[action.request] = action.endpoint
+                self.attempt_counts[action.request] = self.attempt_counts.get(action.request, 0) + 1
         self.actions += actions
         return actions
 
-    def wait(self, ms: float) -> list[Action]:
+    def advance(self, ms: float) -> list[Action]:
         """Let time pass; what was done meanwhile."""
         until, done = self.now + ms, len(self.actions)
-        while due := [w for w in self.wakes if w[0] <= until]:
+        while due := [w for w in self.pending_timers if w[0] <= until]:
             first = min(due)
-            self.wakes.remove(first)
+            self.pending_timers.remove(first)
             self.now = max(self.now, first[0])
-            self.do(TimerFired(first[1]))
+            self.handle_events(TimerFired(first[1]))
         self.now = until
         return self.actions[done:]
 
-    def ask(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
+    def submit(self, request: int, *, group: int = 0, key: int = 0, cls: int = 0) -> int | None:
         """A new request; the server it was sent to."""
-        self.do(asked(request, group=group, key=key, cls=cls))
-        return self.at.get(request)
+        self.handle_events(request_arrived(request, group=group, key=key, cls=cls))
+        return self.endpoint_of.get(request)
 
-    def begin(self, request: int, took: float = 20.0) -> None:
-        self.do(AttemptEstablished(request, self.at[request], took, self.tries[request] - 1))
+    def establish(self, request: int, took: float = 20.0) -> None:
+        self.handle_events(
+            AttemptEstablished(request, self.endpoint_of[request], took, self.attempt_counts[request] - 1)
+        )
 
     def connect(self, request: int, *, group: int = 0, key: int = 0, load: float = 0.0) -> int:
         """A connection that stands, with its load told."""
-        endpoint = self.ask(request, group=group, key=key)
+        endpoint = self.submit(request, group=group, key=key)
         assert endpoint is not None
-        self.begin(request)
+        self.establish(request)
         if load:
-            self.do(LoadReported(request, endpoint, load))
+            self.handle_events(LoadReported(request, endpoint, load))
         return endpoint
 
-    def end(self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0) -> list[Action]:
-        return self.do(AttemptEnded(request, outcome, self.at[request], self.tries[request] - 1, final, took))
+    def end_attempt(
+        self, request: int, outcome: Outcome, *, final: bool = False, took: float = 50.0
+    ) -> list[Action]:
+        return self.handle_events(
+            AttemptEnded(
+                request, outcome, self.endpoint_of[request], self.attempt_counts[request] - 1, final, took
+            )
+        )
 
-    def delay(self, endpoint: int, ms: float) -> list[Action]:
+    def report_latency(self, endpoint: int, ms: float) -> list[Action]:
         held = next(iter(self.balancer.endpoints[endpoint].connections), 0)
-        return self.do(LatencyReported(held, endpoint, ms))
+        return self.handle_events(LatencyReported(held, endpoint, ms))
 
 
 @dataclass
@@ -185,7 +195,7 @@
         self.version = 1
         for i in range(1, 6):
             self.endpoints[i] = entry(i, zone=i % 2, cell=i % 3)
-        self.deliver([listed(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
+        self.deliver([list_update(*self.endpoints.values(), kind=ListUpdateKind.CACHED)])
 
     def deliver(self, events: list[Event]) -> None:
         for action in self.balancer.handle(self.now, events):
@@ -354,7 +364,10 @@
         request, self.next_id = self.next_id, self.next_id + 1
         self.records[request] = RequestRecord(rules, self.now + left)
         group = self.random.randrange(4)
-        return replace(asked(request, group=group, left=left, cls=cls), mid_flow=self.random.random() < 0.1)
+        return replace(
+            request_arrived(request, group=group, remaining_ms=left, cls=cls),
+            mid_flow=self.random.random() < 0.1,
+        )
 
     def list_change(self) -> list[Event]:
         random, self.version = self.random, self.version + 1
@@ -372,7 +385,7 @@
             self.unready_since[endpoint] = self.now
         self.unready_since.setdefault(endpoint, self.now)
         self.endpoints[endpoint] = new
-        return [listed(new, kind=ListUpdateKind.CHANGES, version=self.version)]
+        return [list_update(new, kind=ListUpdateKind.CHANGES, version=self.version)]
 
     def check_deadlines(self) -> None:
         for request, record in self.records.items():
--- a/tests/support/node_story.py
+++ b/tests/support/node_test_case.py
@@ -21,7 +21,7 @@
 from tests.support.gateway import SETTINGS as WORLD
 
 reactor: Any = default_reactor
-ASK = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
+REQUEST = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,d=1100,g=5c0f6e1a2b3d4c59"
 SETTINGS: Settings = replace(
     WORLD,
     classes=(ClassSettings(300, 1200, message_latency_objective_ms=60, name="chat"),),
@@ -36,7 +36,7 @@
 )
 
 
-def deferred(why: str) -> Deferred[Any]:
+def deferred_with_timeout(why: str) -> Deferred[Any]:
     """Something to happen within 5 s; a story that waits in vain fails with the reason."""
     waited: Deferred[Any] = Deferred()
     waited.addTimeout(5, reactor, onTimeoutCancel=lambda _, __: (_ for _ in ()).throw(AssertionError(why)))
@@ -72,7 +72,7 @@
         for waiting in self._ended:
             waiting.callback(self.end)
 
-    def left(self, text: bytes) -> bool:
+    def has_partial_line(self, text: bytes) -> bool:
         """Is this what came after the last whole line?"""
         return self.buffer == text
 
@@ -82,7 +82,7 @@
 
     def ended(self) -> Deferred[Any]:
         """Wait for the end; the name of the error that ended the connection."""
-        waiting = deferred("the connection did not end")
+        waiting = deferred_with_timeout("the connection did not end")
         if self.end is not None:
             waiting.callback(self.end)
         else:
@@ -121,14 +121,14 @@
         return self.accepted.get().addTimeout(5, reactor)
 
 
-class Dial(ClientFactory):
+class PeerFactory(ClientFactory):
     """A client's way in."""
 
     noisy = False
 
     def __init__(self) -> None:
         self.peer = Peer()
-        self.up = deferred("no connection")
+        self.up = deferred_with_timeout("no connection")
 
     def buildProtocol(self, addr: object) -> Peer:
         """Make the connection's protocol (Twisted's hook)."""
@@ -136,27 +136,27 @@
         return self.peer
 
 
-class Story(TestCase):
+class NodeTestCase(TestCase):
     """A node with hosts and discovery round it, all closed at the end."""
 
-    asked = 0
+    request_count = 0
 
     def build(self, hosts: int = 2, **settings: Any) -> None:
         """Start a node with hosts and discovery; `settings` replace the usual ones."""
         self.hosts = {f"h{i}": Listener() for i in range(hosts)}
         self.discovery = Listener()
-        self.told: list[Event] = []
+        self.events: list[Event] = []
         known = EndpointList(1, True, [self.target(uid) for uid in self.hosts])
         host, port = self.discovery.address.split(":")
         told = NodeConfig(
             "n0", ("127.0.0.1", 0), (host, int(port)), 7, 1024, known, replace(SETTINGS, **settings)
         )
-        self.node = NetNode(reactor, self.changed(told), Clock())
+        self.node = NetNode(reactor, self.adjust_config(told), Clock())
         decide = self.node.engine.balancer.handle
 
         def spy(now: float, events: Any) -> Any:
             events = list(events)
-            self.told += events
+            self.events += events
             return decide(now, events)
 
         self.patch(self.node.engine.balancer, "handle", spy)
@@ -175,7 +175,7 @@
         assert self.node.lifecycle.shutdown is not None
         return self.node.lifecycle.shutdown
 
-    def changed(self, told: NodeConfig) -> NodeConfig:
+    def adjust_config(self, told: NodeConfig) -> NodeConfig:
         """Return the configuration that a story gives its node instead of the usual one."""
         return told
 
@@ -195,12 +195,12 @@
             if port is not None:
                 await maybeDeferred(port.stopListening)
         self.node.hot_restart.registry.unregister()
-        await self.until(
+        await self.wait_until(
             lambda: not self.node.connections.clients and all(p.end for p in peers), "all to close"
         )
         self.node.deadlines.clear()
 
-    async def until(self, met: Callable[[], Any], what: str) -> None:
+    async def wait_until(self, met: Callable[[], Any], what: str) -> None:
         """Wait until a condition holds that no peer's line shows."""
         for _ in range(500):
             if met():
@@ -212,34 +212,34 @@
 
     async def client(self, line: str = "", port: int = 0) -> Peer:
         """Connect a client, and send its line if there is one."""
-        dial = Dial()
+        dial = PeerFactory()
         reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, dial)
         peer: Peer = await dial.up
         self.addCleanup(peer.transport.abortConnection)
         if line:
-            self.asked += 1  # an id is new for each connection
-            peer.write(line.encode().replace(b"9b1f03aa5c7e2d41", b"%016x" % self.asked) + b"\r\n")
+            self.request_count += 1  # an id is new for each connection
+            peer.write(line.encode().replace(b"9b1f03aa5c7e2d41", b"%016x" % self.request_count) + b"\r\n")
         return peer
 
-    async def host_of(self, *but: str) -> tuple[str, Peer]:
+    async def accept_attempt(self, *but: str) -> tuple[str, Peer]:
         """The host that a client has been sent to."""
-        await self.until(
+        await self.wait_until(
             lambda: any(h.accepted.pending for u, h in self.hosts.items() if u not in but),
             "a host to be reached",
         )
         uid = next(u for u, h in self.hosts.items() if u not in but and h.accepted.pending)
         return uid, await self.hosts[uid].next()
 
-    async def served(self, line: str) -> tuple[Peer, str, Peer]:
+    async def establish(self, line: str) -> tuple[Peer, str, Peer]:
         """A client, its host's name, and its host, with the connection up."""
         client = await self.client(line)
-        uid, host = await self.host_of()
+        uid, host = await self.accept_attempt()
         await host.line()
         host.write(b"UP r1\r\n")
         self.assertEqual(await client.line(), b"UP r1")
         return client, uid, host
 
-    async def watched(self) -> Peer:
+    async def accept_watch(self) -> Peer:
         """The node's watch, answered."""
         watch = await self.discovery.next()
         request = await watch.line()
@@ -247,12 +247,12 @@
         watch.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         return watch
 
-    def news(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
+    def send_update(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
         """Send a piece of the list over a watch."""
         rows = [{f: getattr(t, f) for f in t.__struct_fields__} for t in targets]
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
         watch.write(b"%x\r\n%s\r\n" % (len(body), body))
 
-    def ends(self, kind: type[Any]) -> list[Any]:
+    def recorded_events(self, kind: type[Any]) -> list[Any]:
         """Return the events of one kind that the decision module was given."""
-        return [event for event in self.told if isinstance(event, kind)]
+        return [event for event in self.events if isinstance(event, kind)]
