--- a/puffindeck/rpc/__init__.py
+++ b/puffindeck/rpc/__init__.py
@@ -1,5 +1,5 @@
-"""Client-side plug-ins for RPC libraries, on the core and the decisions that the daemon has.
+"""Client-side plug-ins for RPC libraries. They use the same engine and decision module as the daemon.
 
-`rpc.grpc` is a channel for grpc.aio, `rpc.endpoint` an endpoint for Twisted's libraries. Importing this
-package loads neither; each brings its own library.
+`rpc.grpc` provides a channel for grpc.aio, and `rpc.endpoint` a client endpoint for Twisted. Importing this
+package loads neither of them, because each requires its own library.
 """
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a call at one server: the engine's link, around one call of grpc.aio."""
+"""One attempt of a call at one server: the engine's UpstreamLink, which wraps one grpc.aio call."""
 
 from __future__ import annotations
 
@@ -20,56 +20,60 @@
 from puffindeck.rpc.status_outcomes import outcome_of_status
 from puffindeck.rpc.subchannel_pool import Subchannel, SubchannelPool
 
-TRAILERS_ONLY_WAIT_S = (
-    0.003  # a status without a head comes right behind an empty head: how long to wait for it
-)
-CONSUMER_TURNS = 3  # turns of the loop, from the status to the task that awaits the library's call
-NO_RESPONSE: Final[Any] = object()  # no response has come
+# How long to wait for the status after empty initial metadata. grpc.aio reports a Trailers-Only response as
+# empty initial metadata that is followed at once by the status.
+TRAILERS_ONLY_WAIT_S = 0.003
+# Event loop iterations that pass between the status and the task that awaits the library's call.
+CONSUMER_LOOP_ITERATIONS = 3
+NO_RESPONSE: Final[Any] = object()  # marks that no response has been received yet
 
 
 class AttemptOwner(Protocol):
-    """What an attempt needs of its call."""
+    """The part of a call that its attempts use."""
 
     @property
     def shared(self) -> SharedState:
-        """The engine, clock and loop of the call's channel."""
+        """The engine, clock and event loop of the call's channel."""
 
     @property
     def pool(self) -> SubchannelPool:
-        """The channel's connections."""
+        """The channel's connections to servers."""
 
     @property
     def method(self) -> Method:
-        """The method that is called."""
+        """The method being called."""
 
     @property
     def replay_buffer(self) -> ReplayBuffer | None:
-        """The messages to send, where the request is a stream."""
+        """The messages to send; None if the request is a single message."""
 
     def start(self, subchannel: Subchannel) -> LibraryCall:
-        """Begin grpc.aio's own call on the channel to one server."""
+        """Start a grpc.aio call on the channel to one server."""
 
     def is_served_by(self, attempt: Attempt) -> bool:
-        """Has the call begun at this attempt's server?"""
+        """Return whether the call is established at this attempt's server."""
 
     def on_response(self) -> None:
-        """The one response of the attempt that serves the call is there."""
+        """Handle the single response of the attempt that serves the call."""
 
     def record_status(self, status: FinalStatus) -> None:
-        """Keep a server's status, which does not end the call."""
+        """Store a server's status that does not end the call."""
 
     def finish(self, status: FinalStatus) -> None:
         """End the call with its one final status."""
 
     def release(self) -> None:
-        """Notify the engine that the call waits for nothing any more."""
+        """Notify the engine that the call no longer waits for a response."""
 
     def abort(self, error: Exception) -> None:
-        """End the call, as the application's own code has raised."""
+        """End the call with an error that the application's own code raised."""
 
 
 class Attempt:
-    """Connects, sends, and reports to the engine how it went. `library_call` is grpc.aio's own call."""
+    """Connects, sends the request and reports the outcome to the engine.
+
+    `library_call` is the wrapped grpc.aio call.
+    """
 
     __slots__ = (
         "_abandoned",
@@ -102,32 +106,33 @@
         self._deadline = deadline
         self._engine = call.shared.engine
         self._abandoned = False
-        self._sender: asyncio.Task[None] | None = None  # writes the messages of a request stream
-        self.library_call: LibraryCall | None = None  # once begun
+        self._sender: asyncio.Task[None] | None = None  # sends the messages of a request stream
+        self.library_call: LibraryCall | None = None  # None until it is started
         self.response: Any = NO_RESPONSE
         self._start_error: Exception | None = None
         self._subchannel = call.pool.acquire(address)
         if self._subchannel.ready() and self._engine.may_reach(endpoint):
-            self._start()  # at once: a turn of the loop later would cost a tenth of a call
+            # Starting the call in the next loop iteration instead would add about a tenth to its latency.
+            self._start()
         self._task: asyncio.Task[None] | None = None
-        one_request = call.replay_buffer is None
-        if self.library_call is not None and one_request and not call.method.response_stream:
+        unary_request = call.replay_buffer is None
+        if self.library_call is not None and unary_request and not call.method.response_stream:
             self.library_call.add_done_callback(self._on_library_call_done)
         else:
             self._start_task()
 
-    def begun_call(self) -> LibraryCall:
-        """The library's call, which must have begun."""
+    def started_call(self) -> LibraryCall:
+        """The library's call, which must have been started."""
         assert self.library_call is not None
         return self.library_call
 
-    # The engine's link
+    # UpstreamLink, as the engine uses it
 
     def read_available(self) -> None:
-        """No response waits unread here."""
+        """Do nothing: grpc.aio reads responses by itself."""
 
     def abandon(self) -> None:
-        """End the attempt; nothing more is reported of it."""
+        """End the attempt without reporting its end to the engine."""
         if not self._abandoned:
             self._abandoned = True
             if self.library_call is not None:
@@ -135,28 +140,32 @@
             if self._task is not None and self._task is not asyncio.current_task():
                 self._task.cancel()
 
-    # The task that drives it
+    # The task that runs the attempt
 
     def _start_task(self) -> None:
         self._task = self._call.shared.loop.create_task(self._run())
-        self._task.add_done_callback(self._release)  # also of a task that was cancelled before it began
+        self._task.add_done_callback(self._release)  # also runs if the task is cancelled before it starts
 
     def _on_library_call_done(self, _: object) -> None:
-        self._await_consumer(CONSUMER_TURNS)
+        self._await_consumer(CONSUMER_LOOP_ITERATIONS)
 
-    def _await_consumer(self, turns: int) -> None:
-        """The library's call has ended: unless whoever awaits ours takes the response, a task sees to it."""
+    def _await_consumer(self, iterations: int) -> None:
+        """After the library's call has ended, give the application time to take the response.
+
+        If no task that awaits the balanced call takes it within `iterations` loop iterations, a task of this
+        attempt does.
+        """
         if self.response is not NO_RESPONSE or self._abandoned:
             self._release()
-        elif turns:
-            self._call.shared.loop.call_soon(self._await_consumer, turns - 1)
+        elif iterations:
+            self._call.shared.loop.call_soon(self._await_consumer, iterations - 1)
         else:
             self._start_task()
 
     def _start(self) -> None:
         try:
             self.library_call = self._call.start(self._subchannel)
-        except Exception as error:  # metadata that gRPC can't read, for one
+        except Exception as error:  # for example metadata that gRPC rejects
             self._start_error = error
 
     def _release(self, _: object = None) -> None:
@@ -171,7 +180,7 @@
             self._abort_call(error)
 
     def _abort_call(self, error: Exception) -> None:
-        """What the application's own serializer raises, or a fault here, must not leave the call open."""
+        """End the call if a serializer of the application, or this code, raises: it must not stay open."""
         if not self._abandoned:
             self._call.abort(error)
 
@@ -184,17 +193,17 @@
             self._start()
         if self._start_error is not None:
             raise self._start_error
-        library_call = self.begun_call()
+        library_call = self.started_call()
         if call.replay_buffer is not None:
             call.replay_buffer.restart()
             self._sender = call.shared.loop.create_task(self._send_requests(library_call, call.replay_buffer))
         if call.method.response_stream:
             await self._receive_stream(library_call)
         else:
-            await self._receive_one(library_call)
+            await self._receive_response(library_call)
 
     async def _connect(self) -> bool:
-        """Wait for the connection. False if there is none, or the endpoint began to drain meanwhile."""
+        """Wait for the connection. Return False if it failed or the endpoint can no longer be used."""
         if not self._subchannel.ready():
             shared = self._call.shared
             connect_timeout = milliseconds(self._engine.settings.connect_timeout_ms)
@@ -204,20 +213,20 @@
         return self._engine.may_reach(self._endpoint)
 
     async def _send_requests(self, library_call: LibraryCall, buffer: ReplayBuffer) -> None:
-        """Write what the application has written, in its order, from the start."""
+        """Send all messages that the application has written, in order, beginning with the first."""
         try:
             while (message := await buffer.next()) is not END_OF_REQUESTS:
                 await library_call.write(message)
                 buffer.mark_sent()
             await library_call.done_writing()
         except (AioRpcError, asyncio.InvalidStateError, grpc.aio.UsageError):
-            pass  # the library's call has ended, and its status says how
+            pass  # the library's call has ended; its status tells the cause
         except Exception as error:
             self._abort_call(error)
 
     # Responses
 
-    async def _receive_one(self, library_call: LibraryCall) -> None:
+    async def _receive_response(self, library_call: LibraryCall) -> None:
         try:
             self.on_response(await library_call)
         except AioRpcError:
@@ -225,24 +234,27 @@
         except asyncio.CancelledError:
             if self._abandoned or not library_call.done():
                 raise
-            # the server's own CANCELLED
+            # The server ended the call with CANCELLED.
             await self._on_status(library_call, response_started=self._call.is_served_by(self))
 
     def on_response(self, response: Any) -> None:
-        """Take the one response. Whoever awaits the call may bring it before this attempt's task does."""
+        """Store the single response; later calls are ignored.
+
+        A task that awaits the balanced call may pass the response before this attempt's own task does.
+        """
         if self.response is not NO_RESPONSE or self._abandoned:
             return
         self.response = response
-        if self._call.is_served_by(self):  # committed before, as more was sent than is buffered
+        if self._call.is_served_by(self):  # it was committed early: the replay buffer was full
             self._call.on_response()
         elif not self._engine.attempt_established(self._attempt_id):
             return
         self._report_end(Outcome.OK)
 
     async def _receive_stream(self, library_call: LibraryCall) -> None:
-        """Wait for the head of a response stream, which establishes the call, and for its status."""
-        head = await library_call.initial_metadata()
-        if not head:
+        """Wait for a response stream's initial metadata, which establishes the call, and for its status."""
+        initial_metadata = await library_call.initial_metadata()
+        if not initial_metadata:
             try:
                 async with asyncio.timeout(TRAILERS_ONLY_WAIT_S):
                     await library_call.code()
@@ -250,7 +262,7 @@
                 pass
         if self._abandoned:
             return
-        if library_call.done() and not head:
+        if library_call.done() and not initial_metadata:
             await self._on_status(library_call, response_started=False)
         elif self._engine.attempt_established(self._attempt_id):
             await library_call.code()
@@ -259,7 +271,7 @@
             self.abandon()
 
     async def _on_status(self, library_call: LibraryCall, response_started: bool) -> None:
-        """The library's call has ended with a status: end the call with it, or report a failed attempt."""
+        """Handle the library call's status: end the balanced call with it, or report a failed attempt."""
         status = await _read_status(library_call)
         if self._abandoned:
             return
@@ -267,15 +279,14 @@
         migrated = trailing.get(MIGRATED_TRAILER) is not None
         outcome = outcome_of_status(status.code.value[0], status.details, response_started, migrated)
         if response_started or outcome == Outcome.OK:
-            self._engine.attempt_established(
-                self._attempt_id
-            )  # where it has not begun: this status is the call's answer
+            # This status is the call's final answer, so the call is established if it was not before.
+            self._engine.attempt_established(self._attempt_id)
             self._call.finish(status)
             self._report_end(outcome)
             return
         pushback = trailing.get(PUSHBACK_TRAILER)
         if pushback is not None and not str(pushback).isdigit():
-            self._call.finish(status)  # A6: a server may forbid retries
+            self._call.finish(status)  # gRFC A6: the server forbids retries
             self._call.release()
             return
         self._call.record_status(status)
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -1,4 +1,4 @@
-"""A call that the decision module places: the engine's client, with the methods that grpc.aio.Call has."""
+"""A call whose servers the decision module chooses: a client of the engine with the API of grpc.aio.Call."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from puffindeck.rpc.status import CANCELLED, MIGRATED, OK, TOO_MANY_CALLS, FinalStatus, failed, rejected
 from puffindeck.rpc.subchannel_pool import Subchannel, SubchannelPool
 
-CONNECTION_INFO = ConnectionInfo(listener="rpc")  # what routes may go by, beside the class
-READY_POLL_INTERVAL = milliseconds(50)  # the shortest wait of a `wait_for_ready` call between two placements
+CONNECTION_INFO = ConnectionInfo(listener="rpc")  # routes can match on this and on the request class
+READY_POLL_INTERVAL = milliseconds(50)  # minimum time between two placements of a `wait_for_ready` call
 
 
 class BalancedCall:
-    """A call from its start to its one final status. The decision module chooses servers and retries."""
+    """A call from its start to its single final status. The decision module chooses servers and retries."""
 
     def __init__(
         self,
@@ -40,19 +40,22 @@
         request: Any,
         on_finished: Callable[[BalancedCall], None],
     ) -> None:
-        """`request` is a message, or an iterator of messages, or None where `write` sends them."""
+        """`request` is a message, an iterator of messages, or None if the application uses `write`.
+
+        `on_finished` is called with this call when it has a final status.
+        """
         self.shared = shared
         self.pool = pool
         self.method = method
         self.completion = CallCompletion(shared.loop)
-        self.attempt: Attempt | None = None  # the latest one
-        self.serving: Attempt | None = None  # the one at whose server the call has begun
+        self.attempt: Attempt | None = None  # the latest attempt
+        self.serving_attempt: Attempt | None = None  # the attempt that is established
         self.request_stream: RequestStream | None = None
         self._options = options
         self._request = request
         self._on_finished = on_finished
-        self._last_status: FinalStatus | None = None  # of the last server that was tried
-        self._number = 0  # the engine's, of this request
+        self._last_status: FinalStatus | None = None  # of the server of the latest failed attempt
+        self._number = 0  # the engine's number of this request; 0: none
         self._attempts = 0
         self._deadline = CallDeadline(shared.clock, options.timeout)
         self._routing_keys = read_routing_keys(options.metadata, shared.config.rpc, shared.balancer.random)
@@ -62,10 +65,10 @@
             )
         self._place()
 
-    # Placing
+    # Placement
 
     def _place(self) -> None:
-        """Hand the call to the engine, unless its time is up or the engine is full."""
+        """Pass the call to the engine, unless its deadline has passed or the engine is full."""
         engine = self.shared.engine
         remaining = self._time_to_answer()
         if remaining <= ZERO:
@@ -74,14 +77,16 @@
             self.finish(TOO_MANY_CALLS)
         else:
             key, group = self._routing_keys
-            request = Request(self.method.cls, key, remaining, group=group, connection_info=CONNECTION_INFO)
+            request = Request(
+                self.method.class_number, key, remaining, group=group, connection_info=CONNECTION_INFO
+            )
             number = engine.request(self, request)
             if self.completion.status is None:
                 self._number = number
 
     def _time_to_answer(self) -> timedelta:
-        """How long the call may take to its answer, or, for a response stream, to its beginning."""
-        limit = milliseconds(self.shared.engine.settings.classes[self.method.cls].deadline_ms)
+        """The time left until the response, or the start of the response stream, must have arrived."""
+        limit = milliseconds(self.shared.engine.settings.classes[self.method.class_number].deadline_ms)
         remaining = self._deadline.remaining()
         if remaining is None:
             return limit
@@ -91,28 +96,31 @@
         if self.completion.status is None:
             self._place()
 
-    # The engine's client
+    # Client, as the engine uses it
 
     def is_waiting(self) -> bool:
-        """Has the call no final status yet?"""
+        """Return whether the call has no final status yet."""
         return self.completion.status is None
 
     def start_attempt(
-        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+        self, attempt_id: AttemptId, endpoint: int, answer_deadline: timedelta, start_deadline: timedelta
     ) -> UpstreamLink | None:
-        """Start an attempt at an endpoint, which must be answered by `until`."""
+        """Start an attempt at an endpoint, which must answer by `answer_deadline`.
+
+        Returns None if the endpoint has no address.
+        """
         address = self.shared.directory.addresses.get(endpoint)
         self._attempts += 1
         if address is None:
             self.shared.engine.attempt_ended(attempt_id, Outcome.CONNECT_FAILED)
             return None
-        self.attempt = Attempt(self, attempt_id, endpoint, address, until)
+        self.attempt = Attempt(self, attempt_id, endpoint, address, answer_deadline)
         return self.attempt
 
     def on_established(self, link: UpstreamLink) -> None:
-        """The call has begun at the server of this attempt: it is not retried any more."""
+        """Handle an established attempt: the call is not retried from now on."""
         assert isinstance(link, Attempt)
-        self.serving = link
+        self.serving_attempt = link
         if self.replay_buffer is not None:
             self.replay_buffer.commit()
         if self.method.response_stream:
@@ -121,12 +129,12 @@
             self.on_response()
 
     def reject(self, retry_after: timedelta) -> None:
-        """Rejected by the decision module, and a retry after `retry_after` does no harm."""
+        """Handle a rejection by the decision module. The caller may safely retry after `retry_after`."""
         remaining = self._deadline.remaining()
         pause = max(retry_after, READY_POLL_INTERVAL)
         time_is_left = remaining is None or remaining > ZERO
         if self._options.wait_for_ready and not self._attempts and time_is_left:
-            # no server was tried yet, and the application would rather wait than be rejected
+            # No server was tried yet, and the application prefers waiting to a rejection.
             self._number = 0
             pause = pause if remaining is None else min(pause, remaining)
             self.shared.deadlines.after(pause, self._place_again)
@@ -135,26 +143,29 @@
         self.finish(rejected(retry_after, self._attempts, last_details, self._deadline.passed()))
 
     def fail(self) -> None:
-        """Given up by the decision module; a server may have run the call."""
+        """Handle a failure that the decision module reports. A server may have run the call."""
         self.finish(failed(self._attempts, self._deadline.passed(), self._last_status))
 
     def migrate(self) -> bool:
-        """Migrate: end a stream, to be requested again elsewhere. False for a call with one response."""
-        if not self.method.response_stream or self.serving is None:
+        """End a response stream so that the application requests it again at another server.
+
+        Returns False for a call with a single response, or one that is not established.
+        """
+        if not self.method.response_stream or self.serving_attempt is None:
             return False
         self.finish(MIGRATED)
-        self.serving.abandon()
+        self.serving_attempt.abandon()
         return True
 
-    # The attempt's owner
+    # AttemptOwner
 
     @property
     def replay_buffer(self) -> ReplayBuffer | None:
-        """The messages to send, where the request is a stream."""
+        """The messages to send; None if the request is a single message."""
         return self.request_stream.buffer if self.request_stream is not None else None
 
     def start(self, subchannel: Subchannel) -> LibraryCall:
-        """Begin grpc.aio's own call on the channel to one server."""
+        """Start a grpc.aio call on the channel to one server."""
         method = self.method
         options = self._options
         keywords = {
@@ -172,33 +183,33 @@
         return library_call
 
     def is_served_by(self, attempt: Attempt) -> bool:
-        """Has the call begun at this attempt's server?"""
-        return self.serving is attempt
+        """Return whether the call is established at this attempt's server."""
+        return self.serving_attempt is attempt
 
     def on_response(self) -> None:
-        """The one response of the attempt that serves the call is there."""
+        """End the call: the single response of the serving attempt has arrived."""
         self.finish(OK)
 
     def record_status(self, status: FinalStatus) -> None:
-        """Keep a server's status, which does not end the call."""
+        """Store a server's status that does not end the call."""
         self._last_status = status
 
-    # The request stream's call
+    # StreamedCall
 
     def is_established(self) -> bool:
-        """Has the call begun at a server, so that it won't be retried?"""
-        return self.serving is not None
+        """Return whether the call is established at a server, after which it is not retried."""
+        return self.serving_attempt is not None
 
     def commit(self) -> None:
-        """Stay with the current attempt: the call can't be retried any more."""
+        """Establish the current attempt: the call can no longer be retried."""
         request_state = self.shared.engine.requests.get(self._number)
         if request_state is not None and request_state.attempt_active:
             self.shared.engine.attempt_established(AttemptId(self._number, request_state.attempts - 1))
 
-    # The end
+    # End of the call
 
     def finish(self, status: FinalStatus) -> None:
-        """End the call with its one final status; a later one is ignored."""
+        """End the call with its final status; later statuses are ignored."""
         if self.completion.status is not None:
             return
         self.completion.status = status
@@ -209,12 +220,12 @@
         self.completion.schedule_callbacks(self)
 
     def release(self) -> None:
-        """Notify the engine that the call waits for nothing any more; its attempt is given up."""
+        """Notify the engine, which abandons the attempt, that the call no longer waits for a response."""
         if self._number:
             self.shared.engine.client_disconnected(self._number)
 
     def abort(self, error: Exception) -> None:
-        """The application's own code raised while the call was sent (a serializer, its request iterator)."""
+        """End the call with an error that a serializer or request iterator of the application raised."""
         if self.completion.status is None:
             self.completion.application_error = error
             text = f"Exception in the call's own code: {error!r}"
@@ -222,7 +233,7 @@
             self.release()
 
     def end(self, status: FinalStatus) -> bool:
-        """End it from outside: cancelled, or the channel closed. False if it had ended."""
+        """End the call because it was cancelled or the channel was closed. False if it had already ended."""
         if self.completion.status is not None:
             return False
         self.finish(status)
@@ -235,63 +246,67 @@
             self.replay_buffer.notify()
 
     async def wait_until_established(self) -> None:
-        """Wait until the call has begun at a server or has ended."""
-        while self.completion.status is None and self.serving is None:
+        """Wait until the call is established at a server or has ended."""
+        while self.completion.status is None and self.serving_attempt is None:
             await self.completion.wait_for_change()
 
     # grpc.aio.Call
 
     def cancelled(self) -> bool:
-        """Has the call ended with CANCELLED?"""
+        """Return whether the call has ended with the status CANCELLED."""
         status = self.completion.status
         return status is not None and status.code is grpc.StatusCode.CANCELLED
 
     def done(self) -> bool:
-        """Has the call ended?"""
+        """Return whether the call has ended."""
         return self.completion.status is not None
 
     def time_remaining(self) -> float | None:
-        """Seconds to the deadline, 0 once it has passed; None without one."""
+        """Seconds until the deadline: 0 if it has passed, None if there is none."""
         return self._deadline.remaining_s()
 
     def cancel(self) -> bool:
-        """Cancel the call. False if it had ended."""
+        """Cancel the call. Return False if it had already ended."""
         return self.end(CANCELLED)
 
     def add_done_callback(self, callback: Callable[[Any], None]) -> None:
-        """Call `callback` with the call once it has ended; at once if it has."""
+        """Call `callback` with this call when it ends, or immediately if it has ended."""
         self.completion.add_done_callback(callback, self)
 
     async def initial_metadata(self) -> Metadata:
-        """The serving server's initial metadata, once the call has begun or ended."""
+        """Wait until the call is established or has ended, and return the initial metadata."""
         await self.wait_until_established()
-        if self.serving is not None:
-            return await self.serving.begun_call().initial_metadata()
+        if self.serving_attempt is not None:
+            return await self.serving_attempt.started_call().initial_metadata()
         assert self.completion.status is not None
         return Metadata(*self.completion.status.initial)
 
     async def trailing_metadata(self) -> Metadata:
-        """The trailing metadata, once the call has ended."""
+        """Wait until the call has ended and return the trailing metadata."""
         status = await self.completion.wait_for_status()
-        if status.code is grpc.StatusCode.OK and self.serving is not None:
-            return await self.serving.begun_call().trailing_metadata()
+        if status.code is grpc.StatusCode.OK and self.serving_attempt is not None:
+            return await self.serving_attempt.started_call().trailing_metadata()
         return Metadata(*status.trailing)
 
     async def code(self) -> grpc.StatusCode:
-        """The final status code, once the call has ended."""
+        """Wait until the call has ended and return the final status code."""
         return (await self.completion.wait_for_status()).code
 
     async def details(self) -> str:
-        """The final status's text, once the call has ended."""
+        """Wait until the call has ended and return the text of the final status."""
         return (await self.completion.wait_for_status()).details
 
     async def debug_error_string(self) -> str:
-        """The code and text of an error, once the call has ended; empty if all went well."""
+        """Wait until the call has ended and return its error code and text; empty if the status is OK."""
         status = await self.completion.wait_for_status()
         return "" if status.code is grpc.StatusCode.OK else f"{status.code.name}: {status.details}"
 
     async def wait_for_connection(self) -> None:
-        """Wait until the call has begun at a server. Raises what its caller sees if it ends before."""
+        """Wait until the call is established at a server.
+
+        If it ends before with another status than OK, raises AioRpcError, CancelledError or the
+        application's own error.
+        """
         await self.wait_until_established()
-        if self.serving is None:
+        if self.serving_attempt is None:
             self.completion.raise_unless_ok()
--- a/puffindeck/rpc/call_completion.py
+++ b/puffindeck/rpc/call_completion.py
@@ -1,4 +1,4 @@
-"""The end of a call: its one final status, and everybody who waits for it."""
+"""The completion of a call: its final status, and the tasks and callbacks that wait for it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class CallCompletion:
-    """Owns a call's final status, the tasks that wait for a change of the call, and its done callbacks."""
+    """Holds a call's final status, the tasks that wait for a change of the call, and its done callbacks."""
 
     __slots__ = ("_callbacks", "_loop", "_waiters", "application_error", "status")
 
@@ -24,26 +24,30 @@
         self._callbacks: list[Callable[[Any], None]] = []
 
     def notify(self) -> None:
-        """Wake all that wait for a change."""
+        """Wake all tasks that wait for a change."""
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
             if not waiter.done():
                 waiter.set_result(None)
 
     async def wait_for_change(self) -> None:
-        """Wait for the next `notify`."""
+        """Wait for the next call of `notify`."""
         waiter: asyncio.Future[None] = self._loop.create_future()
         self._waiters.append(waiter)
         await waiter
 
     async def wait_for_status(self) -> FinalStatus:
-        """Wait until the call has ended."""
+        """Wait until the call has ended and return its final status."""
         while self.status is None:
             await self.wait_for_change()
         return self.status
 
     def raise_unless_ok(self) -> None:
-        """Raise what an ended call's caller sees: the application's error, CancelledError or AioRpcError."""
+        """Raise the error of a call that has ended, unless its status is OK.
+
+        The error is the application's own one if it raised one, CancelledError for the status CANCELLED, and
+        AioRpcError otherwise.
+        """
         if self.application_error is not None:
             raise self.application_error
         assert self.status is not None
@@ -53,14 +57,14 @@
             raise self.status.error()
 
     def add_done_callback(self, callback: Callable[[Any], None], call: object) -> None:
-        """Call `callback` with the call once it has ended; at once if it has."""
+        """Call `callback` with `call` when the call ends, or immediately if it has ended."""
         if self.status is not None:
             callback(call)
         else:
             self._callbacks.append(callback)
 
     def schedule_callbacks(self, call: object) -> None:
-        """The call has ended: run its done callbacks in the loop's next turn."""
+        """Schedule the done callbacks of the ended call for the next loop iteration."""
         for callback in self._callbacks:
             self._loop.call_soon(callback, call)
         self._callbacks.clear()
--- a/puffindeck/rpc/endpoint.py
+++ b/puffindeck/rpc/endpoint.py
@@ -1,7 +1,7 @@
-"""A client endpoint (IStreamClientEndpoint) whose server the decision module chooses at each connect.
+"""A Twisted client endpoint (IStreamClientEndpoint) whose server the decision module chooses at each connect.
 
-AMP, Perspective Broker or any other library that takes an endpoint connects through it: the module places,
-retries and gives up as it does in a node, and what goes wrong comes out as a Failure.
+AMP, Perspective Broker and all other libraries that accept an endpoint can connect through it. The decision
+module places connects, retries them and gives up as it does in a node. Errors are reported as a Failure.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class Balancing:
-    """The shared part: one decision module and the list of servers that its endpoints place on."""
+    """The state that endpoints share: a decision module, its engine and the list of servers."""
 
     def __init__(self, reactor: Any, settings: Settings, seed: int, clock: Clock | None = None) -> None:
         self.reactor = reactor
@@ -40,17 +40,17 @@
         self.engine = Engine(Balancer(settings, seed), settings, self.deadlines, self._request_list)
         self._on_list_requested: Callable[[], None] = lambda: None
         self._version = 0
-        self._classes_in_use: set[int] = set()  # numbers of the classes of endpoints that were handed out
+        self._classes_in_use: set[int] = set()  # class numbers of the endpoints that were returned
 
     def _request_list(self) -> None:
         self._on_list_requested()
 
     def on_ask(self, ask: Callable[[], None]) -> None:
-        """Call `ask` when the module requests the list. By default nothing is done beyond `listed`."""
+        """Call `ask` whenever the decision module requests the endpoint list. The default does nothing."""
         self._on_list_requested = ask
 
     def listed(self, targets: Iterable[Target]) -> None:
-        """Update the endpoint list: all servers, as they are now."""
+        """Replace the endpoint list by `targets`, which are all current servers."""
         self._version += 1
         members = EndpointList(self._version, True, list(targets))
         now = self.deadlines.clock.now()
@@ -59,26 +59,27 @@
         self.engine.update_endpoints(ListUpdateKind.FULL, self._version, entries)
 
     def unlisted(self) -> None:
-        """The list could not be had; the old one stays."""
+        """Report that the requested list is unavailable. The previous list stays in use."""
         self.engine.update_endpoints(ListUpdateKind.FAILED)
 
     def retune(self, settings: Settings) -> None:
-        """Change the settings. Endpoints that were handed out keep their class's number."""
+        """Apply new settings. Class numbers of endpoints that `endpoint` returned remain valid."""
         self.engine.apply_settings(settings, self._classes_in_use)
         self.settings = settings
 
     def detach(self, uid: str) -> None:
-        """Nothing new to this server until it is attached, whatever the list says."""
+        """Open no new connections to this server until it is attached, regardless of the list."""
         self.engine.detach(self.directory.number(uid))
 
     def attach(self, uid: str) -> None:
-        """Let a detached server be used again; it counts as just started."""
+        """Allow a detached server to be used again. It counts as just started."""
         self.engine.attach(self.directory.number(uid))
 
     def endpoint(self, key: str = "", cls: str = "", deadline: timedelta | None = None) -> BalancedEndpoint:
-        """An endpoint for connections of one key and class, by default the first.
+        """Return an endpoint for connections with one key, of the class `cls`, by default the first class.
 
-        `deadline` is for each connect, by default the class's. Raises ValueError for an unknown class.
+        `deadline` limits the time of each connect and defaults to the deadline of the class.
+        Raises ValueError for an unknown class.
         """
         names = [c.name for c in self.settings.classes]
         if cls and cls not in names:
@@ -88,24 +89,25 @@
         return BalancedEndpoint(self, key, class_number, deadline)
 
     def stop(self) -> None:
-        """Drop all timers: endpoints must not be used any more."""
+        """Cancel all timers. Endpoints must not be used afterwards."""
         self.deadlines.clear()
 
 
 @implementer(IStreamClientEndpoint)
 class BalancedEndpoint:
-    """Connects to whichever server the module places the key on."""
+    """Connects to the server that the decision module chooses for the key."""
 
     def __init__(self, balancing: Balancing, key: str, cls: int, deadline: timedelta | None) -> None:
+        """`cls` is the number of a request class."""
         self._balancing = balancing
         self._key = key
-        self._cls = cls
+        self._class_number = cls
         self._deadline = deadline or milliseconds(balancing.engine.settings.classes[cls].deadline_ms)
 
     def connect(self, protocolFactory: IProtocolFactory) -> Deferred[Any]:
-        """A Deferred of the protocol, connected; or a Failure with Refused or Failed."""
+        """Connect, and return a Deferred of the connected protocol. It fails with Refused or Failed."""
         connect = BalancedConnect(self._balancing, protocolFactory)
         key = key_number(self._key.encode()) if self._key else 0
-        request = Request(self._cls, key, self._deadline)
+        request = Request(self._class_number, key, self._deadline)
         connect.request = self._balancing.engine.request(connect, request)
         return connect.result
--- a/puffindeck/rpc/endpoint_connection.py
+++ b/puffindeck/rpc/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connect of a balanced endpoint: the engine's client, its attempts, and the connection that follows."""
+"""A connect of a balanced endpoint: the engine's client, its attempts and the resulting connection."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class ConnectContext(Protocol):
-    """What connects share: the engine, the addresses of the servers, and the reactor."""
+    """The state that connects share: the engine, the servers' addresses and the reactor."""
 
     reactor: Any
     settings: Settings
@@ -32,12 +32,15 @@
 
 
 class BalancedConnect:
-    """One connect, the engine's client. `result` fires with the protocol, or with Refused or Failed."""
+    """A single connect, which is a client of the engine.
+
+    `result` fires with the connected protocol, or fails with Refused or Failed.
+    """
 
     def __init__(self, context: ConnectContext, factory: IProtocolFactory) -> None:
         self.context = context
         self.factory: Any = factory
-        self.request = 0  # the engine's number
+        self.request = 0  # the engine's number of this request
         self.result: Deferred[Any] = Deferred(self._cancelled)
         self._protocol: Any = None
 
@@ -45,13 +48,13 @@
         self.context.engine.client_disconnected(self.request)
 
     def is_waiting(self) -> bool:
-        """Does the caller still wait for the connection?"""
+        """Return whether the caller still waits for the connection."""
         return not self.result.called
 
     def start_attempt(
-        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+        self, attempt_id: AttemptId, endpoint: int, answer_deadline: timedelta, start_deadline: timedelta
     ) -> UpstreamLink | None:
-        """Start an attempt at an endpoint. None if it has ended already."""
+        """Start an attempt at an endpoint. Returns None if the attempt has already ended."""
         attempt = ConnectAttempt(self, attempt_id, endpoint)
         address = self.context.directory.addresses.get(endpoint)
         if address is None:
@@ -61,22 +64,25 @@
         return None if attempt.done else attempt
 
     def on_established(self, link: UpstreamLink) -> None:
-        """The connection of this attempt stands: hand its protocol to the caller."""
+        """Pass the protocol of the established connection to the caller."""
         assert isinstance(link, ConnectAttempt)
         assert link.wrapper is not None
         self._protocol = link.wrapper
         self.result.callback(link.wrapper.wrappedProtocol)
 
     def reject(self, retry_after: timedelta) -> None:
-        """Rejected by the decision module; a retry after `retry_after` does no harm."""
+        """Handle a rejection by the decision module. The caller may safely retry after `retry_after`."""
         self.result.errback(Failure(Refused(retry_after)))
 
     def fail(self) -> None:
-        """Given up by the decision module; nothing is known of what a server has done."""
+        """Handle a failure that the decision module reports. A server may have processed the request."""
         self.result.errback(Failure(Failed()))
 
     def migrate(self) -> bool:
-        """Migrate: notify a protocol that has `moveRequested`, as only it knows when its calls are done."""
+        """Call the protocol's `moveRequested` if it has one. Only the protocol knows when its calls are done.
+
+        Returns False, as the connection is not ended here.
+        """
         move_requested = getattr(self._protocol.wrappedProtocol, "moveRequested", None)
         if move_requested is not None:
             move_requested()
@@ -84,7 +90,7 @@
 
 
 class AttemptProtocol(ProtocolWrapper):
-    """The library's protocol unchanged; reports the connection's begin and end to the attempt."""
+    """Wraps the library's protocol and reports the start and end of the connection to the attempt."""
 
     def __init__(
         self, factory: WrappingFactory[AttemptProtocol], wrapped: Any, attempt: ConnectAttempt
@@ -93,20 +99,23 @@
         self._attempt = attempt
 
     def makeConnection(self, transport: Any) -> None:
-        """Connect the library's protocol, if the attempt may still use the connection."""
+        """Connect the library's protocol if the attempt can still use the connection."""
         if self._attempt.accept(self, transport):
             super().makeConnection(transport)
-            self._attempt.begin()
+            self._attempt.report_established()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Pass the end on to the library's protocol, if it was connected, and to the attempt."""
-        if self._attempt.began:
+        """Report the end to the library's protocol, if it was connected, and to the attempt."""
+        if self._attempt.established:
             super().connectionLost(reason)
         self._attempt.connection_lost(reason)
 
 
 class ConnectAttempt(ClientFactory):
-    """One attempt at a server, the engine's link. A connect counts as served: the bytes can't be read."""
+    """An attempt at one server, which is the engine's UpstreamLink.
+
+    The attempt is established as soon as it is connected, because the library's messages are opaque here.
+    """
 
     noisy = False
 
@@ -117,20 +126,20 @@
         self._engine = connect.context.engine
         self._deadlines = connect.context.deadlines
         self.done = False
-        self.began = False
-        self.wrapper: AttemptProtocol | None = None  # once connected
+        self.established = False
+        self.wrapper: AttemptProtocol | None = None  # None until the connection is accepted
         self._connector: Any = None
         self._connect_deadline: Deadline | None = None
 
     def connect(self, address: tuple[str, int]) -> None:
-        """Connect; takes the settings' connect timeout at most."""
+        """Connect to the address. The attempt fails after the connect timeout of the settings."""
         context = self._connect.context
         timeout = milliseconds(context.settings.connect_timeout_ms)
         self._connect_deadline = self._deadlines.after(timeout, self.finish, Outcome.CONNECT_FAILED)
         self._connector = context.reactor.connectTCP(*address, self, timeout=None)
 
     def buildProtocol(self, addr: Any) -> protocol.Protocol | None:
-        """Wrap the protocol that the caller's factory builds; without one the attempt ends."""
+        """Wrap the protocol that the caller's factory builds. The attempt ends if it builds none."""
         wrapped = self._connect.factory.buildProtocol(addr)
         if wrapped is None:
             self.finish(Outcome.ERROR)
@@ -138,7 +147,10 @@
         return AttemptProtocol(WrappingFactory(self._connect.factory), wrapped, self)
 
     def accept(self, wrapper: AttemptProtocol, transport: Any) -> bool:
-        """The connection stands. False, and it is aborted, if it may not be used or nobody waits for it."""
+        """Accept the connection, or abort it and return False.
+
+        It is aborted if the endpoint can no longer be used or the attempt has ended.
+        """
         self._deadlines.cancel(self._connect_deadline)
         if not self.done and not self._engine.may_reach(self._endpoint):
             self.finish(Outcome.CONNECT_FAILED)
@@ -148,32 +160,32 @@
         self.wrapper = wrapper
         return True
 
-    def begin(self) -> None:
-        """The library's protocol is connected: report it to the engine."""
-        self.began = True
+    def report_established(self) -> None:
+        """Report to the engine that the library's protocol is connected."""
+        self.established = True
         if not self._engine.attempt_established(self._attempt_id):
             self.abandon()
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """The connect has failed."""
+        """Report the failed connect to the engine."""
         self.finish(Outcome.CONNECT_FAILED)
 
     def connection_lost(self, reason: Failure) -> None:
-        """The connection has ended, cleanly or not."""
+        """Report the end of the connection to the engine: clean or reset."""
         clean = reason.check("twisted.internet.error.ConnectionDone") is not None
         self.finish(Outcome.OK if clean else Outcome.RESET)
 
     def finish(self, outcome: Outcome) -> None:
-        """End the attempt and report its outcome, once."""
+        """End the attempt and report its outcome to the engine, unless it has already ended."""
         if not self.done:
             self.abandon()
             self._engine.attempt_ended(self._attempt_id, outcome)
 
     def read_available(self) -> None:
-        """No response waits unread here."""
+        """Do nothing: the reactor delivers all bytes to the library's protocol."""
 
     def abandon(self) -> None:
-        """End the attempt; nothing more is reported of it."""
+        """End the attempt without reporting its end to the engine."""
         if not self.done:
             self.done = True
             self._deadlines.cancel(self._connect_deadline)
--- a/puffindeck/rpc/endpoint_errors.py
+++ b/puffindeck/rpc/endpoint_errors.py
@@ -1,4 +1,4 @@
-"""How a connect through the decision module fails."""
+"""The errors with which a connect of a balanced endpoint fails."""
 
 from __future__ import annotations
 
@@ -10,15 +10,18 @@
 
 
 class Refused(ConnectError):
-    """No server was to be had in time. `wait` says when to retry, zero if nothing is known."""
+    """No server was available in time, and none has processed the request.
+
+    The caller may safely retry after `wait`, which is zero if no time is known.
+    """
 
     def __init__(self, wait: timedelta = ZERO) -> None:
-        super().__init__(string=f"refused, come back in {to_ms(wait):.0f} ms" if wait else "refused")
+        super().__init__(string=f"rejected; retry after {to_ms(wait):.0f} ms" if wait else "rejected")
         self.wait = wait
 
 
 class Failed(ConnectError):
-    """Given up; nothing is known of what a server has done."""
+    """The connect failed, and a server may have processed the request."""
 
     def __init__(self) -> None:
-        super().__init__(string="failed")
+        super().__init__(string="failed: a server may have processed the request")
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -1,10 +1,10 @@
-"""A channel for grpc.aio whose calls the decision module places, each by itself.
+"""A channel for grpc.aio. The decision module chooses a server for each call separately.
 
-    async with BalancedChannel.from_config("desk.toml") as channel:
+    async with BalancedChannel.from_config("client.toml") as channel:
         stub = FeedStub(channel)
-        await stub.Status(request, timeout=1.8, metadata=(("puffindeck-key", "desk 7"),))
+        await stub.Status(request, timeout=1.8, metadata=(("puffindeck-key", "session 7"),))
 
-It needs the extra `grpc`. docs/rpc.md says what differs from a plain channel.
+It requires the extra `grpc`. docs/rpc.md describes the differences from a plain channel.
 """
 
 from __future__ import annotations
@@ -45,24 +45,30 @@
 
 
 def come_back(error: AioRpcError) -> timedelta | None:
-    """When a rejected call may be retried; None if nothing is said of it, timedelta.max if it must not be."""
+    """Return the time until a rejected call may be retried.
+
+    Returns None if the error carries no time, and timedelta.max if the call must not be retried.
+    """
     return retry_after(error)
 
 
 def moved(error: AioRpcError) -> bool:
-    """Was the call migrated, so that it goes on at another server?"""
+    """Return whether the call was migrated: it ended to be resumed at another server."""
     return is_migrated(error)
 
 
 class ChannelParts(NamedTuple):
-    """What a channel uses once its event loop is known."""
+    """The parts of a channel that belong to its event loop."""
 
     shared: SharedState
     pool: SubchannelPool
 
 
 class BalancedChannel(grpc.aio.Channel):
-    """A `grpc.aio.Channel` over all servers of the endpoint list. For the event loop that first uses it."""
+    """A `grpc.aio.Channel` to all servers of the endpoint list.
+
+    It belongs to the process that creates it, and to the event loop that uses it first.
+    """
 
     def __init__(
         self,
@@ -74,9 +80,10 @@
         compression: grpc.Compression | None = None,
         alone: bool = False,
     ) -> None:
-        """`config` is a checked configuration; `alone` shares no endpoint list and decisions with others.
+        """`config` is a checked configuration. With `alone`, endpoint list and decisions are not shared.
 
-        Raises ValueError for an interceptor that is none.
+        `credentials` replace those of the configuration. Raises ValueError if an element of `interceptors` is
+        not an interceptor.
         """
         self._config = config
         self._credentials = credentials
@@ -85,16 +92,19 @@
         self._alone = alone
         self._interceptors = sort_by_kind(interceptors)
         self._pid = os.getpid()
-        self._parts: ChannelParts | None = None  # made when first used
+        self._parts: ChannelParts | None = None  # created on first use
         self._calls: set[BalancedCall] = set()
         self._closed = False
 
     @classmethod
     def from_config(cls, path: str | Path, **keywords: Any) -> Self:
-        """A channel as a TOML file says. ConfigError is one line that names the file and the key."""
+        """Create a channel from a TOML file; `keywords` are those of the constructor.
+
+        Raises ConfigError with a message of one line that names the file and the key.
+        """
         return cls(load_client_config(path), **keywords)
 
-    # Its parts, made when first used: only then is the event loop known
+    # The parts are created on first use, as the event loop is not known before.
 
     def _security(self) -> ChannelSecurity:
         tls = self._config.rpc.tls
@@ -105,12 +115,15 @@
         return ChannelSecurity(credentials, (*self._options, *target_name), self._compression)
 
     def _ensure_started(self) -> ChannelParts:
-        """The parts. RuntimeError or grpc.aio.UsageError if this is not where they may be used."""
+        """Create the parts on first use and return them.
+
+        Raises grpc.aio.UsageError if the channel is closed, and RuntimeError in another process or loop.
+        """
         if self._closed:
             raise grpc.aio.UsageError("Channel is closed.")
         if os.getpid() != self._pid:
             raise RuntimeError(
-                f"this channel belongs to process {self._pid}: after a fork, make one in the new process"
+                f"this channel belongs to process {self._pid}: after a fork, create one in the new process"
             )
         loop = asyncio.get_running_loop()
         if self._parts is None:
@@ -120,7 +133,7 @@
             pool = SubchannelPool(shared.deadlines, rpc.max_subchannels, rpc.idle_timeout, security)
             self._parts = ChannelParts(shared, pool)
         elif self._parts.shared.loop is not loop:
-            raise RuntimeError("this channel belongs to another event loop: make one in this loop")
+            raise RuntimeError("this channel belongs to another event loop: create one in this loop")
         return self._parts
 
     def check_usable(self) -> None:
@@ -135,7 +148,7 @@
         await self.close()
 
     async def close(self, grace: float | None = None) -> None:
-        """No new calls; those that are open have `grace` seconds to end, and are cancelled then."""
+        """Close the channel for new calls, and cancel open ones after `grace` seconds, by default at once."""
         if self._closed:
             return
         self._closed = True
@@ -158,10 +171,10 @@
         except TimeoutError:
             pass
 
-    # Its state: of the endpoint list, as no one connection says anything of all
+    # The connectivity state is that of the endpoint list, as no single connection represents all servers.
 
     def get_state(self, try_to_connect: bool = False) -> grpc.ChannelConnectivity:
-        """READY while the endpoint list names a server that may be sent to."""
+        """Return the connectivity state: READY while the endpoint list has a server that accepts calls."""
         if self._closed:
             return grpc.ChannelConnectivity.SHUTDOWN
         if self._parts is None and not try_to_connect:
@@ -174,19 +187,19 @@
         return grpc.ChannelConnectivity.CONNECTING
 
     async def wait_for_state_change(self, last_observed_state: grpc.ChannelConnectivity) -> None:
-        """Wait until the state is another than `last_observed_state`."""
+        """Wait until the state differs from `last_observed_state`."""
         shared = self._ensure_started().shared
         while self.get_state() is last_observed_state:
             await shared.wait_for_change()
 
     async def channel_ready(self) -> None:
-        """Wait until the endpoint list names a server that may be sent to."""
+        """Wait until the endpoint list has a server that accepts calls."""
         while (state := self.get_state(try_to_connect=True)) is not grpc.ChannelConnectivity.READY:
             await self.wait_for_state_change(state)
 
     @property
     def roster_age(self) -> float:
-        """Seconds since discovery last gave a sign of life; infinite before the first."""
+        """Seconds since discovery last responded; infinite before its first response."""
         return self._ensure_started().shared.list_age_ms / MS_PER_S
 
     # Methods
@@ -207,7 +220,7 @@
         response_deserializer: Any = None,
         _registered_method: bool | None = False,
     ) -> Any:
-        """The method of this path, with one request and one response."""
+        """Return the multicallable of a method with one request and one response."""
         return self._multicallable(method, UNARY_UNARY, request_serializer, response_deserializer)
 
     def unary_stream(
@@ -217,7 +230,7 @@
         response_deserializer: Any = None,
         _registered_method: bool | None = False,
     ) -> Any:
-        """The method of this path, with one request and a stream of responses."""
+        """Return the multicallable of a method with one request and a stream of responses."""
         return self._multicallable(method, UNARY_STREAM, request_serializer, response_deserializer)
 
     def stream_unary(
@@ -227,7 +240,7 @@
         response_deserializer: Any = None,
         _registered_method: bool | None = False,
     ) -> Any:
-        """The method of this path, with a stream of requests and one response."""
+        """Return the multicallable of a method with a stream of requests and one response."""
         return self._multicallable(method, STREAM_UNARY, request_serializer, response_deserializer)
 
     def stream_stream(
@@ -237,11 +250,11 @@
         response_deserializer: Any = None,
         _registered_method: bool | None = False,
     ) -> Any:
-        """The method of this path, with streams both ways."""
+        """Return the multicallable of a method with streams of requests and responses."""
         return self._multicallable(method, STREAM_STREAM, request_serializer, response_deserializer)
 
     def call(self, method: Method, request: Any, options: CallOptions) -> BalancedCall:
-        """Begin a call. RuntimeError or grpc.aio.UsageError if the channel can't be used here."""
+        """Start a call. Raises the errors of `check_usable`."""
         shared, pool = self._ensure_started()
         call = CALLS[method.kind](shared, pool, method, options, request, self._calls.discard)
         if not call.done():
--- a/puffindeck/rpc/intercepted_calls.py
+++ b/puffindeck/rpc/intercepted_calls.py
@@ -1,4 +1,4 @@
-"""The four kinds of calls with interceptors, as grpc.aio's users know them."""
+"""Calls with interceptors, with the APIs of grpc.aio's four kinds of calls."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import grpc
 from grpc.aio import EOF, AioRpcError, Metadata
 
-from puffindeck.rpc.interceptor_chain import BeginCall, InterceptorChain
+from puffindeck.rpc.interceptor_chain import InterceptorChain, StartCall
 from puffindeck.rpc.method import (
     STREAM_STREAM,
     STREAM_UNARY,
@@ -24,13 +24,13 @@
 
 
 class WrittenMessages:
-    """Messages of `write` as the async iterator that interceptors are handed."""
+    """Provides the messages of `write` as the async iterator that interceptors receive."""
 
     def __init__(self) -> None:
         self._queue: asyncio.Queue[Any] = asyncio.Queue(1)
 
     async def put(self, message: Any) -> None:
-        """Hand over a message, or EOF as the last; waits while the one before was not read."""
+        """Add a message, or EOF after the last one, once the previous message has been read."""
         await self._queue.put(message)
 
     async def __aiter__(self) -> AsyncIterator[Any]:
@@ -39,23 +39,23 @@
 
 
 class InterceptedCall:
-    """A call that the interceptors are still making, or have made."""
+    """A call that the interceptors are making or have made."""
 
     def __init__(
         self,
         interceptors: Sequence[Any],
-        begin: BeginCall,
+        start_call: StartCall,
         method: Method,
         request: Any,
         options: CallOptions,
     ) -> None:
-        """`request` is a message, or an iterator of messages, or None where `write` sends them."""
+        """`request` is a message, an iterator of messages, or None if the application uses `write`."""
         self._options = options
         self._callbacks: list[Callable[[Any], None]] = []
         self._written = WrittenMessages() if method.request_stream and request is None else None
         self._done_writing = False
         self._responses: AsyncIterator[Any] | None = None
-        self._chain = InterceptorChain(interceptors, begin, method, options)
+        self._chain = InterceptorChain(interceptors, start_call, method, options)
         first_request = self._written if self._written is not None else request
         running = self._chain.run(self._chain.call_details(), first_request)
         self._task = asyncio.get_running_loop().create_task(running)
@@ -67,13 +67,17 @@
             self.add_done_callback(callback)
 
     def _call(self) -> Any:
-        """The call that the interceptors made; None while they are making it or if they failed."""
+        """Return the call that the interceptors made, or None if they are still making it or have failed."""
         if self._task.done() and not self._task.cancelled() and self._task.exception() is None:
             return self._task.result()
         return None
 
     async def _from_call(self, getter: str, if_cancelled: Any) -> Any:
-        """What the call's `getter` says; of an interceptor's AioRpcError, what that says."""
+        """Wait for the call and return the result of its method `getter`.
+
+        If an interceptor raised AioRpcError, the error's method of this name is used. If the interceptors
+        were cancelled, the result is `if_cancelled`.
+        """
         try:
             call = await asyncio.shield(self._task)
         except AioRpcError as error:
@@ -87,12 +91,12 @@
     # grpc.aio.Call
 
     def cancel(self) -> bool:
-        """Cancel the call, or the interceptors that are making it. False if it had ended."""
+        """Cancel the call, or the interceptors that are making it. Return False if it had already ended."""
         call = self._call()
         return bool(call.cancel() if call is not None else self._task.cancel())
 
     def cancelled(self) -> bool:
-        """Was the call cancelled?"""
+        """Return whether the call was cancelled."""
         if self._task.cancelled():
             return True
         call = self._call()
@@ -102,13 +106,13 @@
         return isinstance(error, AioRpcError) and error.code() is grpc.StatusCode.CANCELLED
 
     def done(self) -> bool:
-        """Has the call ended, or have the interceptors failed?"""
+        """Return whether the call has ended or the interceptors have failed."""
         call = self._call()
         return bool(call.done()) if call is not None else self._task.done()
 
     def time_remaining(self) -> float | None:
         """Seconds to the deadline; None without one."""
-        call = self._call() or self._chain.begun_call
+        call = self._call() or self._chain.underlying_call
         return self._options.timeout if call is None else call.time_remaining()
 
     def add_done_callback(self, callback: Callable[[Any], None]) -> None:
@@ -138,11 +142,14 @@
         return await self._from_call("details", CANCELLED.details)
 
     async def debug_error_string(self) -> Any:
-        """The code and text of an error, once the call has ended; empty if all went well."""
+        """Wait until the call has ended and return its error code and text; empty if the status is OK."""
         return await self._from_call("debug_error_string", "")
 
     async def wait_for_connection(self) -> None:
-        """Wait until the call has begun at a server. Raises what its caller sees if it ends before."""
+        """Wait until the call is established at a server.
+
+        If the call or its interceptors fail before, raises their error.
+        """
         call = await asyncio.shield(self._task)
         await call.wait_for_connection()
 
@@ -164,27 +171,27 @@
         return self._responses
 
     async def read(self) -> Any:
-        """The next response, or EOF once all went well. Raises AioRpcError for any other end."""
+        """Wait for the next response; EOF after a stream that ended with OK. Raises any other end's error."""
         return await anext(aiter(self), EOF)
 
     # Requests
 
     async def write(self, message: Any) -> None:
-        """Send a message; waits until it is read.
+        """Send a message, and wait until the queue to the interceptors has accepted it.
 
-        Raises grpc.aio.UsageError beside an iterator, asyncio.InvalidStateError after the end of the call or
-        after `done_writing`.
+        Raises grpc.aio.UsageError if the call was given an iterator, and asyncio.InvalidStateError after the
+        end of the call or after `done_writing`.
         """
         await self._put(message)
 
     async def done_writing(self) -> None:
-        """No more will be written. Raises as `write` does, but twice is once."""
+        """End the request stream. Raises the errors of `write`, except that repeated calls are ignored."""
         if not self._done_writing:
             await self._put(EOF)
             self._done_writing = True
 
     async def _put(self, message: Any) -> None:
-        """Hand a message to whoever reads the iterator, unless the call ends first."""
+        """Pass a message to the reader of the iterator, unless the call ends first."""
         if self._written is None:
             raise grpc.aio.UsageError(MIXED_STYLES)
         if self._done_writing:
@@ -205,19 +212,19 @@
 
 
 class InterceptedUnaryUnary(InterceptedCall, grpc.aio.UnaryUnaryCall[Any, Any]):
-    """One request, one response."""
+    """A call with one request and one response."""
 
 
 class InterceptedUnaryStream(InterceptedCall, grpc.aio.UnaryStreamCall[Any, Any]):
-    """One request, a stream of responses."""
+    """A call with one request and a stream of responses."""
 
 
 class InterceptedStreamUnary(InterceptedCall, grpc.aio.StreamUnaryCall[Any, Any]):
-    """A stream of requests, one response."""
+    """A call with a stream of requests and one response."""
 
 
 class InterceptedStreamStream(InterceptedCall, grpc.aio.StreamStreamCall[Any, Any]):
-    """Streams both ways."""
+    """A call with streams of requests and responses."""
 
 
 INTERCEPTED_CALLS: dict[CallKind, type[InterceptedCall]] = {
--- a/puffindeck/rpc/interceptor_chain.py
+++ b/puffindeck/rpc/interceptor_chain.py
@@ -1,4 +1,4 @@
-"""Interceptors of grpc.aio around a balanced call: they see one call, whatever attempts it takes."""
+"""Runs grpc.aio interceptors around a balanced call. They see one call, however many attempts it makes."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
     Method,
 )
 
-BeginCall = Callable[[Method, Any, CallOptions], grpc.aio.Call]
+StartCall = Callable[[Method, Any, CallOptions], grpc.aio.Call]
 
 
 class InterceptorKind(NamedTuple):
-    """The interceptors of one kind of call: their class, and the method that they implement."""
+    """The interceptor API of one kind of call: the base class, and the method that interceptors implement."""
 
     base: type[Any]
     method_name: str
@@ -38,7 +38,7 @@
 
 
 def sort_by_kind(interceptors: Sequence[Any]) -> dict[CallKind, list[Any]]:
-    """The interceptors of each kind of call, in their order. ValueError for what is no interceptor."""
+    """Group interceptors by kind of call, in their order. Raises ValueError for other objects."""
     bases = tuple(kind.base for kind in INTERCEPTOR_KINDS.values())
     for interceptor in interceptors:
         if not isinstance(interceptor, bases):
@@ -50,20 +50,20 @@
 
 
 class InterceptorChain:
-    """Runs a call through its interceptors; the last one's continuation begins the balanced call."""
+    """Runs a call through its interceptors. The continuation of the last one starts the balanced call."""
 
     def __init__(
-        self, interceptors: Sequence[Any], begin: BeginCall, method: Method, options: CallOptions
+        self, interceptors: Sequence[Any], start_call: StartCall, method: Method, options: CallOptions
     ) -> None:
         self._interceptors = list(interceptors)
-        self._begin = begin
+        self._start_balanced_call = start_call
         self._method = method
         self._options = options
         self._method_name = INTERCEPTOR_KINDS[method.kind].method_name
-        self.begun_call: grpc.aio.Call | None = None  # by the last continuation that was called
+        self.underlying_call: grpc.aio.Call | None = None  # the latest call that a continuation started
 
     def call_details(self) -> ClientCallDetails:
-        """The options of the call as the first interceptor gets them."""
+        """Return the call's options in the form that the first interceptor receives."""
         options = self._options
         metadata = options.metadata
         if metadata is not None and not isinstance(metadata, Metadata):
@@ -73,21 +73,21 @@
         )
 
     async def run(self, details: ClientCallDetails, request: Any, position: int = 0) -> Any:
-        """The call that the interceptors from `position` on return. Raises what they raise."""
+        """Run the interceptors from `position` on and return their call. Raises their errors."""
         if position == len(self._interceptors):
-            return self._begin_call(details, request)
+            return self._start_call(details, request)
 
         async def continuation(changed_details: ClientCallDetails, changed_request: Any) -> Any:
-            """The call as the interceptors after this one return it. Raises what they raise."""
+            """Run the interceptors after this one and return their call. Raises their errors."""
             return await self.run(changed_details, changed_request, position + 1)
 
         intercept = getattr(self._interceptors[position], self._method_name)
         returned = await intercept(continuation, details, request)
         if isinstance(returned, grpc.aio.Call):
             return returned
-        return InterceptorResponse(returned, self.begun_call)
+        return InterceptorResponse(returned, self.underlying_call)
 
-    def _begin_call(self, details: ClientCallDetails, request: Any) -> grpc.aio.Call:
+    def _start_call(self, details: ClientCallDetails, request: Any) -> grpc.aio.Call:
         path = details.method if isinstance(details.method, str) else details.method.decode()
         options = CallOptions(
             details.timeout,
@@ -97,5 +97,5 @@
             self._options.compression,
         )
         method = self._method if path == self._method.path else self._method._replace(path=path)
-        self.begun_call = self._begin(method, request, options)
-        return self.begun_call
+        self.underlying_call = self._start_balanced_call(method, request, options)
+        return self.underlying_call
--- a/puffindeck/rpc/library_call.py
+++ b/puffindeck/rpc/library_call.py
@@ -1,4 +1,4 @@
-"""The part of grpc.aio's own calls that attempts use."""
+"""The part of grpc.aio's call API that attempts use."""
 
 from __future__ import annotations
 
@@ -10,40 +10,40 @@
 
 
 class LibraryCall(Protocol):
-    """A call of grpc.aio on the channel to one server, of any of the four kinds.
+    """A grpc.aio call, of any of the four kinds, on the channel to one server.
 
-    Calls with one response are awaited, those with a stream of responses read; those with a stream of
-    requests are written to.
+    Calls with a single response are awaited, and calls with a response stream are read. Calls with a request
+    stream are written to.
     """
 
     def __await__(self) -> Generator[Any, None, Any]: ...
 
     def cancel(self) -> bool:
-        """Cancel it. False if it had ended."""
+        """Cancel the call. Return False if it had already ended."""
 
     def done(self) -> bool:
-        """Has it ended?"""
+        """Return whether the call has ended."""
 
     def add_done_callback(self, callback: Callable[[Any], None]) -> None:
-        """Call `callback` once it has ended."""
+        """Call `callback` when the call ends."""
 
     async def initial_metadata(self) -> Metadata:
-        """The initial metadata, once the server has sent it or the call has ended."""
+        """Wait until the server has sent the initial metadata, or the call has ended, and return it."""
 
     async def trailing_metadata(self) -> Metadata:
-        """The trailing metadata, once the call has ended."""
+        """Wait until the call has ended and return the trailing metadata."""
 
     async def code(self) -> grpc.StatusCode:
-        """The status code, once the call has ended."""
+        """Wait until the call has ended and return the status code."""
 
     async def details(self) -> str:
-        """The status's text, once the call has ended."""
+        """Wait until the call has ended and return the status text."""
 
     async def read(self) -> Any:
-        """The next response, or grpc.aio.EOF. Raises AioRpcError."""
+        """Wait for the next response, or grpc.aio.EOF. Raises AioRpcError."""
 
     async def write(self, message: Any) -> None:
-        """Send a message. Raises AioRpcError, or asyncio.InvalidStateError after the end."""
+        """Send a message. Raises AioRpcError, or asyncio.InvalidStateError after the end of the call."""
 
     async def done_writing(self) -> None:
-        """No more messages will be written."""
+        """End the request stream."""
--- a/puffindeck/rpc/method.py
+++ b/puffindeck/rpc/method.py
@@ -1,4 +1,4 @@
-"""A method of a gRPC service, and the options that one call of it is made with."""
+"""A method of a gRPC service, and the options of a call."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CallKind(NamedTuple):
-    """Whether each side of a method sends one message or a stream of them."""
+    """Whether the client and the server each send a single message or a stream of messages."""
 
     request_stream: bool
     response_stream: bool
@@ -22,22 +22,22 @@
 
 
 class Method(NamedTuple):
-    """A method as a stub names it, and its class of request."""
+    """A method of a stub, and the class of its requests."""
 
-    path: str
+    path: str  # "/package.Service/Method"
     request_stream: bool
     response_stream: bool
     serializer: Callable[[Any], bytes] | None
     deserializer: Callable[[bytes], Any] | None
-    cls: int
+    class_number: int  # the index of the request class in the settings
 
     @property
     def kind(self) -> CallKind:
-        """Which of gRPC's four kinds of call it is."""
+        """The kind of call: one of gRPC's four."""
         return CallKind(self.request_stream, self.response_stream)
 
     def multicallable(self, channel: grpc.aio.Channel) -> Any:
-        """grpc.aio's own multicallable for it, on a channel to one server."""
+        """Return grpc.aio's multicallable for this method on a channel to one server."""
         request = "stream" if self.request_stream else "unary"
         response = "stream" if self.response_stream else "unary"
         make = getattr(channel, f"{request}_{response}")
@@ -45,10 +45,10 @@
 
 
 class CallOptions(NamedTuple):
-    """The options of one call, as grpc.aio has them."""
+    """The options of a call, as in grpc.aio."""
 
     timeout: float | None  # seconds
-    metadata: Any  # grpc.aio.Metadata, or pairs of a name and a value
+    metadata: Any  # None, grpc.aio.Metadata, or pairs of a name and a value
     credentials: grpc.CallCredentials | None
     wait_for_ready: bool
     compression: grpc.Compression | None
--- a/puffindeck/rpc/multicallables.py
+++ b/puffindeck/rpc/multicallables.py
@@ -1,4 +1,4 @@
-"""The methods of a stub, as grpc.aio's multicallables: called, they begin a balanced call."""
+"""The methods of a stub as grpc.aio multicallables, which start balanced calls."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 
 
 class CallFactory(Protocol):
-    """The channel that begins a stub's calls."""
+    """The channel that starts a stub's calls."""
 
     def check_usable(self) -> None:
-        """Raise RuntimeError or grpc.aio.UsageError where the channel can't be used."""
+        """Raise RuntimeError or grpc.aio.UsageError if the channel can't be used here."""
 
     def call(self, method: Method, request: Any, options: CallOptions) -> Any:
-        """Begin a call. Raises as `check_usable` does."""
+        """Start a call. Raises the errors of `check_usable`."""
 
 
 class Multicallable:
-    """A method of a stub, with the interceptors of its kind."""
+    """A method of a stub, with the interceptors for its kind of call."""
 
     def __init__(self, channel: CallFactory, method: Method, interceptors: Sequence[Any]) -> None:
         self._channel = channel
         self._method = method
         self._interceptors = interceptors
 
-    def begin(
+    def start_call(
         self,
         request: Any,
         timeout: float | None,
@@ -46,17 +46,17 @@
         wait_for_ready: bool | None,
         compression: grpc.Compression | None,
     ) -> Any:
-        """Begin a call with the options that the application gave; `timeout` in seconds."""
+        """Start a call with the options that the application gave. `timeout` is in seconds."""
         options = CallOptions(timeout, metadata, credentials, bool(wait_for_ready), compression)
         if not self._interceptors:
             return self._channel.call(self._method, request, options)
         call_type = INTERCEPTED_CALLS[self._method.kind]
-        self._channel.check_usable()  # raises here, as it does without interceptors
+        self._channel.check_usable()  # raises immediately, as without interceptors
         return call_type(self._interceptors, self._channel.call, self._method, request, options)
 
 
-class OneRequestMulticallable(Multicallable):
-    """A method whose request is one message."""
+class UnaryRequestMulticallable(Multicallable):
+    """A method whose request is a single message."""
 
     def __call__(
         self,
@@ -68,7 +68,7 @@
         wait_for_ready: bool | None = None,
         compression: grpc.Compression | None = None,
     ) -> Any:
-        return self.begin(request, timeout, metadata, credentials, wait_for_ready, compression)
+        return self.start_call(request, timeout, metadata, credentials, wait_for_ready, compression)
 
 
 class RequestStreamMulticallable(Multicallable):
@@ -83,23 +83,23 @@
         wait_for_ready: bool | None = None,
         compression: grpc.Compression | None = None,
     ) -> Any:
-        return self.begin(request_iterator, timeout, metadata, credentials, wait_for_ready, compression)
+        return self.start_call(request_iterator, timeout, metadata, credentials, wait_for_ready, compression)
 
 
-class UnaryUnary(OneRequestMulticallable, grpc.aio.UnaryUnaryMultiCallable[Any, Any]):
-    """One request, one response."""
+class UnaryUnary(UnaryRequestMulticallable, grpc.aio.UnaryUnaryMultiCallable[Any, Any]):
+    """A method with one request and one response."""
 
 
-class UnaryStream(OneRequestMulticallable, grpc.aio.UnaryStreamMultiCallable[Any, Any]):
-    """One request, a stream of responses."""
+class UnaryStream(UnaryRequestMulticallable, grpc.aio.UnaryStreamMultiCallable[Any, Any]):
+    """A method with one request and a stream of responses."""
 
 
 class StreamUnary(RequestStreamMulticallable, grpc.aio.StreamUnaryMultiCallable[Any, Any]):
-    """A stream of requests, one response."""
+    """A method with a stream of requests and one response."""
 
 
 class StreamStream(RequestStreamMulticallable, grpc.aio.StreamStreamMultiCallable[Any, Any]):
-    """Streams both ways."""
+    """A method with streams of requests and responses."""
 
 
 MULTICALLABLES: dict[CallKind, type[Multicallable]] = {
--- a/puffindeck/rpc/replay_buffer.py
+++ b/puffindeck/rpc/replay_buffer.py
@@ -1,4 +1,4 @@
-"""The messages of a request stream, buffered until the call can't be retried any more. No I/O."""
+"""Buffers the messages of a request stream as long as the call can be retried. Does no I/O."""
 
 from __future__ import annotations
 
@@ -6,45 +6,46 @@
 from collections import deque
 from typing import Any, Final
 
-END_OF_REQUESTS: Final = object()  # `next` returns it once the application has written its last message
+END_OF_REQUESTS: Final = object()  # returned by `next` after the application's last message
 
 
 class ReplayBuffer:
-    """What the application has written. Each attempt reads it from the start until the call is committed.
+    """The messages that the application has written. Each attempt reads them from the first one on.
 
-    `limit` messages are buffered at most: one more commits the call, as what was dropped can't be replayed.
+    At most `limit` messages are buffered. One more message commits the call to its current attempt, because
+    messages that are no longer buffered can't be replayed. From then on, sent messages are dropped.
     """
 
     def __init__(self, limit: int) -> None:
         self._limit = limit
         self._messages: deque[Any] = deque()
-        self._first_number = 0  # of the oldest buffered message
-        self._sent_count = 0  # how many messages the current attempt has sent
+        self._first_number = 0  # number of the oldest buffered message
+        self._sent_count = 0  # messages that the current attempt has sent
         self.committed = False
         self.closed = False
         self._changed = asyncio.Event()
 
     def __len__(self) -> int:
-        """How many messages were written so far."""
+        """The number of messages written so far."""
         return self._first_number + len(self._messages)
 
     def add(self, message: Any) -> bool:
-        """Take a message. False if it is one more than the limit: the call must be committed."""
+        """Add a message. Return False if the limit is exceeded, so that the call must be committed."""
         self._messages.append(message)
         self._changed.set()
         return self.committed or len(self._messages) <= self._limit
 
     def close(self) -> None:
-        """The application has written its last message."""
+        """Mark the end of the application's messages."""
         self.closed = True
         self._changed.set()
 
     def restart(self) -> None:
-        """A new attempt begins: it reads from the start."""
+        """Start a new attempt, which sends the messages from the first one on."""
         self._sent_count = 0
 
     def commit(self) -> None:
-        """The call won't be retried: drop what was sent."""
+        """Commit the call, which can no longer be retried, and drop the messages that were sent."""
         self.committed = True
         self._drop_sent()
 
@@ -54,18 +55,18 @@
             self._first_number += 1
 
     def mark_sent(self) -> None:
-        """The attempt has sent the message that `next` gave it last."""
+        """Record that the attempt has sent the message that `next` returned last."""
         self._sent_count += 1
         if self.committed:
             self._drop_sent()
         self._changed.set()
 
     def all_sent(self) -> bool:
-        """Has the current attempt sent every message written so far?"""
+        """Return whether the current attempt has sent all messages written so far."""
         return self._sent_count >= len(self)
 
     async def next(self) -> Any:
-        """The next message for the current attempt; END_OF_REQUESTS once it has sent the last."""
+        """Wait for the next message of the current attempt; END_OF_REQUESTS after the last one."""
         while self.all_sent():
             if self.closed:
                 return END_OF_REQUESTS
@@ -73,10 +74,10 @@
         return self._messages[self._sent_count - self._first_number]
 
     async def wait_for_change(self) -> None:
-        """Wait until something was written or sent, the stream was closed, or `notify` was called."""
+        """Wait until a message is written or sent, the stream is closed, or `notify` is called."""
         self._changed.clear()
         await self._changed.wait()
 
     def notify(self) -> None:
-        """Wake whoever waits for a change: the call may have ended."""
+        """Wake the tasks that wait for a change, because the call may have ended."""
         self._changed.set()
--- a/puffindeck/rpc/request_stream.py
+++ b/puffindeck/rpc/request_stream.py
@@ -1,4 +1,4 @@
-"""What the application sends in a call whose request is a stream: an iterator's messages, or `write`'s."""
+"""The application's messages of a request stream, from an iterator or from calls of `write`."""
 
 from __future__ import annotations
 
@@ -17,24 +17,27 @@
 
 
 class StreamedCall(Protocol):
-    """What a request stream needs of its call."""
+    """The part of a call that its request stream uses."""
 
     @property
     def completion(self) -> CallCompletion:
-        """The end of the call."""
+        """The completion of the call."""
 
     def is_established(self) -> bool:
-        """Has the call begun at a server, so that it won't be retried?"""
+        """Return whether the call is established at a server, after which it is not retried."""
 
     def commit(self) -> None:
-        """Stay with the current attempt: the call can't be retried any more."""
+        """Establish the current attempt: the call can no longer be retried."""
 
     def abort(self, error: Exception) -> None:
-        """End the call, as the application's own code has raised."""
+        """End the call with an error that the application's own code raised."""
 
 
 class RequestStream:
-    """Takes the application's messages into a replay buffer, no faster than they are sent."""
+    """Adds the application's messages to a replay buffer.
+
+    Beyond the buffer's limit, messages are accepted no faster than they are sent.
+    """
 
     def __init__(
         self,
@@ -43,19 +46,22 @@
         limit: int,
         messages: AsyncIterable[Any] | Iterable[Any] | None,
     ) -> None:
-        """`limit` is the number of messages that are buffered for retries; without `messages` use `write`."""
+        """`limit` is the number of messages that are buffered for retries.
+
+        If `messages` is None, the application uses `write`.
+        """
         self.buffer = ReplayBuffer(limit)
         self._call = call
         self._from_iterator = messages is not None
-        self._feeding: asyncio.Task[None] | None = None
+        self._feed_task: asyncio.Task[None] | None = None
         if messages is not None:
-            self._feeding = loop.create_task(self._feed(messages))
+            self._feed_task = loop.create_task(self._feed(messages))
 
     async def write(self, message: Any) -> None:
-        """Send a message; waits while earlier ones are not sent yet.
+        """Send a message. Waits until it is sent, or buffered for retries of a call that is not established.
 
-        Raises grpc.aio.UsageError beside an iterator, asyncio.InvalidStateError after the end of the call or
-        after `done_writing`, and the call's own error where it ends meanwhile.
+        Raises grpc.aio.UsageError if the call was given an iterator, asyncio.InvalidStateError after the end
+        of the call or after `done_writing`, and the call's own error if the call has failed.
         """
         if self._from_iterator:
             raise grpc.aio.UsageError(MIXED_STYLES)
@@ -70,15 +76,15 @@
             completion.raise_unless_ok()
 
     def done_writing(self) -> None:
-        """No more will be written. Raises grpc.aio.UsageError beside an iterator."""
+        """End the stream. Raises grpc.aio.UsageError if the call was given an iterator."""
         if self._from_iterator:
             raise grpc.aio.UsageError(MIXED_STYLES)
         self.buffer.close()
 
     def stop(self) -> None:
-        """The call has ended: read the application's iterator no further."""
-        if self._feeding is not None:
-            self._feeding.cancel()
+        """Stop reading the application's iterator, as the call has ended."""
+        if self._feed_task is not None:
+            self._feed_task.cancel()
 
     async def _feed(self, messages: AsyncIterable[Any] | Iterable[Any]) -> None:
         try:
@@ -93,13 +99,13 @@
             self._call.abort(error)
 
     async def _add(self, message: Any) -> None:
-        """Buffer a message, and wait until it is sent or may be left in the buffer."""
+        """Buffer a message, and wait until it is sent or can stay in the buffer."""
         call = self._call
         buffer = self.buffer
         fits = buffer.add(message)
         while call.completion.status is None:
             if not fits and buffer.all_sent() and not call.is_established():
-                # more than is buffered for a retry: the server that has the call keeps it
+                # The buffer's limit is exceeded, so the call can't be replayed at another server.
                 call.commit()
                 fits = True
             if buffer.all_sent() or (fits and not call.is_established()):
--- a/puffindeck/rpc/resuming.py
+++ b/puffindeck/rpc/resuming.py
@@ -1,4 +1,4 @@
-"""A stream that goes on: requested again where it ended, when it was migrated, rejected or broken off."""
+"""Resumes a response stream that was migrated, rejected or broken, with a new call for each resumption."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 from puffindeck.rpc.status import is_migrated, retry_after
 
-FIRST_BACKOFF_S = 0.2  # the pause after a stream that broke; doubled with each further one
+FIRST_BACKOFF_S = 0.2  # delay after the first broken stream; doubles with each consecutive failure
 MAX_BACKOFF_S = 5.0
-MIGRATION_SPREAD_S = 0.2  # a migrated stream is requested again within this: others may have migrated too
-MAX_RETRY_AFTER_S = 3600.0  # a longer one is "never" by gRPC's A6, or as good as
+# Migrated streams are requested again after a random delay up to this, as many may migrate at the same time.
+MIGRATION_SPREAD_S = 0.2
+MAX_RETRY_AFTER_S = 3600.0  # a longer time counts as gRFC A6's "do not retry"
 
 
 async def resuming(
@@ -24,17 +25,20 @@
     tries: int = 8,
     random: Random | None = None,
 ) -> AsyncGenerator[Any, None]:
-    """The messages of a stream, over as many streams as it takes.
+    """Yield the messages of a stream, and request the stream again when it is interrupted.
 
-    `begin` is called with the last message received (None at first) and returns a call with a stream of
-    responses; it says in its request where to go on. A stream that was migrated is requested again at once, a
-    rejected one when its Retry-After says, a broken one after a backoff. After `tries` in a row without any
-    message, or for any other status, the last AioRpcError is raised. Messages may come twice or be left out
-    where a server can't go on from what `begin` requests: that is between the two.
+    `begin` is called with the last message received, or None at first, and returns a call with a stream of
+    responses. Its request tells the server where to resume. A migrated stream is requested again within
+    0.2 s, a rejected stream after its Retry-After time, and a broken stream after an exponential backoff with
+    jitter.
+
+    Raises the last AioRpcError after more than `tries` consecutive failures without a message, for any status
+    other than UNAVAILABLE, and for a Retry-After time over an hour. Messages can be repeated or lost if a
+    server can't resume where `begin` asks it to; the application must handle that.
     """
     jitter = random or Random()
     last: Any = None
-    failures = 0  # in a row
+    failures = 0  # consecutive failures without a message
     while True:
         call = begin(last)
         try:
@@ -55,7 +59,7 @@
 
 
 def _pause_s(error: AioRpcError, failures: int, jitter: Random) -> float | None:
-    """Seconds to wait before the stream is requested again; None if it must not be."""
+    """Return the seconds to wait before the stream is requested again; None if it must not be."""
     if is_migrated(error):
         return MIGRATION_SPREAD_S * jitter.random()
     if error.code() is not grpc.StatusCode.UNAVAILABLE:
--- a/puffindeck/rpc/routing_keys.py
+++ b/puffindeck/rpc/routing_keys.py
@@ -1,4 +1,4 @@
-"""The key and the group that a call is placed by, as its metadata names them."""
+"""The key and group in a call's metadata, by which the decision module chooses a server."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class RoutingKeys(NamedTuple):
-    """A call is placed by its group where it has one (not 0), else by its key."""
+    """The numbers by which a call is placed: its group, or its key if the group is 0 (none)."""
 
     key: int
     group: int
 
 
 def read_routing_keys(metadata: Any, config: RpcConfig, random: Random) -> RoutingKeys:
-    """The key and group in a call's metadata. A call without a key gets a random one."""
+    """Return the key and group in a call's metadata. A call without a key gets a random one."""
     key = 0
     group = 0
     for name, value in metadata or ():
@@ -27,7 +27,8 @@
             key = _key_number(value)
         elif name == config.group_metadata:
             group = _key_number(value)
-    # numbers of requests are alike in all clients: as keys they would lead all to one server
+    # A request's number can't replace the key: clients number their requests alike, so that all clients would
+    # choose the same server.
     key = key or random.getrandbits(RANDOM_KEY_BITS) | 1
     return RoutingKeys(key, group)
 
--- a/puffindeck/rpc/shared_state.py
+++ b/puffindeck/rpc/shared_state.py
@@ -1,4 +1,4 @@
-"""What the channels of one configuration share in an event loop: endpoint list, decision state, clock."""
+"""State that channels of the same configuration and event loop share: endpoint list, decisions and clock."""
 
 from __future__ import annotations
 
@@ -20,62 +20,63 @@
 from puffindeck.service_discovery.asyncio_watch import EndpointWatch
 from puffindeck.service_discovery.directory import Directory
 
-_OBSERVER: Any = STDLibLogObserver("puffindeck")  # a partner's process logs with the standard library
+# Forwards Twisted's log to the standard library's `logging`, which applications of the plug-in use.
+_OBSERVER: Any = STDLibLogObserver("puffindeck")
 
 
 class ClientDecisions(Decisions, Protocol):
-    """The decision module of one client, or one for each pool."""
+    """The decision module of a client, without or with pools."""
 
     @property
     def random(self) -> Random:
-        """The module's seeded generator."""
+        """The module's seeded random number generator."""
 
     @property
     def ready(self) -> object:
-        """True where the endpoint list names a server that may be sent to."""
+        """A true value if the endpoint list has a server that accepts calls."""
 
     @property
     def version(self) -> int:
-        """The version of the endpoint list; under 0 before the first."""
+        """The version of the endpoint list; negative before the first list."""
 
     @property
     def list_failures(self) -> int:
-        """How often in a row the list could not be had."""
+        """The number of consecutive failures to obtain the endpoint list."""
 
     def heard(self, now_ms: float) -> None:
-        """Discovery has given a sign of life."""
+        """Record that discovery has responded at `now_ms`, on the clock of the engine."""
 
     def age_ms(self, now_ms: float) -> float:
-        """Milliseconds since the last sign of life; infinite before the first."""
+        """Return the milliseconds since discovery last responded; infinite before its first response."""
 
 
 class LoopTimers:
-    """An asyncio event loop as `TimerQueue` wants it."""
+    """Adapts an asyncio event loop to the timer interface that `TimerQueue` uses."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
 
     def callLater(self, delay: float, callable: Callable[..., Any]) -> asyncio.TimerHandle:
-        """Call it after `delay` seconds."""
+        """Call `callable` after `delay` seconds."""
         return self._loop.call_later(delay, callable)
 
 
 class _InstanceKey(NamedTuple):
     loop_id: int  # id() of the event loop
-    configuration: bytes  # what instances may share
+    configuration: bytes  # the encoded parts of the configuration that must be equal to share an instance
 
 
 class SharedState:
-    """The decision module, its engine and the endpoint list of one event loop."""
+    """The decision module, engine and endpoint list of an event loop, with a reference count."""
 
     _instances: dict[_InstanceKey, SharedState] = {}  # noqa: RUF012
 
     def __init__(self, config: ClientConfig, key: _InstanceKey | None) -> None:
-        """For the running loop. `key` is its place among the instances; None where nobody else gets it."""
+        """Belongs to the running event loop. `key` identifies a shared instance; None if it is not shared."""
         self.loop = asyncio.get_running_loop()
         self.config = config
         self._key = key
-        self._users = 0
+        self._reference_count = 0
         self.clock = Clock()
         self.deadlines = TimerQueue(self.clock, LoopTimers(self.loop))
         self.directory = Directory(config.settings.zones, config.settings.kinds)
@@ -93,23 +94,26 @@
         config = self.config
         if config.routing is None:
             return ClientBalancer(config.settings, config.seed)
-        from puffindeck.client_side.pool_router import ClientPoolRouter  # only where there are pools
+        from puffindeck.client_side.pool_router import ClientPoolRouter  # loaded only if pools are configured
 
         names = self.directory
         return ClientPoolRouter(config.routing, config.settings, config.seed, names.number, names.name)
 
     def _load_known_endpoints(self) -> None:
-        """Begin with the list of the configuration, or have the decision module request one."""
+        """Start with the list in the configuration, or else let the decision module request one."""
         known = self.config.file_endpoints
         if known.targets:
             kind = ListUpdateKind.CACHED if self.endpoint_watch else ListUpdateKind.FULL
             self.engine.update_endpoints(kind, known.rev, self.directory.entries(known, self.clock.now()))
         else:
-            self.engine.dispatch(TimerFired(0))  # the module's first event: it requests the list
+            self.engine.dispatch(TimerFired(0))  # on its first event, the module requests the list
 
     @classmethod
     def acquire(cls, config: ClientConfig, alone: bool = False) -> SharedState:
-        """The running loop's state, made if needed; to be released. `alone`: no other user gets it."""
+        """Return the state for the running event loop, which is created if needed and must be released.
+
+        With `alone`, the state is new and is not shared.
+        """
         if not globalLogPublisher._observers.count(_OBSERVER):
             globalLogPublisher.addObserver(_OBSERVER)
         text = msgspec.json.encode(
@@ -121,13 +125,13 @@
             shared = cls(config, None if alone else key)
             if not alone:
                 cls._instances[key] = shared
-        shared._users += 1
+        shared._reference_count += 1
         return shared
 
     async def release(self) -> None:
-        """Give it back; the last user's release ends it."""
-        self._users -= 1
-        if not self._users:
+        """Release the state. The last release stops it."""
+        self._reference_count -= 1
+        if not self._reference_count:
             if self._key is not None:
                 self._instances.pop(self._key, None)
             if self.endpoint_watch is not None:
@@ -145,18 +149,18 @@
 
     @property
     def list_age_ms(self) -> float:
-        """Milliseconds since discovery last gave a sign of life; infinite before the first."""
+        """Milliseconds since discovery last responded; infinite before its first response."""
         return self.balancer.age_ms(to_ms(self.clock.now()))
 
     def notify(self) -> None:
-        """Wake all that wait for a change of the endpoint list."""
+        """Wake all tasks that wait for a change of the endpoint list."""
         for waiter in self._waiters:
             if not waiter.done():
                 waiter.set_result(None)
         self._waiters.clear()
 
     async def wait_for_change(self) -> None:
-        """Wait until discovery has given a sign of life, or the state was released."""
+        """Wait until discovery responds or the state is released."""
         waiter: asyncio.Future[None] = self.loop.create_future()
         self._waiters.add(waiter)
         try:
--- a/puffindeck/rpc/status.py
+++ b/puffindeck/rpc/status.py
@@ -1,4 +1,4 @@
-"""Final statuses that are made here rather than by a server, and the Retry-After time that they carry."""
+"""Final statuses that the client creates itself, and the Retry-After times that statuses carry."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 from puffindeck.core.clock import ZERO, to_ms
 
-MIGRATED_TRAILER = "puffindeck-moved"  # the stream ended so that it goes on at another server
-PUSHBACK_TRAILER = "grpc-retry-pushback-ms"  # gRPC's A6: when to retry, in milliseconds
+MIGRATED_TRAILER = "puffindeck-moved"  # the stream was ended to be resumed at another server
+PUSHBACK_TRAILER = "grpc-retry-pushback-ms"  # gRFC A6: time until a retry, in milliseconds
 STATUS_DETAILS_TRAILER = "grpc-status-details-bin"  # a serialized google.rpc.Status
-ATTEMPTS_TRAILER = "puffindeck-attempts"  # how many servers the call was sent to
+ATTEMPTS_TRAILER = "puffindeck-attempts"  # the number of attempts made
 
 
 class FinalStatus(NamedTuple):
-    """How a call ended: its code, its text and the metadata that came with it."""
+    """The result of a call: status code, status text and metadata."""
 
     code: grpc.StatusCode
     details: str = ""
@@ -28,12 +28,12 @@
     initial: tuple[tuple[str, Any], ...] = ()
 
     def error(self) -> AioRpcError:
-        """The exception that a caller sees."""
+        """Return the exception to raise to the caller."""
         return AioRpcError(self.code, Metadata(*self.initial), Metadata(*self.trailing), self.details)
 
 
 OK = FinalStatus(grpc.StatusCode.OK)
-CANCELLED = FinalStatus(grpc.StatusCode.CANCELLED, "Locally cancelled by application!")  # gRPC's own words
+CANCELLED = FinalStatus(grpc.StatusCode.CANCELLED, "Locally cancelled by application!")  # gRPC's own text
 CHANNEL_CLOSED = FinalStatus(grpc.StatusCode.CANCELLED, "Channel closed.")
 DEADLINE_EXCEEDED = FinalStatus(grpc.StatusCode.DEADLINE_EXCEEDED, "Deadline Exceeded")
 MIGRATED = FinalStatus(grpc.StatusCode.UNAVAILABLE, "moved: ask again", ((MIGRATED_TRAILER, "1"),))
@@ -43,10 +43,10 @@
 def rejected(
     retry_after: timedelta, attempts: int, last_details: str = "", deadline_passed: bool = False
 ) -> FinalStatus:
-    """A status for a call that was given up on, and that may safely be retried.
+    """Return a status for a rejected call, which the caller may safely retry.
 
-    A `retry_after` over zero stands in gRPC's pushback trailer and, for other libraries, as
-    google.rpc.RetryInfo in the status's details. `last_details` is the text of the last server's status.
+    A `retry_after` over zero is sent in gRPC's pushback trailer (gRFC A6) and, for other libraries, as
+    google.rpc.RetryInfo in the status details. `last_details` is the status text of the last server tried.
     """
     if deadline_passed:
         code = DEADLINE_EXCEEDED.code
@@ -64,7 +64,7 @@
 
 
 def _retry_info(code: grpc.StatusCode, text: str, retry_after: timedelta) -> bytes:
-    """A serialized google.rpc.Status with a google.rpc.RetryInfo."""
+    """Return a serialized google.rpc.Status that contains a google.rpc.RetryInfo."""
     info = error_details_pb2.RetryInfo(retry_delay=Duration())
     info.retry_delay.FromTimedelta(retry_after)
     status = status_pb2.Status(code=code_pb2.Code.Value(code.name), message=text)
@@ -74,19 +74,22 @@
 
 
 def failed(attempts: int, deadline_passed: bool, last: FinalStatus | None) -> FinalStatus:
-    """A status for a call that a server may have run: the last server's own status where there is one."""
-    note = ((ATTEMPTS_TRAILER, str(attempts)),)
+    """Return a status for a call that a server may have run: the last server's own status if it sent one."""
+    attempts_trailer = ((ATTEMPTS_TRAILER, str(attempts)),)
     if deadline_passed:
-        return FinalStatus(DEADLINE_EXCEEDED.code, DEADLINE_EXCEEDED.details, note)
+        return FinalStatus(DEADLINE_EXCEEDED.code, DEADLINE_EXCEEDED.details, attempts_trailer)
     if last is not None:
-        return last._replace(trailing=last.trailing + note)
-    return FinalStatus(grpc.StatusCode.UNAVAILABLE, "failed: a server may have run the call", note)
+        return last._replace(trailing=last.trailing + attempts_trailer)
+    return FinalStatus(
+        grpc.StatusCode.UNAVAILABLE, "failed: a server may have run the call", attempts_trailer
+    )
 
 
 def retry_after(error: AioRpcError) -> timedelta | None:
-    """When an error says to retry: its pushback, else its RetryInfo; None if it says neither.
+    """Return the time until a retry that an error carries: its pushback, or else its RetryInfo.
 
-    A pushback that is negative or no number means never, by A6: timedelta.max.
+    Returns None if it has neither. Returns timedelta.max if the pushback is negative or not a number, which
+    forbids retries (gRFC A6).
     """
     trailing = error.trailing_metadata() or Metadata()
     pushback = trailing.get(PUSHBACK_TRAILER)
@@ -102,7 +105,7 @@
 
 
 def _retry_info_time(serialized: bytes) -> timedelta | None:
-    """The time in a serialized google.rpc.Status; None where it can't be read or has none."""
+    """Return the RetryInfo time in a serialized google.rpc.Status; None if it is invalid or has none."""
     status = status_pb2.Status()
     info = error_details_pb2.RetryInfo()
     try:
@@ -117,5 +120,5 @@
 
 
 def is_migrated(error: AioRpcError) -> bool:
-    """Did the call end so that it goes on at another server?"""
+    """Return whether the call was ended to be resumed at another server."""
     return MIGRATED_TRAILER in (error.trailing_metadata() or Metadata())
--- a/puffindeck/rpc/status_outcomes.py
+++ b/puffindeck/rpc/status_outcomes.py
@@ -1,25 +1,26 @@
-"""Which outcome of an attempt a gRPC status stands for, and what may have run. No I/O: codes are numbers.
+"""Maps the gRPC status of an attempt to its outcome. Does no I/O; status codes are numbers.
 
-From gRPC's "Status codes and their use in gRPC" and A6 (client retries). A status does not say who made it:
-the server, or the library here because the connection broke. Where that matters the library's own text tells.
+Based on gRPC's "Status codes and their use in gRPC" and gRFC A6 (client retries). A status does not tell
+whether the server sent it or the local library created it because the connection broke. Where the difference
+matters, it is taken from the library's status text.
 
-| how it ended | outcome | may have run |
+| end of the attempt | outcome | call may have run |
 | --- | --- | --- |
 | no connection | CONNECT_FAILED | no |
-| RESOURCE_EXHAUSTED by the server, before any head or message | FULL | no |
-| UNAVAILABLE before any head or message: a server that rejects the call, or is gone | ERROR | yes |
-| UNAVAILABLE or RESOURCE_EXHAUSTED after one; a CANCELLED that is not ours | RESET | yes |
-| INTERNAL or UNKNOWN, where the library says that the stream was reset | RESET | yes |
+| RESOURCE_EXHAUSTED from the server, before initial metadata or a message | FULL | no |
+| UNAVAILABLE before initial metadata or a message: the server rejects the call or is gone | ERROR | yes |
+| UNAVAILABLE or RESOURCE_EXHAUSTED after them; CANCELLED that the client did not cause | RESET | yes |
+| INTERNAL or UNKNOWN, if the library's text says that the stream was reset | RESET | yes |
 | DEADLINE_EXCEEDED | TIMEOUT | yes |
-| the trailer `puffindeck-moved`, whatever the code: the server migrates its client | CANCELLED | yes |
-| OK, and every other code: the application's own answer | OK | yes |
+| any code with the trailer `puffindeck-moved`: the server migrates its client | CANCELLED | yes |
+| OK and all other codes: the application's own response | OK | yes |
 """
 
 from __future__ import annotations
 
 from puffindeck.interface import Outcome
 
-# gRPC's numbers of status codes
+# gRPC status codes
 CANCELLED = 1
 UNKNOWN = 2
 DEADLINE_EXCEEDED = 4
@@ -27,17 +28,17 @@
 INTERNAL = 13
 UNAVAILABLE = 14
 
-STREAM_RESET = ("RST_STREAM", "Stream removed")  # gRPC's core, of a stream that the transport ended
-TOO_LARGE = "message larger than max"  # gRPC's core, of a message that no server could take or send
+STREAM_RESET = ("RST_STREAM", "Stream removed")  # texts of gRPC core for a stream that the transport ended
+TOO_LARGE = "message larger than max"  # text of gRPC core for a message over the size limit
 
 
 def outcome_of_status(
     code: int, details: str = "", response_started: bool = False, migrated: bool = False
 ) -> Outcome:
-    """The decision module's outcome for a status on a connection that stood.
+    """Return the outcome for a status that was received on an established connection.
 
-    `details` is the status's text, `response_started` whether a head or a message came before it, `migrated`
-    whether it has the trailer `puffindeck-moved`.
+    `details` is the status text, `response_started` tells whether initial metadata or a message preceded the
+    status, and `migrated` whether it has the trailer `puffindeck-moved`.
     """
     if migrated:
         return Outcome.CANCELLED
--- a/puffindeck/rpc/subchannel_pool.py
+++ b/puffindeck/rpc/subchannel_pool.py
@@ -1,4 +1,4 @@
-"""One gRPC channel for each server, opened as needed, closed when idle, bounded in number."""
+"""A bounded pool with one gRPC channel per server. Channels are opened on demand and closed when idle."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.rpc.method import Method
 
-# Retries are the decision module's, and an attempt counts once however it was sent: the library resends
-# nothing by itself; a server's channels share no backoff with another's, and a broken one is opened anew at
-# once.
+# The decision module alone retries calls, so that each attempt is counted once: the library must not resend
+# anything. Channels don't share subchannels, so that they don't share a backoff either, and a broken channel
+# can be replaced at once.
 CHANNEL_OPTIONS: tuple[tuple[str, Any], ...] = (
     ("grpc.enable_retries", 0),
     ("grpc.service_config_disable_resolution", 1),
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.lb_policy_name", "pick_first"),
     ("grpc.enable_http_proxy", 0),
-    # the decision module decides whether a server is tried: the library's own backoff must not outlast its
+    # The decision module decides when to try a server, so the library's backoff must not outlast its own.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
@@ -31,7 +31,7 @@
 
 
 class ChannelSecurity(NamedTuple):
-    """How the channels of a pool are opened: credentials (None: plain text), options, compression."""
+    """How the channels of a pool are opened. Without credentials, they use plain text."""
 
     credentials: grpc.ChannelCredentials | None
     options: Sequence[tuple[str, Any]]
@@ -39,24 +39,24 @@
 
 
 class _CachedCallable(NamedTuple):
-    method: Method  # referenced, so that its id() is not given to another
+    method: Method  # the reference prevents reuse of its id()
     multicallable: Any
 
 
 class Subchannel:
-    """One server's channel, and how many calls use it."""
+    """The channel to one server, and the number of calls that use it."""
 
-    __slots__ = ("_callables", "_make", "channel", "idle_deadline", "users")
+    __slots__ = ("_callables", "_open_channel", "active_calls", "channel", "idle_deadline")
 
-    def __init__(self, make: Callable[[], Any]) -> None:
-        self._make = make
-        self.users = 0
-        self.channel = make()
+    def __init__(self, open_channel: Callable[[], Any]) -> None:
+        self._open_channel = open_channel
+        self.active_calls = 0
+        self.channel = open_channel()
         self.idle_deadline: Deadline | None = None
         self._callables: dict[int, _CachedCallable] = {}  # by id() of the method
 
     def callable(self, method: Method) -> Any:
-        """The method's multicallable on this channel, made once."""
+        """Return the method's multicallable on this channel, which is created once."""
         cached = self._callables.get(id(method))
         if cached is None:
             cached = _CachedCallable(method, method.multicallable(self.channel))
@@ -64,21 +64,21 @@
         return cached.multicallable
 
     def ready(self) -> bool:
-        """Does its connection stand?"""
+        """Return whether the channel is connected."""
         return bool(self.channel.get_state() is State.READY)
 
     async def connect(self, timeout: timedelta) -> bool:
-        """Wait for the connection; False if it fails or takes too long.
+        """Wait for the connection. Return False if it fails or takes longer than `timeout`.
 
-        A channel that has failed before is opened anew: its own next attempt may be seconds away.
+        A channel that failed before is replaced, as it may wait for seconds before its next connect.
         """
         if self.channel.get_state() in (State.TRANSIENT_FAILURE, State.SHUTDOWN):
-            if self.users > 1:  # another call's connect is under way or has just failed
+            if self.active_calls > 1:  # another call is connecting or has just failed to connect
                 if self.channel.get_state() is State.SHUTDOWN:
                     return False
             else:
                 await self.channel.close()
-                self.channel = self._make()
+                self.channel = self._open_channel()
                 self._callables.clear()
         try:
             async with asyncio.timeout(timeout.total_seconds()):
@@ -87,7 +87,7 @@
             return False
 
     async def _wait_until_ready(self) -> bool:
-        """False if the channel is shut down, or fails after it began to connect."""
+        """Return False if the channel is shut down, or fails after it has started to connect."""
         state = self.channel.get_state(try_to_connect=True)
         connecting = False
         while state is not State.READY:
@@ -102,10 +102,10 @@
 
 
 class SubchannelPool:
-    """A channel's connections to servers. The least recently used idle one makes room for another.
+    """The subchannels of a balanced channel. At the limit, the least recently used idle one is closed.
 
-    Where all are in use, more than `max_open` are opened: a call that the decision module has placed is not
-    rejected for the sake of a bound on idle connections.
+    If all are in use, more than `max_open` are opened. The limit is meant for idle connections, and a call
+    that the decision module has placed must not be rejected because of it.
     """
 
     def __init__(
@@ -123,7 +123,7 @@
     def __len__(self) -> int:
         return len(self._open)
 
-    def _make(self, address: tuple[str, int]) -> grpc.aio.Channel:
+    def _open_channel(self, address: tuple[str, int]) -> grpc.aio.Channel:
         host, port = address
         target = f"ipv6:[{host}]:{port}" if ":" in host else f"ipv4:{host}:{port}"
         if self._credentials is None:
@@ -131,33 +131,35 @@
         return grpc.aio.secure_channel(target, self._credentials, self._options, self._compression)
 
     def acquire(self, address: tuple[str, int]) -> Subchannel:
-        """The subchannel to a server, for a call; to be released."""
+        """Return the subchannel to a server for a call, which must release it."""
         subchannel = self._open.get(address)
         if subchannel is None:
-            self._make_room()
-            subchannel = self._open[address] = Subchannel(lambda: self._make(address))
+            self._close_idle_if_full()
+            subchannel = self._open[address] = Subchannel(lambda: self._open_channel(address))
         else:
             self._open.move_to_end(address)
             if subchannel.idle_deadline is not None:
                 self._deadlines.cancel(subchannel.idle_deadline)
                 subchannel.idle_deadline = None
-        subchannel.users += 1
+        subchannel.active_calls += 1
         return subchannel
 
     def release(self, address: tuple[str, int], subchannel: Subchannel) -> None:
-        """A call is done with it."""
-        subchannel.users -= 1
-        if not subchannel.users and self._open.get(address) is subchannel:
-            subchannel.idle_deadline = self._deadlines.after(self._idle_timeout, self._close_one, address)
-
-    def _make_room(self) -> None:
+        """Release a subchannel after a call."""
+        subchannel.active_calls -= 1
+        if not subchannel.active_calls and self._open.get(address) is subchannel:
+            subchannel.idle_deadline = self._deadlines.after(
+                self._idle_timeout, self._close_subchannel, address
+            )
+
+    def _close_idle_if_full(self) -> None:
         if len(self._open) >= self._max_open:
             for address, subchannel in self._open.items():
-                if not subchannel.users:
-                    self._close_one(address)
+                if not subchannel.active_calls:
+                    self._close_subchannel(address)
                     return
 
-    def _close_one(self, address: tuple[str, int]) -> None:
+    def _close_subchannel(self, address: tuple[str, int]) -> None:
         subchannel = self._open.pop(address)
         self._deadlines.cancel(subchannel.idle_deadline)
         task = asyncio.get_running_loop().create_task(subchannel.channel.close())
@@ -165,8 +167,8 @@
         task.add_done_callback(self._closing.discard)
 
     async def close(self) -> None:
-        """Close them all. Calls that use one are cut off."""
+        """Close all subchannels. Calls that use them are aborted."""
         for address in list(self._open):
-            self._close_one(address)
+            self._close_subchannel(address)
         while self._closing:
             await asyncio.gather(*self._closing, return_exceptions=True)
--- a/tests/support/rpc_channel_test_case.py
+++ b/tests/support/rpc_channel_test_case.py
@@ -30,7 +30,7 @@
         shared, pool = channel._ensure_started()
         await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
         await wait_until(
-            lambda: not any(sub.users for sub in pool._open.values()), "a connection is still used"
+            lambda: not any(sub.active_calls for sub in pool._open.values()), "a connection is still used"
         )
         self.assertFalse(channel._calls)
 
