--- a/tests/rpc/__init__.py
+++ b/tests/rpc/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of rpc."""
+"""Tests of the RPC plug-ins."""
--- a/tests/rpc/test_attempt.py
+++ b/tests/rpc/test_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts of a call: one at a time, three at most, one final answer."""
+"""Tests of a call's attempts: one at a time, at most three, and one final status."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tests.support.rpc_environment import key_metadata, wait_until
 
 
-class AttemptStories(ChannelTestCase):
-    """What costs an attempt, and what ends the call."""
+class AttemptTests(ChannelTestCase):
+    """Failures that lead to another attempt, and failures that end the call."""
 
-    async def test_a_full_box_costs_a_try_and_the_next_one_serves(self) -> None:
+    async def test_call_is_retried_once_at_another_server_when_first_is_full(self) -> None:
         channel, stub = await self.start_channel()
         key = self.environment.key_of(channel, "one")
         self.environment.servers["one"].mode = "full"
@@ -24,7 +24,7 @@
         self.assertEqual(self.environment.call_counts()["one"], 1)
         self.assertEqual(sum(self.environment.call_counts().values()), 2)
 
-    async def test_three_boxes_that_have_run_it_and_say_no_are_the_end(self) -> None:
+    async def test_call_fails_with_last_status_after_three_unavailable_servers(self) -> None:
         channel, stub = await self.start_channel("one", "two", "three", "four")
         for server in self.environment.servers.values():
             server.mode = "UNAVAILABLE"
@@ -34,13 +34,13 @@
         self.assertIs(error.code(), grpc.StatusCode.UNAVAILABLE)
         self.assertIn("says UNAVAILABLE", error.details() or "")
         self.assertEqual(error.trailing_metadata().get("puffindeck-attempts"), "3")
-        wait = come_back(error)
-        assert wait is not None
-        self.assertTrue(timedelta() < wait <= timedelta(milliseconds=1500))
+        retry_after = come_back(error)
+        assert retry_after is not None
+        self.assertTrue(timedelta() < retry_after <= timedelta(milliseconds=1500))
         self.assertEqual(sorted(self.environment.call_counts().values()), [0, 1, 1, 1])
         await self.assert_all_released(channel)
 
-    async def test_what_must_not_run_twice_is_not_sent_again_once_it_may_have_run(self) -> None:
+    async def test_non_idempotent_call_is_not_retried_after_it_may_have_run(self) -> None:
         channel, stub = await self.start_channel()
         for server in self.environment.servers.values():
             server.mode = "UNAVAILABLE"
@@ -48,7 +48,7 @@
             await stub.claim(b"", timeout=2)
         self.assertEqual(sum(self.environment.call_counts().values()), 1)
         self.assertIn("says UNAVAILABLE", self.rpc_error(caught).details() or "")
-        self.assertIsNone(come_back(self.rpc_error(caught)))  # no promise that asking again does no harm
+        self.assertIsNone(come_back(self.rpc_error(caught)))  # a retry might run the call twice
         for server in self.environment.servers.values():
             server.mode, server.calls = "full", []
         with self.assertRaises(AioRpcError):
@@ -56,7 +56,7 @@
         self.assertGreater(sum(self.environment.call_counts().values()), 1)
         await self.assert_all_released(channel)
 
-    async def test_the_applications_own_statuses_are_final(self) -> None:
+    async def test_application_status_is_not_retried(self) -> None:
         _, stub = await self.start_channel()
         for mode in ("INVALID_ARGUMENT", "NOT_FOUND", "INTERNAL", "UNAUTHENTICATED"):
             for server in self.environment.servers.values():
@@ -66,7 +66,7 @@
             self.assertEqual(self.rpc_error(caught).code().name, mode)
             self.assertEqual(sum(self.environment.call_counts().values()), 1)
 
-    async def test_a_server_that_says_never_again_is_not_gainsaid(self) -> None:
+    async def test_negative_pushback_forbids_retries(self) -> None:
         channel, stub = await self.start_channel()
         for server in self.environment.servers.values():
             server.mode = "no-retry"
@@ -76,25 +76,25 @@
         self.assertEqual(sum(self.environment.call_counts().values()), 1)
         await self.assert_all_released(channel)
 
-    async def test_a_box_that_accepts_and_never_answers_costs_one_try(self) -> None:
+    async def test_call_is_retried_once_when_server_does_not_respond(self) -> None:
         channel, stub = await self.start_channel("one", "two")
         key = self.environment.key_of(channel, "one")
-        silent = self.environment.servers["one"]
-        silent.mode = "silent"
+        silent_server = self.environment.servers["one"]
+        silent_server.mode = "silent"
         self.assertIn(b"two", await stub.status(b"", timeout=2, metadata=key_metadata(key)))
-        await wait_until(lambda: silent.abandoned_calls == 1, "the attempt was left out")
+        await wait_until(lambda: silent_server.abandoned_calls == 1, "the attempt was not cancelled")
         await self.assert_all_released(channel)
 
-    async def test_the_deadline_holds_with_mute_boxes_only(self) -> None:
+    async def test_deadline_holds_when_no_server_responds(self) -> None:
         channel, stub = await self.start_channel("one", "two")
         for server in self.environment.servers.values():
             server.mode = "silent"
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_s = loop.time()
         with self.assertRaises(AioRpcError) as caught:
             await stub.status(b"", timeout=0.5)
         self.assertIs(self.rpc_error(caught).code(), grpc.StatusCode.DEADLINE_EXCEEDED)
-        self.assertLess(loop.time() - begun, 1.0)
+        self.assertLess(loop.time() - started_s, 1.0)
         with self.assertRaises(AioRpcError) as caught:
             await stub.status(b"", timeout=0)
         self.assertIs(self.rpc_error(caught).code(), grpc.StatusCode.DEADLINE_EXCEEDED)
@@ -102,34 +102,34 @@
             lambda: all(
                 len(server.calls) == server.abandoned_calls for server in self.environment.servers.values()
             ),
-            "an attempt was left out",
+            "an attempt was not cancelled",
         )
         await self.assert_all_released(channel)
 
-    async def test_a_cancelled_call_leaves_no_attempt_out(self) -> None:
+    async def test_cancelled_call_cancels_its_attempt(self) -> None:
         channel, stub = await self.start_channel("one", "two")
         for server in self.environment.servers.values():
             server.mode = "silent"
         call = stub.status(b"")
-        await wait_until(lambda: sum(self.environment.call_counts().values()) == 1, "no attempt")
+        await wait_until(lambda: sum(self.environment.call_counts().values()) == 1, "no attempt was made")
         self.assertTrue(call.cancel())
         with self.assertRaises(asyncio.CancelledError):
             await call
         self.assertTrue(call.cancelled())
         self.assertIs(await call.code(), grpc.StatusCode.CANCELLED)
         waiting = asyncio.ensure_future(stub.status(b""))
-        await wait_until(lambda: sum(self.environment.call_counts().values()) == 2, "no attempt")
-        waiting.cancel()  # whoever awaits it goes, and so does the call
+        await wait_until(lambda: sum(self.environment.call_counts().values()) == 2, "no attempt was made")
+        waiting.cancel()  # cancelling the awaiting task also cancels the call
         with self.assertRaises(asyncio.CancelledError):
             await waiting
         await wait_until(
             lambda: sum(server.abandoned_calls for server in self.environment.servers.values()) == 2,
-            "one was left",
+            "an attempt was not cancelled",
         )
         self.assertEqual(sum(self.environment.call_counts().values()), 2)
         await self.assert_all_released(channel)
 
-    async def test_a_box_that_sends_a_call_away_costs_a_try(self) -> None:
+    async def test_migrated_call_is_retried_at_another_server(self) -> None:
         channel, stub = await self.start_channel("one", "two")
         key = self.environment.key_of(channel, "one")
         self.environment.servers["one"].mode = "migrating"
--- a/tests/rpc/test_calls.py
+++ b/tests/rpc/test_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the four kinds, as grpc.aio has them."""
+"""Tests of the four kinds of calls with grpc.aio's API."""
 
 from __future__ import annotations
 
@@ -13,15 +13,15 @@
 from tests.support.rpc_environment import balancer_of, key_metadata, wait_until
 
 
-class CallStories(ChannelTestCase):
-    """Responses, metadata, callbacks, cancellation and migration of one call."""
+class CallTests(ChannelTestCase):
+    """Responses, metadata, callbacks, cancellation and migration of a call."""
 
-    async def test_one_answer_with_its_metadata(self) -> None:
+    async def test_unary_call_returns_response_and_metadata(self) -> None:
         channel, stub = await self.start_channel()
         call = stub.status(b"hi", timeout=2, metadata=key_metadata("desk 7"))
-        answer = await call
-        name = answer.split(b":")[0].decode()
-        self.assertEqual(answer, name.encode() + b":hi")
+        response = await call
+        name = response.split(b":")[0].decode()
+        self.assertEqual(response, name.encode() + b":hi")
         self.assertEqual((await call.trailing_metadata()).get("served-by"), name)
         self.assertEqual((await call.initial_metadata()), Metadata())
         self.assertIs(await call.code(), grpc.StatusCode.OK)
@@ -29,16 +29,16 @@
         self.assertTrue(call.done())
         self.assertFalse(call.cancel())
         self.assertLess(call.time_remaining(), 2)
-        self.assertEqual(await call, answer)  # awaited twice
+        self.assertEqual(await call, response)  # a call can be awaited repeatedly
         self.assertEqual(self.environment.servers[name].metadata[0]["puffindeck-key"], "desk 7")
         await self.assert_all_released(channel)
 
-    async def test_calls_of_a_key_go_to_one_box_and_those_without_one_spread(self) -> None:
+    async def test_calls_with_same_key_use_one_server_and_calls_without_key_use_all(self) -> None:
         _, stub = await self.start_channel()
         self.assertEqual(len({await stub.status(b"", metadata=key_metadata("desk 7")) for _ in range(12)}), 1)
         self.assertEqual(len({await stub.status(b"") for _ in range(30)}), 3)
 
-    async def test_a_stream_of_answers_read_and_iterated(self) -> None:
+    async def test_response_stream_can_be_read_and_iterated(self) -> None:
         channel, stub = await self.start_channel()
         call = stub.watch(b"", metadata=key_metadata("desk 7"))
         await call.wait_for_connection()
@@ -50,7 +50,7 @@
         self.assertIs(await call.code(), grpc.StatusCode.OK)
         await self.assert_all_released(channel)
 
-    async def test_streams_both_ways(self) -> None:
+    async def test_bidirectional_stream_with_write_and_iterator(self) -> None:
         channel, stub = await self.start_channel("one")
         call = stub.talk()
         for message in (b"a", b"b"):
@@ -59,10 +59,10 @@
         await call.done_writing()
         self.assertIs(await call.read(), EOF)
         self.assertEqual([m async for m in stub.talk(iter([b"c", b"d"]))], [b"one:c", b"one:d"])
-        given = stub.talk(iter([b"c"]))
+        with_iterator = stub.talk(iter([b"c"]))
         with self.assertRaises(grpc.aio.UsageError):
-            await given.write(b"d")
-        given.cancel()
+            await with_iterator.write(b"d")
+        with_iterator.cancel()
         await self.assert_all_released(channel)
 
     async def test_done_callbacks_are_called_once(self) -> None:
@@ -71,11 +71,11 @@
         call = stub.status(b"")
         call.add_done_callback(called_with.append)
         await call
-        await wait_until(lambda: called_with, "no callback")
+        await wait_until(lambda: called_with, "the callback was not called")
         call.add_done_callback(called_with.append)
         self.assertEqual(called_with, [call, call])
 
-    async def test_a_moved_stream_says_so(self) -> None:
+    async def test_migrated_stream_ends_with_migration_trailer(self) -> None:
         channel, stub = await self.start_channel("one")
         call = stub.watch(b"")
         await call.read()
@@ -87,7 +87,7 @@
         self.assertTrue(moved(self.rpc_error(caught)))
         await self.assert_all_released(channel)
 
-    async def test_a_reader_that_is_cancelled_cancels_the_stream(self) -> None:
+    async def test_cancelled_reader_cancels_the_stream(self) -> None:
         channel, stub = await self.start_channel("one")
         call = stub.watch(b"")
         await call.read()
@@ -98,9 +98,9 @@
             await reading
         self.assertTrue(call.cancelled())
         await self.assert_all_released(channel)
-        self.assertEqual(balancer_of(channel).admission._lost, 0)  # not taken for a lost connection
+        self.assertEqual(balancer_of(channel).admission._lost, 0)  # not counted as a lost connection
 
-    async def test_reading_with_a_time_limit_of_ones_own(self) -> None:
+    async def test_timeout_of_a_read_cancels_the_stream(self) -> None:
         channel, stub = await self.start_channel("one")
         call = stub.watch(b"")
         await call.read()
--- a/tests/rpc/test_client_config.py
+++ b/tests/rpc/test_client_config.py
@@ -1,4 +1,4 @@
-"""The file of a client-side plug-in."""
+"""Tests of the configuration file of a client-side plug-in."""
 
 from __future__ import annotations
 
@@ -35,27 +35,29 @@
 
 
 def read(folder: Path, text: str) -> object:
-    path = folder / "desk.toml"
+    path = folder / "client.toml"
     path.write_text(text)
     return load_client_config(path)
 
 
-def test_a_file_is_read_and_checked(tmp_path: Path) -> None:
-    (tmp_path / "desk.toml").write_text(FILE)
-    config = load_client_config(tmp_path / "desk.toml")
+def test_valid_file_is_read(tmp_path: Path) -> None:
+    (tmp_path / "client.toml").write_text(FILE)
+    config = load_client_config(tmp_path / "client.toml")
     assert config.discovery == ("127.0.0.1", 8500)
     assert config.seed == 42
     assert config.rpc.methods == {"/exchange.Feed/Watch": 1}
     assert config.rpc.idle_timeout == timedelta(seconds=60)
 
 
-def test_clients_without_a_seed_draw_their_own(tmp_path: Path) -> None:
-    (tmp_path / "desk.toml").write_text(FILE.replace('seed = "2a"', ""))
-    assert load_client_config(tmp_path / "desk.toml").seed != load_client_config(tmp_path / "desk.toml").seed
+def test_seed_is_random_if_file_has_none(tmp_path: Path) -> None:
+    (tmp_path / "client.toml").write_text(FILE.replace('seed = "2a"', ""))
+    assert (
+        load_client_config(tmp_path / "client.toml").seed != load_client_config(tmp_path / "client.toml").seed
+    )
 
 
 @pytest.mark.parametrize(
-    ("was", "now", "named"),
+    ("old", "new", "message"),
     [
         ('class = "status"', 'class = "stats"', "rpc.class must be one of status, watch, not 'stats'"),
         ('Feed/Watch" = "watch"', 'Feed/Watch" = "x"', "rpc.methods.'/exchange.Feed/Watch'"),
@@ -74,19 +76,19 @@
         ('discovery = "127.0.0.1:8500"', "", "discovery is missing"),
         ('discovery = "127.0.0.1:8500"', 'discovery = "here"', "discovery must be HOST:PORT"),
         ("peersTotal = 200", "", "settings: peersTotal is missing"),
-        ("[rpc]", "[rpc", "desk.toml"),
+        ("[rpc]", "[rpc", "client.toml"),
     ],
 )
-def test_a_bad_file_is_one_line_that_names_the_file_and_the_key(
-    tmp_path: Path, was: str, now: str, named: str
+def test_error_of_invalid_file_is_one_line_with_file_and_key(
+    tmp_path: Path, old: str, new: str, message: str
 ) -> None:
     with pytest.raises(ConfigError) as caught:
-        read(tmp_path, FILE.replace(was, now))
-    assert named in str(caught.value)
-    assert str(tmp_path / "desk.toml") in str(caught.value)
+        read(tmp_path, FILE.replace(old, new))
+    assert message in str(caught.value)
+    assert str(tmp_path / "client.toml") in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path: Path) -> None:
+def test_error_of_missing_file_names_it(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=r"none\.toml: No such file"):
         load_client_config(tmp_path / "none.toml")
--- a/tests/rpc/test_grpc.py
+++ b/tests/rpc/test_grpc.py
@@ -1,4 +1,4 @@
-"""The channel itself: closing, event loops, processes, TLS."""
+"""Tests of the channel: closing, event loops, processes, shared state and TLS."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from tests.support.rpc_environment import FeedServer, Stub, client_config, wait_until
 
 
-class ChannelStories(ChannelTestCase):
-    """A clear error on misuse, and nothing left open."""
+class BalancedChannelTests(ChannelTestCase):
+    """Errors for misuse, and release of calls and connections."""
 
-    async def test_closing_with_calls_open(self) -> None:
+    async def test_close_cancels_open_calls(self) -> None:
         channel, stub = await self.start_channel("one")
         self.environment.servers["one"].mode = "silent"
         waiting = asyncio.ensure_future(stub.status(b"").code())
-        await wait_until(lambda: self.environment.servers["one"].calls, "no attempt")
+        await wait_until(lambda: self.environment.servers["one"].calls, "no attempt was made")
         self.environment.servers["one"].mode = "serve"
         stream = stub.watch(b"")
         await stream.read()
@@ -40,7 +40,7 @@
         self.assertIs(channel.get_state(), grpc.ChannelConnectivity.SHUTDOWN)
         await channel.close()
 
-    async def test_closing_with_grace_lets_calls_end(self) -> None:
+    async def test_close_with_grace_waits_for_open_calls(self) -> None:
         channel, stub = await self.start_channel("one")
         stream = stub.watch(b"")
         await stream.read()
@@ -51,44 +51,47 @@
         await asyncio.wait_for(closing, 2)
         self.assertIs(await stream.code(), grpc.StatusCode.OK)
 
-    async def test_another_event_loop_is_told_apart(self) -> None:
+    async def test_use_in_another_event_loop_raises(self) -> None:
         _, stub = await self.start_channel("one")
-        found: list[BaseException] = []
+        errors: list[BaseException] = []
 
         async def call() -> None:
             await stub.status(b"")
 
-        def elsewhere() -> None:
+        def call_in_another_loop() -> None:
             try:
                 asyncio.run(call())
             except RuntimeError as error:
-                found.append(error)
+                errors.append(error)
 
-        thread = threading.Thread(target=elsewhere)
+        thread = threading.Thread(target=call_in_another_loop)
         thread.start()
         await asyncio.to_thread(thread.join)
-        self.assertIn("another event loop", str(found[0]))
+        self.assertIn("another event loop", str(errors[0]))
         self.assertIn(b"one", await stub.status(b""))
 
-    async def test_a_fork_is_told_apart(self) -> None:
+    async def test_use_after_fork_raises(self) -> None:
         channel, stub = await self.start_channel("one")
-        channel._pid = os.getpid() + 1  # as a child's would be; gRPC's own threads forbid a real one here
+        channel._pid = os.getpid() + 1  # simulates a child process: gRPC's threads rule out a real fork
         with self.assertRaisesRegex(RuntimeError, "after a fork"):
             stub.status(b"")
         channel._pid = os.getpid()
 
-    async def test_channels_of_one_configuration_share_a_roster(self) -> None:
+    async def test_channels_of_same_configuration_share_endpoint_list(self) -> None:
         channel, _ = await self.start_channel("one")
         other = self.environment.channel()
-        lone = self.environment.channel(alone=True)
-        await lone.channel_ready()
+        unshared = self.environment.channel(alone=True)
+        await unshared.channel_ready()
         self.assertIs(channel._ensure_started()[0], other._ensure_started()[0])
-        self.assertIsNot(channel._ensure_started()[0], lone._ensure_started()[0])
-        await wait_until(lambda: self.environment.discovery.requests == 4, "not a list and a watch each")
+        self.assertIsNot(channel._ensure_started()[0], unshared._ensure_started()[0])
+        await wait_until(
+            lambda: self.environment.discovery.requests == 4,
+            "expected a list request and a watch for each of two shared states",
+        )
         await channel.close()
         self.assertIn(b"one", await Stub(other).status(b""))
 
-    async def test_calls_over_tls_with_a_certificate_of_the_files(self) -> None:
+    async def test_calls_over_tls_with_configured_certificate(self) -> None:
         key = ec.generate_private_key(ec.SECP256R1())
         name = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, "server.test")])
         now = datetime.now()
@@ -117,8 +120,8 @@
             await Stub(plain).status(b"hi", timeout=0.6)
 
 
-def test_a_channel_without_a_loop_says_nothing_until_it_is_used() -> None:
-    """from_config may be called before the loop runs; the loop is the one that first uses the channel."""
+def test_channel_created_outside_event_loop_is_idle_until_first_use() -> None:
+    """A channel can be created before the event loop runs; it belongs to the loop that uses it first."""
     client = client_config(None, Target("one", "SERVING", "127.0.0.1:1"))
 
     async def use() -> grpc.ChannelConnectivity:
--- a/tests/rpc/test_interceptor_chain.py
+++ b/tests/rpc/test_interceptor_chain.py
@@ -1,4 +1,4 @@
-"""Interceptors see one call, whatever attempts it takes."""
+"""Tests of interceptors, which see one call however many attempts it makes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tests.support.rpc_environment import client_config, key_metadata
 
 
-class InterceptorStories(ChannelTestCase):
-    """They change calls and responses, and their errors reach the caller."""
+class InterceptorTests(ChannelTestCase):
+    """Interceptors change calls and responses, and their errors reach the caller."""
 
-    async def test_they_change_a_call_and_its_answer_and_see_it_once(self) -> None:
+    async def test_interceptors_change_request_and_response_and_see_retried_call_once(self) -> None:
         seen: list[Any] = []
 
         class Marking(grpc.aio.UnaryUnaryClientInterceptor):
@@ -43,29 +43,29 @@
         self.assertEqual((await call.trailing_metadata()).get("served-by"), "two")
         await self.assert_all_released(channel)
 
-    async def test_streams_go_through_them(self) -> None:
+    async def test_interceptors_receive_and_change_streams(self) -> None:
         class Doubling(grpc.aio.StreamStreamClientInterceptor):
             async def intercept_stream_stream(self, continuation: Any, details: Any, requests: Any) -> Any:
-                async def twice() -> Any:
+                async def doubled_requests() -> Any:
                     async for message in requests:
                         yield message + message
 
-                call = await continuation(details, twice())
+                call = await continuation(details, doubled_requests())
 
-                async def answers() -> Any:
-                    async for answer in call:
-                        yield answer.upper()
+                async def upper_case_responses() -> Any:
+                    async for response in call:
+                        yield response.upper()
 
-                return answers()
+                return upper_case_responses()
 
-        class Seeing(grpc.aio.UnaryStreamClientInterceptor, grpc.aio.StreamUnaryClientInterceptor):
+        class PassThrough(grpc.aio.UnaryStreamClientInterceptor, grpc.aio.StreamUnaryClientInterceptor):
             async def intercept_unary_stream(self, continuation: Any, details: Any, request: Any) -> Any:
                 return await continuation(details, request)
 
             async def intercept_stream_unary(self, continuation: Any, details: Any, requests: Any) -> Any:
                 return await continuation(details, requests)
 
-        channel, stub = await self.start_channel("one", interceptors=[Doubling(), Seeing()])
+        channel, stub = await self.start_channel("one", interceptors=[Doubling(), PassThrough()])
         call = stub.talk()
         await call.write(b"a")
         self.assertEqual(await call.read(), b"ONE:AA")
@@ -82,7 +82,7 @@
             await watch.read()
         await self.assert_all_released(channel)
 
-    async def test_an_error_reaches_the_caller_and_what_is_no_interceptor_is_refused(self) -> None:
+    async def test_interceptor_error_reaches_caller_and_other_objects_are_rejected(self) -> None:
         class Failing(grpc.aio.UnaryUnaryClientInterceptor):
             async def intercept_unary_unary(self, continuation: Any, details: Any, request: Any) -> Any:
                 raise ZeroDivisionError
--- a/tests/rpc/test_resuming.py
+++ b/tests/rpc/test_resuming.py
@@ -1,4 +1,4 @@
-"""Streams that go on after they were migrated, rejected or broken off."""
+"""Tests of streams that are resumed after a migration, rejection or broken connection."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from tests.support.rpc_environment import key_metadata, wait_until
 
 
-class ResumingStories(ChannelTestCase):
-    """One stream of messages over many calls."""
+class ResumingTests(ChannelTestCase):
+    """A stream of messages over several calls."""
 
-    async def test_a_detached_server_sends_its_streams_away_and_they_go_on_elsewhere(self) -> None:
+    async def test_stream_of_detached_server_is_resumed_at_another(self) -> None:
         channel, stub = await self.start_channel("one", "two")
         key = self.environment.key_of(channel, "one")
-        begun: list[Any] = []
+        resumed_after: list[Any] = []
 
         def begin(last: Any) -> Any:
-            begun.append(last)
+            resumed_after.append(last)
             return stub.watch(b"", metadata=key_metadata(key))
 
         messages = resuming(begin, random=Random(1))
@@ -31,14 +31,15 @@
         shared, _ = channel._ensure_started()
         shared.engine.detach(shared.directory.number("one"))
         self.assertEqual(await anext(messages), b"two")
-        self.assertEqual(begun, [None, b"one"])
+        self.assertEqual(resumed_after, [None, b"one"])
         await wait_until(
-            lambda: not self.environment.servers["one"].open_streams, "the stream at the old server was left"
+            lambda: not self.environment.servers["one"].open_streams,
+            "the stream at the old server was not ended",
         )
         await messages.aclose()
         await self.assert_all_released(channel)
 
-    async def test_a_box_that_dies_mid_stream_ends_it_once_and_it_is_resumed(self) -> None:
+    async def test_stream_of_stopped_server_fails_and_is_resumed_at_another(self) -> None:
         channel, stub = await self.start_channel("one", "two")
         key = self.environment.key_of(channel, "one")
         call = stub.watch(b"", metadata=key_metadata(key))
@@ -54,19 +55,19 @@
         await messages.aclose()
         await self.assert_all_released(channel)
 
-    async def test_a_stream_that_is_refused_goes_on_when_the_refusal_says(self) -> None:
+    async def test_rejected_stream_is_resumed_after_its_retry_after_time(self) -> None:
         channel, stub = await self.start_channel("one")
         server = self.environment.servers["one"]
         server.mode = "full"
         messages = resuming(lambda last: stub.watch(b""), random=Random(1))
         waiting = asyncio.ensure_future(anext(messages))
-        await wait_until(lambda: server.calls, "no attempt")
+        await wait_until(lambda: server.calls, "no attempt was made")
         server.mode = "serve"
         self.assertEqual(await asyncio.wait_for(waiting, 10), b"one")
         await messages.aclose()
         await self.assert_all_released(channel)
 
-    async def test_resuming_gives_up_after_its_tries_and_on_other_statuses(self) -> None:
+    async def test_resuming_raises_after_last_try_and_for_other_statuses(self) -> None:
         _, stub = await self.start_channel("one")
         self.environment.servers["one"].mode = "PERMISSION_DENIED"
         with self.assertRaises(AioRpcError) as caught:
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -1,4 +1,4 @@
-"""Pools in a client: the same table of routes as a daemon's, each client deciding for itself."""
+"""Tests of pools in a client, which uses a daemon's routing table and decides for itself."""
 
 from __future__ import annotations
 
@@ -26,38 +26,38 @@
     wait_until,
 )
 
-RULES = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
+CLIENT_SETTINGS = replace(SETTINGS, can_cancel=True, max_attempts=3, max_retry_after_ms=1500, gateways=200)
 POOL = Pool("main", (("1", "2", "3"), ("4", "5")), server_limits={"1": 1})
 
 
-def member(seed: int, pool: Pool = POOL) -> Gateway:
+def make_client(seed: int, pool: Pool = POOL) -> Gateway:
     routing = Routing(RouteTable((), pool.name), (pool,))
-    return Gateway(RULES, 5, seed, ClientPoolRouter(routing, RULES, seed, int, str))
+    return Gateway(CLIENT_SETTINGS, 5, seed, ClientPoolRouter(routing, CLIENT_SETTINGS, seed, int, str))
 
 
-def test_clients_agree_on_homes_within_the_tier_that_serves() -> None:
-    homes = [
-        [member(seed, replace(POOL, server_limits={})).submit(1, key=key) for key in range(1, 60)]
+def test_clients_place_keys_alike_within_the_serving_tier() -> None:
+    placements = [
+        [make_client(seed, replace(POOL, server_limits={})).submit(1, key=key) for key in range(1, 60)]
         for seed in (1, 2)
     ]
-    assert homes[0] == homes[1]
-    assert set(homes[0]) == {1, 2, 3}
+    assert placements[0] == placements[1]
+    assert set(placements[0]) == {1, 2, 3}
 
 
-def test_a_limit_holds_on_a_clients_own_calls() -> None:
-    one = member(1)
-    counts = Counter(one.connect(request, key=request) for request in range(1, 40))
+def test_server_limit_applies_to_calls_of_each_client() -> None:
+    client = make_client(1)
+    counts = Counter(client.connect(request, key=request) for request in range(1, 40))
     assert counts[1] == 1
     assert counts[4] + counts[5] == 0
 
 
-def test_the_backups_serve_a_client_whose_primaries_are_gone_and_the_attempts_count_on() -> None:
-    one = member(1, Pool("main", (("1",), ("4",))))
-    assert one.submit(1, key=1) == 1
-    one.end_attempt(1, Outcome.CONNECT_FAILED)
-    assert one.endpoint_of[1] == 4
-    one.establish(1)
-    one.handle_events(
+def test_backups_serve_when_primaries_fail_and_client_rejects_when_all_are_gone() -> None:
+    client = make_client(1, Pool("main", (("1",), ("4",))))
+    assert client.submit(1, key=1) == 1
+    client.end_attempt(1, Outcome.CONNECT_FAILED)
+    assert client.endpoint_of[1] == 4
+    client.establish(1)
+    client.handle_events(
         list_update(
             entry(1, EndpointStatus.GONE),
             entry(4, EndpointStatus.GONE),
@@ -65,25 +65,25 @@
             version=2,
         )
     )
-    assert [type(a) for a in one.handle_events(request_arrived(2)) if isinstance(a, Reject)] == [Reject]
+    assert [type(a) for a in client.handle_events(request_arrived(2)) if isinstance(a, Reject)] == [Reject]
 
 
-def test_what_a_client_knows_of_the_roster_is_known_over_all_pools() -> None:
-    balancer = member(1).balancer
+def test_router_reports_state_and_age_of_endpoint_list() -> None:
+    balancer = make_client(1).balancer
     assert isinstance(balancer, ClientPoolRouter)
     assert (balancer.ready, balancer.version, balancer.list_failures) == (True, 1, 0)
     balancer.heard(2000.0)
     assert balancer.age_ms(2500.0) == 500.0
 
 
-class ChannelStories(IsolatedAsyncioTestCase):
-    """A channel over pools, with servers on loopback."""
+class ChannelWithPoolsTests(IsolatedAsyncioTestCase):
+    """A channel with pools, and servers on loopback."""
 
     async def asyncSetUp(self) -> None:
         self.environment = RpcEnvironment()
         self.addAsyncCleanup(self.environment.close_all)
 
-    async def test_calls_go_by_their_class_and_over_to_the_backup_when_the_box_is_gone(self) -> None:
+    async def test_calls_are_routed_by_class_and_to_the_backup_when_primary_stops(self) -> None:
         await self.environment.serve("one", "two", "three")
         watch = Route("streams", ((Condition("class", ("watch",)),),))
         routing = Routing(
@@ -107,11 +107,11 @@
         self.assertEqual(self.environment.call_counts()["two"], 1)
         stream.cancel()
         shared, _ = channel._ensure_started()
-        await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
+        await wait_until(lambda: not len(shared.engine.requests), "the engine still has a request")
         self.assertFalse(balancer_of(channel).locations)
 
 
-def test_a_clients_file_has_routes_and_no_listeners(tmp_path: Path) -> None:
+def test_client_file_accepts_routing_without_listeners(tmp_path: Path) -> None:
     text = (Path(__file__).parents[2] / "deploy/client-grpc.toml").read_text()
     pools = '\n[routing]\ndefault = "all"\n[routing.pools.all]\nmembers = ["server-*"]\n'
     (tmp_path / "c.toml").write_text(text + pools)
--- a/tests/rpc/test_status.py
+++ b/tests/rpc/test_status.py
@@ -1,4 +1,4 @@
-"""Statuses that are made by the plug-in, and their Retry-After time."""
+"""Tests of statuses that the plug-in creates, and of their Retry-After time."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from puffindeck.rpc.status import FinalStatus, failed, is_migrated, rejected, retry_after
 
 
-def test_a_refusal_tells_when_to_come_back_in_both_ways() -> None:
+def test_rejection_carries_retry_after_as_pushback_and_as_retry_info() -> None:
     error = rejected(timedelta(milliseconds=730), 2).error()
     assert retry_after(error) == timedelta(milliseconds=730)
-    rich = FinalStatus(
+    with_retry_info_only = FinalStatus(
         error.code(), "", tuple((k, v) for k, v in error.trailing_metadata() if k.endswith("-bin"))
     ).error()
-    assert retry_after(rich) == timedelta(milliseconds=730)
+    assert retry_after(with_retry_info_only) == timedelta(milliseconds=730)
     assert retry_after(rejected(ZERO, 0).error()) is None
     assert (
         retry_after(FinalStatus(error.code(), "", (("grpc-retry-pushback-ms", "-1"),)).error())
@@ -28,7 +28,7 @@
     )
 
 
-def test_a_failure_is_what_the_last_server_said() -> None:
+def test_failure_has_status_of_last_server() -> None:
     last = FinalStatus(grpc.StatusCode.UNAVAILABLE, "server 3 says so", (("a", "b"),))
     error = failed(3, False, last).error()
     assert error.details() == "server 3 says so"
--- a/tests/rpc/test_status_outcomes.py
+++ b/tests/rpc/test_status_outcomes.py
@@ -1,4 +1,4 @@
-"""The table of gRPC statuses and the outcomes that they stand for."""
+"""Tests of the mapping from gRPC statuses to outcomes."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
         (2, "an exception", False, False, Outcome.OK),
     ],
 )
-def test_a_status_is_an_outcome(
+def test_outcome_of_status(
     code: int, details: str, response_started: bool, migrated: bool, expected: Outcome
 ) -> None:
     assert outcome_of_status(code, details, response_started, migrated) == expected
 
 
-def test_only_what_never_ran_is_held_to_be_so() -> None:
+def test_only_full_means_that_the_call_was_not_processed() -> None:
     outcomes = {
         outcome_of_status(code, "", response_started)
         for code in range(17)
--- a/tests/support/rpc_channel_test_case.py
+++ b/tests/support/rpc_channel_test_case.py
@@ -1,4 +1,4 @@
-"""The base of stories about a gRPC channel: servers on loopback, and a channel over them."""
+"""Base class of tests of a gRPC channel, with servers on loopback."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ChannelTestCase(IsolatedAsyncioTestCase):
-    """Servers on loopback and a channel over them."""
+    """Starts servers on loopback and a channel to them."""
 
     async def asyncSetUp(self) -> None:
         self.environment = RpcEnvironment()
@@ -26,11 +26,12 @@
         return channel, Stub(channel)
 
     async def assert_all_released(self, channel: BalancedChannel) -> None:
-        """The core holds nothing, and no connection has a user."""
+        """Assert that the engine has no requests left and that no call uses a subchannel."""
         shared, pool = channel._ensure_started()
-        await wait_until(lambda: not len(shared.engine.requests), "the core still holds a call")
+        await wait_until(lambda: not len(shared.engine.requests), "the engine still has a request")
         await wait_until(
-            lambda: not any(sub.active_calls for sub in pool._open.values()), "a connection is still used"
+            lambda: not any(subchannel.active_calls for subchannel in pool._open.values()),
+            "a subchannel is still in use",
         )
         self.assertFalse(channel._calls)
 
--- a/tests/support/rpc_environment.py
+++ b/tests/support/rpc_environment.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the RPC plug-in's stories on loopback: servers that speak gRPC, and discovery over HTTP."""
+"""Test environment for the RPC plug-in on loopback: gRPC servers, and a discovery service over HTTP."""
 
 from __future__ import annotations
 
@@ -44,32 +44,35 @@
 def client_config(
     discovery_port: int | None, *targets: Target, seed: int = 7, **rpc_options: Any
 ) -> ClientConfig:
-    """A checked configuration for discovery at a port of loopback, or for a list of its own."""
+    """Return a checked configuration for discovery on a loopback port, or for the list `targets`."""
     checked: RpcConfig = parse_rpc(RpcTable(methods=METHODS, **rpc_options), SETTINGS, Path())
     address = ("127.0.0.1", discovery_port) if discovery_port else None
     return ClientConfig("client", address, seed, EndpointList(1, True, list(targets)), SETTINGS, checked)
 
 
 class FeedServer:
-    """A server of the feed. `mode` says what it does with a call; the calls that came are recorded."""
+    """A feed server that records its calls.
+
+    `mode` is "serve", "silent", "full", "migrating", "no-retry" or the name of a status code to respond with.
+    """
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.port = 0
         self.mode = "serve"
-        self.calls: list[str] = []  # the methods that were called, in their order
+        self.calls: list[str] = []  # the methods that were called, in order
         self.metadata: list[dict[str, Any]] = []
-        self.open_streams: set[asyncio.Event] = set()  # one for each open stream: set, it ends
-        self.abandoned_calls = 0  # cancelled by the client while `mode` is "silent"
-        self.started_ms = 0.0  # since 1970
+        self.open_streams: set[asyncio.Event] = set()  # one per open stream; setting it ends the stream
+        self.abandoned_calls = 0  # calls that the client cancelled while `mode` was "silent"
+        self.started_ms = 0.0  # milliseconds since 1970
         self.on_call: Callable[[], None] = lambda: None
         self._server: grpc.aio.Server | None = None
 
     async def start(self, credentials: grpc.ServerCredentials | None = None) -> FeedServer:
         self._server = server = grpc.aio.server(options=(("grpc.so_reuseport", 0),))
         handlers: dict[str, Any] = {
-            "Status": grpc.unary_unary_rpc_method_handler(self._one),
-            "Claim": grpc.unary_unary_rpc_method_handler(self._one),
+            "Status": grpc.unary_unary_rpc_method_handler(self._unary),
+            "Claim": grpc.unary_unary_rpc_method_handler(self._unary),
             "Watch": grpc.unary_stream_rpc_method_handler(self._watch),
             "Upload": grpc.stream_unary_rpc_method_handler(self._upload),
             "Talk": grpc.stream_stream_rpc_method_handler(self._talk),
@@ -85,13 +88,13 @@
         return self
 
     async def stop(self) -> None:
-        """Die: what is open is cut off."""
+        """Stop at once and abort all open calls."""
         if self._server is not None:
             server, self._server = self._server, None
             await server.stop(0)
 
     async def restart(self) -> None:
-        """Start anew at the same port, in slow start from now on."""
+        """Restart on the same port. The server is in slow start from then on."""
         await self.stop()
         self.started_ms = time.time() * 1000.0
         await self.start()
@@ -115,10 +118,10 @@
             await context.abort(grpc.StatusCode.UNAVAILABLE, "go away", (("puffindeck-moved", "1"),))
         if self.mode == "no-retry":
             await context.abort(grpc.StatusCode.UNAVAILABLE, "no", (("grpc-retry-pushback-ms", "-1"),))
-        if self.mode != "serve":  # what it did is done, and then it answers with this
+        if self.mode != "serve":  # the server has run the call and responds with this status
             await context.abort(getattr(grpc.StatusCode, self.mode), f"{self.name} says {self.mode}")
 
-    async def _one(self, request: bytes, context: Any) -> bytes:
+    async def _unary(self, request: bytes, context: Any) -> bytes:
         await self._on_call(context, "one")
         context.set_trailing_metadata((("served-by", self.name),))
         return self.name.encode() + b":" + request
@@ -147,7 +150,7 @@
 
 
 class Discovery:
-    """The endpoint list and the watches on it, as discovery's protocol has them."""
+    """A discovery service: an endpoint list and watches on it."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -164,7 +167,7 @@
         return self
 
     async def stop(self) -> None:
-        """Out of reach: watches end, connects fail."""
+        """Become unreachable: watches end, and connects fail."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -175,7 +178,7 @@
             heartbeat.cancel()
 
     def update(self, *targets: Target) -> None:
-        """Change these entries and notify all watches."""
+        """Change these entries of the list and notify all watches."""
         self.version += 1
         for target in targets:
             self.targets[target.uid] = target
@@ -219,7 +222,7 @@
 
 
 class Stub:
-    """What protoc would have made, with octets for messages."""
+    """A stub as protoc generates it, with bytes as messages."""
 
     def __init__(self, channel: grpc.aio.Channel) -> None:
         self.status: Any = channel.unary_unary(f"/{SERVICE}/Status")
@@ -230,12 +233,12 @@
 
 
 def key_metadata(key: str) -> Metadata:
-    """Metadata that names a call's key."""
+    """Return metadata with the key of a call."""
     return Metadata(("puffindeck-key", key))
 
 
 async def wait_until(condition: Callable[[], Any], failure: str, seconds: float = 10.0) -> None:
-    """Wait for a condition; a story that waits in vain fails with the message."""
+    """Wait for a condition. After `seconds`, fail with the message `failure`."""
     end = time.monotonic() + seconds
     while not condition():
         if time.monotonic() > end:
@@ -244,50 +247,54 @@
 
 
 def balancer_of(channel: BalancedChannel) -> Any:
-    """The decision module of a channel, with all that its type has."""
+    """Return a channel's decision module, typed as Any for access to all its attributes."""
     return channel._ensure_started()[0].balancer
 
 
 class RpcEnvironment:
-    """Servers, discovery and channels, all ended when the story ends."""
+    """Servers, discovery and channels, which `close_all` closes."""
 
     def __init__(self) -> None:
         self.servers: dict[str, FeedServer] = {}
         self.discovery = Discovery()
-        self._endings: list[Callable[[], Awaitable[Any]]] = []
+        self._close_functions: list[Callable[[], Awaitable[Any]]] = []
 
     async def serve(self, *names: str) -> None:
         for name in names:
             server = await FeedServer(name).start()
             self.servers[name] = server
-            self._endings.append(server.stop)
+            self._close_functions.append(server.stop)
         await self.discovery.start()
-        self._endings.append(self.discovery.stop)
+        self._close_functions.append(self.discovery.stop)
         self.discovery.update(*(server.target() for server in self.servers.values()))
 
     def channel(self, **keywords: Any) -> BalancedChannel:
-        """A channel; keywords are BalancedChannel's, `config` in place of a configuration, `rpc` options."""
+        """Create a channel.
+
+        `config` replaces the default configuration, and `rpc` contains options of the default one. All other
+        keywords are passed to BalancedChannel.
+        """
         config = keywords.pop("config", None)
         rpc_options = keywords.pop("rpc", {})
         channel = BalancedChannel(config or client_config(self.discovery.port, **rpc_options), **keywords)
-        self._endings.append(channel.close)
+        self._close_functions.append(channel.close)
         return channel
 
     async def close_all(self) -> None:
-        for ending in reversed(self._endings):
-            await ending()
+        for close in reversed(self._close_functions):
+            await close()
 
     def call_counts(self) -> dict[str, int]:
-        """How many calls each server got."""
+        """Return the number of calls that each server received."""
         return {name: len(server.calls) for name, server in self.servers.items()}
 
     def key_of(self, channel: BalancedChannel, server: str) -> str:
-        """A key whose home is this server, by the channel's own decisions."""
+        """Return a key that the channel's decision module places on this server."""
         shared = channel._ensure_started()[0]
         ring = balancer_of(channel).client_ring.full.ring_for(None)
-        wanted = shared.directory.number(server)
+        number = shared.directory.number(server)
         return next(
             key
             for key in (f"desk {i}" for i in range(10000))
-            if owner(ring, mix64(key_number(key.encode())) >> 34) == wanted
+            if owner(ring, mix64(key_number(key.encode())) >> 34) == number
         )
