--- a/benchmarks/rpc_cost.py
+++ b/benchmarks/rpc_cost.py
@@ -1,8 +1,9 @@
-"""What a unary call through BalancedChannel costs, against the same call on a bare grpc.aio channel.
+"""Compares the latency of a unary call through BalancedChannel with that on a plain grpc.aio channel.
 
     python -m benchmarks.rpc_cost [--calls 3000] [--rounds 5]
 
-The server is a process of its own. The two take turns call by call, so that the machine's drift meets both.
+The servers run in a separate process. The two kinds of calls alternate, so that changes in the machine's
+speed affect both.
 """
 
 from __future__ import annotations
@@ -25,34 +26,37 @@
 async def measure(calls: int, rounds: int) -> None:
     servers = await Process.start("benchmarks.rpc_parts", "servers", "--names", "one,two,three")
     ports = await servers.read()
-    targets = [Target(name, "SERVING", f"127.0.0.1:{both[0]}", "a", "m") for name, both in ports.items()]
+    targets = [
+        Target(name, "SERVING", f"127.0.0.1:{server_ports[0]}", "a", "m")
+        for name, server_ports in ports.items()
+    ]
     rows = []
     async with BalancedChannel(client_config(None, *targets)) as balanced:
         key = key_metadata("desk 7")
         name = (await Stub(balanced).status(b"x", metadata=key)).split(b":")[0].decode()
-        async with grpc.aio.insecure_channel(f"127.0.0.1:{ports[name][0]}") as bare:
-            stubs = {"bare": Stub(bare), "balanced": Stub(balanced)}
-            for turn in range(rounds + 1):  # the first warms up
-                took: dict[str, list[float]] = {"bare": [], "balanced": []}
+        async with grpc.aio.insecure_channel(f"127.0.0.1:{ports[name][0]}") as plain:
+            stubs = {"bare": Stub(plain), "balanced": Stub(balanced)}
+            for round_number in range(rounds + 1):  # round 0 is a warm-up
+                durations_us: dict[str, list[float]] = {"bare": [], "balanced": []}
                 gc.collect()
                 for _ in range(calls):
                     for kind, stub in stubs.items():
-                        began = time.perf_counter()
+                        start_s = time.perf_counter()
                         await stub.status(b"x", timeout=2, metadata=key)
-                        took[kind].append(1e6 * (time.perf_counter() - began))
-                if turn:
-                    middle = {kind: median(times) for kind, times in took.items()}
+                        durations_us[kind].append(1e6 * (time.perf_counter() - start_s))
+                if round_number:
+                    medians_us = {kind: median(times) for kind, times in durations_us.items()}
                     rows.append(
                         [
-                            turn,
-                            f"{middle['bare']:.0f}",
-                            f"{middle['balanced']:.0f}",
-                            middle["balanced"] / middle["bare"],
+                            round_number,
+                            f"{medians_us['bare']:.0f}",
+                            f"{medians_us['balanced']:.0f}",
+                            medians_us["balanced"] / medians_us["bare"],
                         ]
                     )
     await servers.end()
-    print(f"unary calls, one at a time, {calls} of each kind a round; medians in microseconds\n")
-    print(table(["round", "bare grpc.aio", "BalancedChannel", "ratio"], rows))
+    print(f"unary calls, one at a time, {calls} of each kind per round; medians in microseconds\n")
+    print(table(["round", "plain grpc.aio", "BalancedChannel", "ratio"], rows))
 
 
 def main() -> None:
--- a/benchmarks/rpc_parts.py
+++ b/benchmarks/rpc_parts.py
@@ -1,4 +1,7 @@
-"""The processes of rpc_side_by_side: servers of both wires, and clients of either. Not run by hand."""
+"""The server and client processes of rpc_side_by_side, which starts them.
+
+Servers accept gRPC calls and the daemon's line protocol. Clients use the plug-in or the daemon.
+"""
 
 from __future__ import annotations
 
@@ -17,12 +20,12 @@
 
 
 def report(value: Any) -> None:
-    """Write a line of JSON to the driver."""
+    """Write a line of JSON to the parent process."""
     print(json.dumps(value), flush=True)
 
 
-async def commands() -> asyncio.StreamReader:
-    """The driver's commands, line by line; at their end the process ends."""
+async def command_reader() -> asyncio.StreamReader:
+    """Return a reader of the parent process's commands, one per line."""
     reader = asyncio.StreamReader()
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -32,14 +35,14 @@
 # Servers
 
 
-class TwoWireServer:
-    """A server of the feed, with a second port for the daemon's lines. It records when calls arrive."""
+class TwoProtocolServer:
+    """A feed server with a second port for the daemon's line protocol. It records when calls arrive."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.feed = FeedServer(name)
         self.line_port = 0
-        self.arrivals: list[tuple[float, str]] = []  # seconds since 1970, and the wire
+        self.arrivals: list[tuple[float, str]] = []  # seconds since 1970, and the protocol
         self._lines: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self.feed.on_call = lambda: self.arrivals.append((time.time(), "grpc"))
@@ -72,11 +75,11 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    servers = {name: TwoWireServer(name) for name in options.names.split(",")}
+    servers = {name: TwoProtocolServer(name) for name in options.names.split(",")}
     for server in servers.values():
         await server.start()
     report({name: [server.feed.port, server.line_port] for name, server in servers.items()})
-    reader = await commands()
+    reader = await command_reader()
     while line := await reader.readline():
         command, _, name = line.decode().strip().partition(" ")
         if command == "stop":
@@ -93,27 +96,27 @@
 # Clients
 
 
-class Fleet:
-    """Clients of one process. Each holds a connection with a key of its own, begun anew when it ends."""
+class ClientGroup:
+    """The clients of one process. Each has its own key, and reconnects when its connection ends."""
 
     def __init__(self, options: argparse.Namespace) -> None:
         self.options = options
         self.random = Random(options.seed * 1000 + options.first)
-        self.first: dict[str, str] = {}  # where a key was first served
-        self.open: dict[str, str] = {}
+        self.first: dict[str, str] = {}  # the server that first served each key
+        self.open: dict[str, str] = {}  # the servers of open connections, by key
         self.rejected = 0
         self.longest_ms = 0.0
 
     async def run(self) -> None:
         keys = Random(self.options.seed)
-        wanted = [f"{keys.getrandbits(63):x}" for _ in range(self.options.first + self.options.count)]
-        mine = wanted[self.options.first :]
-        await self.prepare(len(mine))
+        all_keys = [f"{keys.getrandbits(63):x}" for _ in range(self.options.first + self.options.count)]
+        own_keys = all_keys[self.options.first :]
+        await self.prepare(len(own_keys))
         report("ready")
-        reader = await commands()
+        reader = await command_reader()
         await reader.readline()
-        tasks = [asyncio.ensure_future(self.client(i, key)) for i, key in enumerate(mine)]
-        while len(self.first) < len(mine):
+        tasks = [asyncio.ensure_future(self.client(i, key)) for i, key in enumerate(own_keys)]
+        while len(self.first) < len(own_keys):
             await asyncio.sleep(0.01)
         report("open")
         await reader.readline()
@@ -125,55 +128,58 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def prepare(self, count: int) -> None:
-        """What is no part of the measurement."""
+        """Prepare `count` clients before the measurement."""
 
     async def client(self, i: int, key: str) -> None:
         await asyncio.sleep(self.options.spread * i / self.options.count)
-        await self.live(i, key)
+        await self.run_client(i, key)
 
-    async def live(self, i: int, key: str) -> None:
+    async def run_client(self, i: int, key: str) -> None:
         raise NotImplementedError
 
-    def hold(self) -> float:
-        """How long a connection is wanted, in seconds."""
+    def connection_duration(self) -> float:
+        """Return how long a connection is to be used, in seconds."""
         if self.options.once:
             return 0.02
         return self.random.expovariate(1 / self.options.churn) if self.options.churn else 1e6
 
-    async def idle(self) -> None:
-        """After the first connection has ended: for those that want no other."""
+    async def wait_if_once(self) -> None:
+        """Wait forever after the first connection if `--once` is given."""
         if self.options.once:
             await asyncio.Event().wait()
 
-    def served(self, key: str, name: str, began: float) -> None:
+    def served(self, key: str, name: str, start_s: float) -> None:
         self.first.setdefault(key, name)
         self.open[key] = name
-        self.longest_ms = max(self.longest_ms, 1000 * (time.monotonic() - began))
+        self.longest_ms = max(self.longest_ms, 1000 * (time.monotonic() - start_s))
 
     async def ended(self, key: str) -> None:
         self.open.pop(key, None)
-        await self.idle()
+        await self.wait_if_once()
         await asyncio.sleep(0.05 + 0.2 * self.random.random())
 
 
-class PluginFleet(Fleet):
-    """Clients that place their own streams, none knowing of another."""
+class PluginClients(ClientGroup):
+    """Clients with the plug-in, which place their own streams and share no state."""
 
     async def prepare(self, count: int) -> None:
-        """Endpoint lists first: so many clients in one process would wait for each other, not for servers."""
+        """Create all channels and load their endpoint lists.
+
+        Otherwise the clients of this process would wait for each other rather than for servers.
+        """
         self.channels = [BalancedChannel.from_config(self.options.config, alone=True) for _ in range(count)]
         for channel in self.channels:
             await channel.channel_ready()
 
-    async def live(self, i: int, key: str) -> None:
+    async def run_client(self, i: int, key: str) -> None:
         async with self.channels[i] as channel:
             stub = Stub(channel)
             while True:
-                began = time.monotonic()
+                start_s = time.monotonic()
                 call = stub.watch(b"", metadata=key_metadata(key))
                 try:
-                    self.served(key, (await call.read()).decode(), began)
-                    async with asyncio.timeout(self.hold()):
+                    self.served(key, (await call.read()).decode(), start_s)
+                    async with asyncio.timeout(self.connection_duration()):
                         await call.read()
                 except TimeoutError:
                     pass
@@ -185,30 +191,30 @@
                 await self.ended(key)
 
 
-class LineFleet(Fleet):
-    """Clients of the daemon."""
+class LineClients(ClientGroup):
+    """Clients of the daemon, which use its line protocol."""
 
-    async def live(self, i: int, key: str) -> None:
+    async def run_client(self, i: int, key: str) -> None:
         while True:
-            began = time.monotonic()
+            start_s = time.monotonic()
             reader, writer = await asyncio.open_connection("127.0.0.1", self.options.port)
             writer.write(b"OPEN %016x %s c=watch,d=2400\r\n" % (self.random.getrandbits(63), key.encode()))
             answer = (await reader.readline()).decode().split()
             if answer[:1] == ["UP"]:
-                self.served(key, answer[1], began)
-                await self.stand(reader, writer)
+                self.served(key, answer[1], start_s)
+                await self.use_connection(reader, writer)
             else:
                 self.rejected += 1
             writer.close()
             await self.ended(key)
 
-    async def stand(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Send a line each two seconds, until the connection is wanted no more, is migrated or breaks."""
-        end = time.monotonic() + self.hold()
-        while (left := end - time.monotonic()) > 0:
+    async def use_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Send a line every two seconds until the connection's time is over, or it is migrated or breaks."""
+        end = time.monotonic() + self.connection_duration()
+        while (remaining_s := end - time.monotonic()) > 0:
             try:
                 writer.write(b"still here\r\n")
-                async with asyncio.timeout(min(2.0, left)):
+                async with asyncio.timeout(min(2.0, remaining_s)):
                     while line := await reader.readline():
                         if line.startswith(b"MOVE"):
                             return
@@ -235,8 +241,8 @@
     if options.part == "servers":
         asyncio.run(serve(options))
     else:
-        fleet = PluginFleet if options.part == "plugin" else LineFleet
-        asyncio.run(fleet(options).run())
+        client_type = PluginClients if options.part == "plugin" else LineClients
+        asyncio.run(client_type(options).run())
 
 
 if __name__ == "__main__":
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -1,12 +1,14 @@
-"""The plug-in's clients and the daemon side by side on this machine: same endpoint list, servers and keys.
+"""Compares the plug-in's clients with the daemon on this machine: same endpoint list, servers and keys.
 
     python -m benchmarks.rpc_side_by_side [--clients 600] [--servers 15] [--seed 1]
 
-Three days for each, with real sockets: a calm one; one on which three servers have just started when all
-clients connect, over three seconds; and one on which three servers die under standing connections and come
-back cold eight seconds later, while each client begins a connection anew every six seconds. What a cold
-server can do is what fills it over its warm-up, times its warmth; more than three times that within a second
-breaks the rule.
+Each runs four scenarios over real sockets. In `short`, each key is used once, for 20 ms. In `steady`, all
+servers are up. In `slow_start`, three servers have just started when all clients connect within three
+seconds. In `recovery`, three servers with open connections stop and restart eight seconds later, in slow
+start, while each client reconnects every six seconds on average.
+
+The rate limit of a server in slow start is its usual number of connections, divided by the warm-up time and
+multiplied by its present capacity factor. A second with more than three times this rate breaks the rule.
 """
 
 from __future__ import annotations
@@ -65,7 +67,7 @@
 
 
 class Process:
-    """A process of the measurement."""
+    """A server, client or daemon process of the measurement."""
 
     def __init__(self, process: asyncio.subprocess.Process) -> None:
         self.process = process
@@ -89,7 +91,7 @@
         assert self.process.stdout is not None
         line = await self.process.stdout.readline()
         if not line:
-            raise RuntimeError("a part of the measurement has ended")
+            raise RuntimeError("a process of the measurement has ended")
         return json.loads(line)
 
     async def write(self, text: str) -> None:
@@ -107,11 +109,11 @@
         await self.process.wait()
 
 
-class Side:
-    """A front, its clients and the servers."""
+class Deployment:
+    """A front with its clients and servers."""
 
     def __init__(self, options: argparse.Namespace, front: str, folder: Path) -> None:
-        """`front` is the plug-in, the daemon as it is, or the daemon on an evened ring."""
+        """`front` is a key of FRONTS."""
         self.options = options
         self.folder = folder
         self.front = "plugin" if front == "plugin" else "lines"
@@ -119,7 +121,7 @@
         self.names = [f"b{i}" for i in range(options.servers)]
         self.discovery = Discovery()
         self.parts: list[Process] = []
-        self.of: dict[str, Process] = {}
+        self.process_of: dict[str, Process] = {}  # by server
         self.targets: dict[str, Target] = {}
         self.port = 0
 
@@ -129,13 +131,13 @@
             part = await Process.start("benchmarks.rpc_parts", "servers", "--names", ",".join(names))
             self.parts.append(part)
             for name, ports in (await part.read()).items():
-                self.of[name] = part
+                self.process_of[name] = part
                 port = ports[0 if self.front == "plugin" else 1]
                 self.targets[name] = Target(name, "SERVING", f"127.0.0.1:{port}", "a", "m", 1, 1.0, 0.0)
         await self.discovery.start()
         self.discovery.update(*self.targets.values())
         if self.front == "lines":
-            await self.daemon()
+            await self.start_daemon()
         else:
             config = {
                 "discovery": f"127.0.0.1:{self.discovery.port}",
@@ -144,10 +146,10 @@
             }
             (self.folder / "client.toml").write_text(tomli_w.dumps(config))
 
-    async def daemon(self) -> None:
-        with socket.socket() as free:
-            free.bind(("127.0.0.1", 0))
-            self.port = free.getsockname()[1]
+    async def start_daemon(self) -> None:
+        with socket.socket() as probe:
+            probe.bind(("127.0.0.1", 0))
+            self.port = probe.getsockname()[1]
         config = {
             "name": "side",
             "listen": f"127.0.0.1:{self.port}",
@@ -168,10 +170,10 @@
                 pass
             await asyncio.sleep(0.05)
 
-    async def clients(self, spread: float, churn: float, *more: str) -> list[Process]:
-        made, each = [], -(-self.options.clients // self.options.processes)
-        for first in range(0, self.options.clients, each):
-            count = min(each, self.options.clients - first)
+    async def start_clients(self, spread: float, churn: float, *flags: str) -> list[Process]:
+        started, clients_per_process = [], -(-self.options.clients // self.options.processes)
+        for first in range(0, self.options.clients, clients_per_process):
+            count = min(clients_per_process, self.options.clients - first)
             part = await Process.start(
                 "benchmarks.rpc_parts",
                 self.front,
@@ -189,27 +191,27 @@
                 str(spread),
                 "--churn",
                 str(churn),
-                *more,
+                *flags,
             )
-            made.append(part)
+            started.append(part)
             self.parts.append(part)
-        for part in made:
+        for part in started:
             await part.read()
-        return made
+        return started
 
     @staticmethod
-    async def go(fleets: list[Process]) -> None:
+    async def connect_clients(client_processes: list[Process]) -> None:
         """Let the clients connect, and wait until each has been served."""
-        for fleet in fleets:
-            await fleet.write("go")
-        for fleet in fleets:
-            await fleet.read()
+        for process in client_processes:
+            await process.write("go")
+        for process in client_processes:
+            await process.read()
 
     @staticmethod
-    async def reports(fleets: list[Process]) -> dict[str, Any]:
+    async def reports(client_processes: list[Process]) -> dict[str, Any]:
         found: dict[str, Any] = {"first": {}, "open": {}, "rejected": 0, "longest_ms": 0.0}
-        for fleet in fleets:
-            report = await fleet.request("report")
+        for process in client_processes:
+            report = await process.request("report")
             found["first"].update(report["first"])
             found["open"].update(report["open"])
             found["rejected"] += report["rejected"]
@@ -221,155 +223,164 @@
             await part.end()
         await self.discovery.stop()
 
-    def fullest(self, placed: dict[str, str]) -> float:
-        return max(Counter(placed.values()).values()) / (len(placed) / len(self.names))
+    def peak_to_mean(self, placements: dict[str, str]) -> float:
+        """Return the largest number of keys on a server, divided by the mean."""
+        return max(Counter(placements.values()).values()) / (len(placements) / len(self.names))
+
+    def overloaded_seconds(self, arrivals: list[tuple[float, str]], since: float) -> int:
+        """Return how many seconds break the rule for a server in slow start since `since`.
 
-    def over(self, arrivals: list[tuple[float, str]], since: float) -> int:
-        """Seconds, beginning with any arrival, in which a cold server got over 3 times what it could do."""
-        usual, times = (
+        Each arrival begins a second. `since` is in seconds since 1970.
+        """
+        usual_connections, times = (
             self.options.clients / self.options.servers,
             sorted(at for at, _ in arrivals if at >= since),
         )
-        broken = 0
+        violations = 0
         for at in times:
             if at - since > 9.0:
                 break
-            warmth = 0.31 + 0.69 * min(1.0, (at + 1.0 - since) / 9.0)
-            within = sum(at <= other < at + 1.0 for other in times)
-            broken += within > max(1.0, 3 * warmth * usual / 9.0)
-        return broken
+            capacity_factor = 0.31 + 0.69 * min(1.0, (at + 1.0 - since) / 9.0)
+            arrivals_within_1_s = sum(at <= other < at + 1.0 for other in times)
+            violations += arrivals_within_1_s > max(1.0, 3 * capacity_factor * usual_connections / 9.0)
+        return violations
 
-    # The days
+    # Scenarios
 
-    async def calm(self) -> dict[str, Any]:
+    async def steady(self) -> dict[str, Any]:
         await self.start()
-        fleets = await self.clients(6.0, 0.0)
-        await self.go(fleets)
-        report = await self.reports(fleets)
+        client_processes = await self.start_clients(6.0, 0.0)
+        await self.connect_clients(client_processes)
+        report = await self.reports(client_processes)
         return {
             "first": report["first"],
-            "fullest": self.fullest(report["first"]),
+            "fullest": self.peak_to_mean(report["first"]),
             "rejected": report["rejected"],
             "longest_ms": report["longest_ms"],
         }
 
     async def short(self) -> dict[str, Any]:
-        """Each key once, for 20 ms: what is placed with no load counted."""
+        """Use each key once, for 20 ms, so that servers have no load when a key is placed."""
         await self.start()
-        fleets = await self.clients(6.0, 0.0, "--once")
-        await self.go(fleets)
-        return {"first": (await self.reports(fleets))["first"]}
+        client_processes = await self.start_clients(6.0, 0.0, "--once")
+        await self.connect_clients(client_processes)
+        return {"first": (await self.reports(client_processes))["first"]}
 
-    async def chilled(self) -> dict[str, Any]:
-        """Three servers start as the clients do: discovery lists them at the start of the first client."""
+    async def slow_start(self) -> dict[str, Any]:
+        """Let three servers start when the clients do, according to their start time at discovery."""
         await self.start()
-        fleets = await self.clients(3.0, 0.0)
+        client_processes = await self.start_clients(3.0, 0.0)
         since = time.time()
         self.discovery.update(*(replace(self.targets[name], boot_ms=since * 1000) for name in self.names[:3]))
-        await self.go(fleets)
-        report = await self.reports(fleets)
+        await self.connect_clients(client_processes)
+        report = await self.reports(client_processes)
         arrivals = await self.arrivals()
         return {
-            "fullest": self.fullest(report["first"]),
+            "fullest": self.peak_to_mean(report["first"]),
             "rejected": report["rejected"],
             "longest_ms": report["longest_ms"],
             "cold": [len([at for at, _ in arrivals[name]]) for name in self.names[:3]],
-            "over": sum(self.over(arrivals[name], since) for name in self.names[:3]),
+            "over": sum(self.overloaded_seconds(arrivals[name], since) for name in self.names[:3]),
         }
 
     async def arrivals(self) -> dict[str, list[tuple[float, str]]]:
         found: dict[str, list[tuple[float, str]]] = {}
-        for part in {id(part): part for part in self.of.values()}.values():
+        for part in {id(part): part for part in self.process_of.values()}.values():
             found.update(await part.request("report"))
         return found
 
-    async def back(self) -> dict[str, Any]:
+    async def recovery(self) -> dict[str, Any]:
         await self.start()
-        fleets = await self.clients(6.0, 6.0)
-        await self.go(fleets)
+        client_processes = await self.start_clients(6.0, 6.0)
+        await self.connect_clients(client_processes)
         await asyncio.sleep(3.0)
-        lost = self.names[:3]
-        for name in lost:
-            await self.of[name].request(f"stop {name}")
-        await asyncio.sleep(3.0)  # discovery notices late
-        self.discovery.update(*(replace(self.targets[name], state="DELETED") for name in lost))
+        stopped = self.names[:3]
+        for name in stopped:
+            await self.process_of[name].request(f"stop {name}")
+        await asyncio.sleep(3.0)  # discovery detects the failure with a delay
+        self.discovery.update(*(replace(self.targets[name], state="DELETED") for name in stopped))
         await asyncio.sleep(5.0)
-        for name in lost:
-            await self.of[name].request(f"start {name}")
+        for name in stopped:
+            await self.process_of[name].request(f"start {name}")
         since = time.time()
-        self.discovery.update(*(replace(self.targets[name], boot_ms=since * 1000) for name in lost))
+        self.discovery.update(*(replace(self.targets[name], boot_ms=since * 1000) for name in stopped))
         await asyncio.sleep(12.0)
-        report, arrivals = await self.reports(fleets), await self.arrivals()
-        after = {name: [c for c in arrivals[name] if c[0] >= since] for name in lost}
+        report, arrivals = await self.reports(client_processes), await self.arrivals()
+        after = {name: [arrival for arrival in arrivals[name] if arrival[0] >= since] for name in stopped}
         return {
-            "first_use": max((after[name][0][0] - since) if after[name] else 99.0 for name in lost),
-            "over": sum(self.over(after[name], since) for name in lost),
-            "in 9 s": [sum(at - since < 9 for at, _ in after[name]) for name in lost],
+            "first_use": max((after[name][0][0] - since) if after[name] else 99.0 for name in stopped),
+            "over": sum(self.overloaded_seconds(after[name], since) for name in stopped),
+            "in 9 s": [sum(at - since < 9 for at, _ in after[name]) for name in stopped],
             "rejected": report["rejected"],
             "longest_ms": report["longest_ms"],
-            "fullest": self.fullest(report["open"]),
+            "fullest": self.peak_to_mean(report["open"]),
         }
 
 
-async def run(options: argparse.Namespace, front: str, day: str) -> dict[str, Any]:
+async def run(options: argparse.Namespace, front: str, scenario: str) -> dict[str, Any]:
     with tempfile.TemporaryDirectory() as folder:
-        side = Side(options, front, Path(folder))
+        deployment = Deployment(options, front, Path(folder))
         try:
-            found: dict[str, Any] = await asyncio.wait_for(getattr(side, day)(), 120)
+            found: dict[str, Any] = await asyncio.wait_for(getattr(deployment, scenario)(), 120)
             return found
         finally:
-            await side.end()
+            await deployment.end()
 
 
-def alike(one: dict[str, Any], other: dict[str, Any]) -> float:
-    """The share of keys that two fronts have placed on the same server."""
-    both = one["first"].keys() & other["first"].keys()
-    same = sum(bool(one["first"][key] == other["first"][key]) for key in both)
-    return same / max(1, len(both))
+def placement_agreement(one: dict[str, Any], other: dict[str, Any]) -> float:
+    """Return the fraction of keys that two fronts placed on the same server."""
+    common_keys = one["first"].keys() & other["first"].keys()
+    same = sum(bool(one["first"][key] == other["first"][key]) for key in common_keys)
+    return same / max(1, len(common_keys))
 
 
-FRONTS = {"plugin": "plug-in", "lines": "daemon", "even": "daemon, its ring evened"}
+FRONTS = {"plugin": "plug-in", "lines": "daemon", "even": "daemon, smoothed ring"}
 
 
 async def measure(options: argparse.Namespace) -> None:
     found = {
-        (front, day): await run(options, front, day)
-        for day in ("short", "calm", "chilled", "back")
+        (front, scenario): await run(options, front, scenario)
+        for scenario in ("short", "steady", "slow_start", "recovery")
         for front in FRONTS
     }
     print(f"{options.clients} clients, {options.servers} servers, seed {options.seed}\n")
     rows = []
     for front, label in FRONTS.items():
-        calm, chilled, back = (found[front, day] for day in ("calm", "chilled", "back"))
+        steady, slow_start, recovery = (
+            found[front, scenario] for scenario in ("steady", "slow_start", "recovery")
+        )
         rows.append(
             [
                 label,
-                *(alike(found["plugin", day], found[front, day]) for day in ("short", "calm")),
-                calm["fullest"],
-                chilled["fullest"],
-                str(chilled["cold"]),
-                chilled["over"],
-                back["first_use"],
-                str(back["in 9 s"]),
-                back["over"],
-                "/".join(str(day["rejected"]) for day in (calm, chilled, back)),
-                "/".join(f"{day['longest_ms']:.0f}" for day in (calm, chilled, back)),
+                *(
+                    placement_agreement(found["plugin", scenario], found[front, scenario])
+                    for scenario in ("short", "steady")
+                ),
+                steady["fullest"],
+                slow_start["fullest"],
+                str(slow_start["cold"]),
+                slow_start["over"],
+                recovery["first_use"],
+                str(recovery["in 9 s"]),
+                recovery["over"],
+                "/".join(str(result["rejected"]) for result in (steady, slow_start, recovery)),
+                "/".join(f"{result['longest_ms']:.0f}" for result in (steady, slow_start, recovery)),
             ]
         )
     print(
         table(
             [
                 "front",
-                "alike, short",
-                "alike, standing",
-                "fullest/mean",
-                "with 3 cold",
-                "at the cold",
-                "seconds over",
-                "back in use, s",
-                "in the first 9 s",
-                "seconds over",
-                "refused",
+                "same placement, short",
+                "same placement, steady",
+                "peak/mean, steady",
+                "peak/mean, slow start",
+                "arrivals at starting servers",
+                "overloaded seconds, slow start",
+                "first use after restart, s",
+                "arrivals in the first 9 s",
+                "overloaded seconds, recovery",
+                "rejected",
                 "longest set-up, ms",
             ],
             rows,
@@ -381,7 +392,7 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--clients", type=int, default=600)
     parser.add_argument("--servers", type=int, default=15)
-    parser.add_argument("--processes", type=int, default=6, help="that the plug-in's clients are spread over")
+    parser.add_argument("--processes", type=int, default=6, help="number of processes that run the clients")
     parser.add_argument("--seed", type=int, default=1)
     asyncio.run(measure(parser.parse_args()))
 
--- a/puffindeck/rpc/intercepted_calls.py
+++ b/puffindeck/rpc/intercepted_calls.py
@@ -111,12 +111,12 @@
         return bool(call.done()) if call is not None else self._task.done()
 
     def time_remaining(self) -> float | None:
-        """Seconds to the deadline; None without one."""
+        """Seconds until the deadline: 0 if it has passed, None if there is none."""
         call = self._call() or self._chain.underlying_call
         return self._options.timeout if call is None else call.time_remaining()
 
     def add_done_callback(self, callback: Callable[[Any], None]) -> None:
-        """Call `callback` with this call once it has ended; at once if it has."""
+        """Call `callback` with this call when it ends, or immediately if it has ended."""
         call = self._call()
         if call is not None:
             call.add_done_callback(lambda _: callback(self))
@@ -126,19 +126,19 @@
             self._callbacks.append(callback)
 
     async def initial_metadata(self) -> Any:
-        """The initial metadata, once the call has begun."""
+        """Wait until the call is established or has ended, and return the initial metadata."""
         return await self._from_call("initial_metadata", Metadata())
 
     async def trailing_metadata(self) -> Any:
-        """The trailing metadata, once the call has ended."""
+        """Wait until the call has ended and return the trailing metadata."""
         return await self._from_call("trailing_metadata", Metadata())
 
     async def code(self) -> Any:
-        """The final status code, once the call has ended."""
+        """Wait until the call has ended and return the final status code."""
         return await self._from_call("code", CANCELLED.code)
 
     async def details(self) -> Any:
-        """The final status's text, once the call has ended."""
+        """Wait until the call has ended and return the text of the final status."""
         return await self._from_call("details", CANCELLED.details)
 
     async def debug_error_string(self) -> Any:
