--- a/puffindeck/rpc/endpoint_errors.py
+++ b/puffindeck/rpc/endpoint_errors.py
@@ -10,9 +10,9 @@
 
 
 class Refused(ConnectError):
-    """No server was available in time, and none has processed the request.
+    """No server accepted the connection in time, and a retry is safe.
 
-    The caller may safely retry after `wait`, which is zero if no time is known.
+    `wait` is the time after which to retry, or zero if none is known.
     """
 
     def __init__(self, wait: timedelta = ZERO) -> None:
