--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -43,7 +43,10 @@
         return now_ms - self._confirmed_ms
 
     def connect_failures_needed(self) -> float:
-        """Return 2, or 1 if the list is so old that it may miss a restart."""
+        """Return 2, or 1 if the list is so old that it may miss a restart.
+
+        An endpoint that can be reached again after these failures was most likely restarted.
+        """
         return 1 if self.endpoint_list_age_ms(self._context.now_ms) > STALE_LIST_MS else 2
 
 
--- a/tests/support/client_settings.py
+++ b/tests/support/client_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one among many small clients, for tests and benchmarks of the client balancer."""
+"""Settings of one of many small clients, for tests and benchmarks of the client balancer."""
 
 from __future__ import annotations
 
