--- a/benchmarks/client_placement.py
+++ b/benchmarks/client_placement.py
@@ -1,12 +1,18 @@
-"""The ways to place one connection each from many clients that share nothing, without any sockets.
+"""Compares strategies to place one connection of each of many clients that share no state. Uses no sockets.
 
     python -m benchmarks.client_placement [--seeds 20] [--clients 600] [--servers 15]
 
-For each way: the share of keys that a gateway with all the connections puts on the same server (they end at
-once, or stand, so that it evens out what luck brings; its ring as points fall, or smoothed), the fullest
-server's connections by the mean (calm, and with three servers that have just started), the part of keys
-that move without need when a server leaves, and connections at the fullest cold server within the first
-second against what the rule allows. The last line is plain luck: each connection to a server drawn evenly.
+Prints for each strategy:
+
+- the fraction of keys that a gateway with all the connections places on the same server, for connections that
+  end at once and for connections that stay open, with the default ring and with a smoothed ring
+- the largest number of connections of a server as a multiple of the mean, without and with three servers in
+  slow start
+- the fraction of keys of the remaining servers that move when a server is removed
+- the largest number of connections of a server in slow start within the first second
+
+The header has the budget for that last figure. The last row is a random choice: each connection goes to a
+server drawn with equal probability.
 """
 
 from __future__ import annotations
@@ -40,176 +46,194 @@
 from puffindeck.policy.hash_ring import Ring
 from tests.support.client_settings import SETTINGS
 
-NOW = 1.8e12
-# servers, those of them that are cold, and keys; the server that each key goes to
-Way = Callable[[list[int], list[int], list[int]], list[int]]
+NOW_MS = 1.8e12
+# Takes the endpoints, those of them that are in slow start, and the keys of the connections. Returns the
+# endpoint of each connection.
+Strategy = Callable[[list[int], list[int], list[int]], list[int]]
 
 
-def listed(endpoints: list[int], cold: list[int]) -> Event:
+def full_list(endpoints: list[int], warming: list[int]) -> Event:
+    """Return an endpoint list in which the endpoints of `warming` have just started."""
     return EndpointListUpdated(
         ListUpdateKind.FULL,
         1,
-        [EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, NOW if s in cold else 0.0) for s in endpoints],
+        [
+            EndpointEntry(s, 0, 0, 0, EndpointStatus.READY, 1.0, NOW_MS if s in warming else 0.0)
+            for s in endpoints
+        ],
     )
 
 
-def sent(balancer: Balancer, at: float, events: list[Event]) -> Send | None:
-    """What the events bring, or what the next walks within the patience do."""
+def first_send(balancer: Balancer, now_ms: float, events: list[Event]) -> Send | None:
+    """Return the first `Send` that the events cause, at once or at one of 19 retries 40 ms apart."""
     for step in range(20):
-        for action in balancer.handle(at + 40 * step, events):
+        for action in balancer.handle(now_ms + 40 * step, events):
             if isinstance(action, Send):
                 return action
         events = []
     return None
 
 
-def gateway(
-    endpoints: list[int], cold: list[int], keys: list[int], evenness: float = 0.0, stand: bool = True
+def place_on_gateway(
+    endpoints: list[int], warming: list[int], keys: list[int], evenness: float = 0.0, stay_open: bool = True
 ) -> list[int]:
-    """One gateway that gets all the connections, as the daemon does; they stand, or end at once."""
-    told = replace(SETTINGS, gateways=1, evenness=evenness)
-    one = SmoothedRingBalancer(told, 1) if evenness else Balancer(told, 1)
-    one.handle(NOW, [listed(endpoints, cold)])
-    found = []
+    """Place all connections on a single gateway. They stay open, or end at once."""
+    settings = replace(SETTINGS, gateways=1, evenness=evenness)
+    balancer = SmoothedRingBalancer(settings, 1) if evenness else Balancer(settings, 1)
+    balancer.handle(NOW_MS, [full_list(endpoints, warming)])
+    placements = []
     for i, key in enumerate(keys):
-        send = sent(one, NOW + i, [RequestArrived(i + 1, 0, 0, key, 1200, 0.0, 0)])
-        found.append(send.endpoint if send else 0)
+        send = first_send(balancer, NOW_MS + i, [RequestArrived(i + 1, 0, 0, key, 1200, 0.0, 0)])
+        placements.append(send.endpoint if send else 0)
         if send:
-            one.handle(NOW + i, [AttemptEstablished(send.request, send.endpoint, 5.0, 0)])
-        if send and not stand:
-            one.handle(NOW + i, [AttemptEnded(send.request, Outcome.OK, send.endpoint, 0, True, 6.0)])
-    return found
+            balancer.handle(NOW_MS + i, [AttemptEstablished(send.request, send.endpoint, 5.0, 0)])
+        if send and not stay_open:
+            balancer.handle(NOW_MS + i, [AttemptEnded(send.request, Outcome.OK, send.endpoint, 0, True, 6.0)])
+    return placements
 
 
-def each_alone(kind: type[Balancer], evenness: float = 0.0) -> Way:
-    """A client a key, each with decisions of its own; they come spread over the first second."""
+def balancer_per_client(balancer_class: type[Balancer], evenness: float = 0.0) -> Strategy:
+    """Return the strategy in which each client has its own balancer. They connect during one second."""
 
-    def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
-        found = []
+    def place(endpoints: list[int], warming: list[int], keys: list[int]) -> list[int]:
+        placements = []
         for i, key in enumerate(keys):
-            one = kind(replace(SETTINGS, evenness=evenness), i)
-            one.handle(NOW, [listed(endpoints, cold)])
-            send = sent(one, NOW + 1000 * i / len(keys), [RequestArrived(1, 0, 0, key, 1200, 0.0, 0)])
-            found.append(send.endpoint if send else 0)
-        return found
+            balancer = balancer_class(replace(SETTINGS, evenness=evenness), i)
+            balancer.handle(NOW_MS, [full_list(endpoints, warming)])
+            send = first_send(
+                balancer, NOW_MS + 1000 * i / len(keys), [RequestArrived(1, 0, 0, key, 1200, 0.0, 0)]
+            )
+            placements.append(send.endpoint if send else 0)
+        return placements
 
-    return way
+    return place
 
 
-def ring_number(endpoint: int, turn: int) -> int:
-    """A number of the endpoint's own for each set of its points on the ring."""
-    return int.from_bytes(blake2b(b"%d %d" % (endpoint, turn), digest_size=7).digest())
+def ring_number(endpoint: int, repetition: int) -> int:
+    """Return the number that a further set of the endpoint's ring positions is computed from."""
+    return int.from_bytes(blake2b(b"%d %d" % (endpoint, repetition), digest_size=7).digest())
 
 
-def with_points(times: int) -> Way:
-    """More points on the ring, cold servers passed by."""
+def with_points(times: int) -> Strategy:
+    """Return the strategy on a ring with `times` as many points, without endpoints in slow start."""
 
-    def drawn(endpoint: int) -> list[int]:
-        return [point for turn in range(times) for point in ring_positions(ring_number(endpoint, turn))]
+    def positions(endpoint: int) -> list[int]:
+        return [
+            point
+            for repetition in range(times)
+            for point in ring_positions(ring_number(endpoint, repetition))
+        ]
 
-    def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
-        owners = {point: s for s in endpoints if s not in cold for point in drawn(s)}
+    def place(endpoints: list[int], warming: list[int], keys: list[int]) -> list[int]:
+        owners = {point: s for s in endpoints if s not in warming for point in positions(s)}
         ring = Ring(sorted(owners), owners)
         return [owner(ring, mix64(key) >> 34) for key in keys]
 
-    return way
+    return place
 
 
-def subset(size: int) -> Way:
-    """A deterministic subset by the client's number (the aperture): the key chooses within it."""
+def subset(size: int) -> Strategy:
+    """Return the strategy with a deterministic subset by the client's number, from which the key selects."""
 
-    def way(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
-        warm = sorted(s for s in endpoints if s not in cold)
-        found = []
+    def place(endpoints: list[int], warming: list[int], keys: list[int]) -> list[int]:
+        warm = sorted(s for s in endpoints if s not in warming)
+        placements = []
         for i, key in enumerate(keys):
-            turn, place = divmod(i * size, len(warm))
-            order = Random(turn).sample(warm, len(warm))
-            some = [order[(place + k) % len(warm)] for k in range(size)]
-            found.append(max(some, key=lambda s: mix64(key ^ mix64(s))))
-        return found
+            shuffle_seed, offset = divmod(i * size, len(warm))
+            order = Random(shuffle_seed).sample(warm, len(warm))
+            candidates = [order[(offset + k) % len(warm)] for k in range(size)]
+            placements.append(max(candidates, key=lambda s: mix64(key ^ mix64(s))))
+        return placements
 
-    return way
+    return place
 
 
-def luck(endpoints: list[int], cold: list[int], keys: list[int]) -> list[int]:
-    warm = [s for s in endpoints if s not in cold]
+def random_choice(endpoints: list[int], warming: list[int], keys: list[int]) -> list[int]:
+    """Place each connection on a warm endpoint with equal probability."""
+    warm = [s for s in endpoints if s not in warming]
     return [warm[mix64(key) % len(warm)] for key in keys]
 
 
-WAYS: list[tuple[str, Way]] = [
-    ("the module as a gateway has it", each_alone(Balancer)),
-    ("4 times the points", with_points(4)),
-    ("16 times the points", with_points(16)),
+STRATEGIES: list[tuple[str, Strategy]] = [
+    ("the gateway's balancer in each client", balancer_per_client(Balancer)),
+    ("4 times the ring points", with_points(4)),
+    ("16 times the ring points", with_points(16)),
     ("a subset of 3 by the client's number", subset(3)),
     ("a subset of 5 by the client's number", subset(5)),
     *(
-        (f"shares of the ring evened to {bound:g}", each_alone(ClientBalancer, bound))
+        (f"ring shares smoothed to {bound:g}", balancer_per_client(ClientBalancer, bound))
         for bound in (1.0, 1.03, 1.05, 1.1, 1.25)
     ),
-    ("plain luck on even shares", luck),
+    ("random choice", random_choice),
 ]
 
 
 def main() -> None:
+    """Compute the figures of all strategies and print them as a table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", type=int, default=20)
     parser.add_argument("--clients", type=int, default=600)
     parser.add_argument("--servers", type=int, default=15)
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     rows = []
-    usual = told.clients / told.endpoints
-    budget = 3 * 0.31 * usual / 9
-    daemons = [(evenness, stand) for evenness in (0.0, DEFAULT_EVENNESS) for stand in (False, True)]
-    for name, way in WAYS:
-        alike: dict[tuple[float, bool], list[float]] = {daemon: [] for daemon in daemons}
-        calm, chilled, moved, coldest = [], [], [], []
-        for seed in range(told.seeds):
+    mean_connections = arguments.clients / arguments.endpoints
+    budget = 3 * 0.31 * mean_connections / 9
+    gateway_variants = [
+        (evenness, stay_open) for evenness in (0.0, DEFAULT_EVENNESS) for stay_open in (False, True)
+    ]
+    for name, place in STRATEGIES:
+        same_fractions: dict[tuple[float, bool], list[float]] = {variant: [] for variant in gateway_variants}
+        largest, largest_with_warming, moved, most_at_warming = [], [], [], []
+        for seed in range(arguments.seeds):
             random = Random(seed)
-            endpoints = random.sample(range(1, 2**32), told.endpoints)
-            keys = [random.getrandbits(63) for _ in range(told.clients)]
-            chosen = way(endpoints, [], keys)
-            for (evenness, stand), found in alike.items():
-                by_one = gateway(endpoints, [], keys, evenness, stand)
-                found.append(mean(a == b for a, b in zip(chosen, by_one, strict=True)))
-            calm.append(max(Counter(chosen).values()) / usual)
-            left = way(endpoints[1:], [], keys)
-            stayed = [(a, b) for a, b in zip(chosen, left, strict=True) if a != endpoints[0]]
-            moved.append(mean(a != b for a, b in stayed))
-            counts = Counter(way(endpoints, endpoints[:3], keys))
-            chilled.append(max(counts[s] for s in endpoints) / usual)
-            coldest.append(max(counts[s] for s in endpoints[:3]))
+            endpoints = random.sample(range(1, 2**32), arguments.endpoints)
+            keys = [random.getrandbits(63) for _ in range(arguments.clients)]
+            placements = place(endpoints, [], keys)
+            for (evenness, stay_open), fractions in same_fractions.items():
+                by_gateway = place_on_gateway(endpoints, [], keys, evenness, stay_open)
+                fractions.append(mean(a == b for a, b in zip(placements, by_gateway, strict=True)))
+            largest.append(max(Counter(placements).values()) / mean_connections)
+            after_removal = place(endpoints[1:], [], keys)
+            at_remaining = [
+                (a, b) for a, b in zip(placements, after_removal, strict=True) if a != endpoints[0]
+            ]
+            moved.append(mean(a != b for a, b in at_remaining))
+            counts = Counter(place(endpoints, endpoints[:3], keys))
+            largest_with_warming.append(max(counts[s] for s in endpoints) / mean_connections)
+            most_at_warming.append(max(counts[s] for s in endpoints[:3]))
         rows.append(
             [
                 name,
-                *(mean(alike[daemon]) for daemon in daemons),
-                mean(calm),
-                max(calm),
-                mean(chilled),
-                max(chilled),
+                *(mean(same_fractions[variant]) for variant in gateway_variants),
+                mean(largest),
+                max(largest),
+                mean(largest_with_warming),
+                max(largest_with_warming),
                 mean(moved),
-                mean(coldest),
-                max(coldest),
+                mean(most_at_warming),
+                max(most_at_warming),
             ]
         )
     print(
-        f"{told.clients} clients of one connection, {told.endpoints} servers, {told.seeds} seeds; a cold "
-        f"server may get {budget:.1f} connections in its first second\n"
+        f"{arguments.clients} clients with one connection each, {arguments.endpoints} servers, "
+        f"{arguments.seeds} seeds; a server in slow start may get {budget:.1f} connections in its "
+        "first second\n"
     )
     print(
         table(
             [
-                "way",
-                "alike, short",
-                "alike, standing",
-                "evened: short",
-                "evened: standing",
-                "fullest/mean",
-                "worst",
-                "with 3 cold",
-                "worst",
-                "moved without need",
-                "at the fullest cold one",
-                "worst",
+                "strategy",
+                "same as gateway, short",
+                "same as gateway, open",
+                "same as smoothed gateway, short",
+                "same as smoothed gateway, open",
+                "largest/mean",
+                "maximum",
+                "largest/mean, 3 in slow start",
+                "maximum",
+                "moved needlessly",
+                "most at a server in slow start",
+                "maximum",
             ],
             rows,
         )
