--- a/puffindeck/client_side/admission.py
+++ b/puffindeck/client_side/admission.py
@@ -73,7 +73,8 @@
     def may_be_burst(self, now: float, settings: Settings, returning: bool) -> bool:
         """Return whether many clients may be sending requests at once, as far as this client can tell.
 
-        Forgets lost connections that have not been replaced within the length of a slow start.
+        Forgets lost connections that have not been replaced within the length of a slow start, because the
+        client no longer needs them.
         """
         if now - self._lost_ms >= settings.slow_start_ms:
             self._lost = 0
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -39,7 +39,7 @@
         self._confirmed_ms = now_ms
 
     def endpoint_list_age_ms(self, now_ms: float) -> float:
-        """Return the milliseconds since the endpoint list was last confirmed; infinite before that."""
+        """Return the milliseconds since the list was last confirmed; infinite before the first confirmation."""
         return now_ms - self._confirmed_ms
 
     def connect_failures_needed(self) -> float:
@@ -204,8 +204,9 @@
 class HalfTimeLimit:
     """Limits an attempt to half of the time from its start to the deadline. A SlowAttemptLimit.
 
-    A client rarely has other calls to compare an attempt with. A gateway sets no such limit, because an
-    endpoint processes an abandoned attempt anyway. A client's server is notified of the cancellation.
+    A client rarely has other calls to compare an attempt with. A gateway sets no such limit, because the
+    endpoint would process an abandoned attempt anyway, whereas a client's server is notified of the
+    cancellation.
     """
 
     def give_up_ms(self, request: Request) -> float:
@@ -268,12 +269,11 @@
 
         Trials by hundreds of clients at once would overload it.
         """
-
         self._slow_start.reattached_ms.clear()
 
 
 class ClientStrategies:
-    """Creates the strategies of one client, and retains those that other parts use. Created by `build`."""
+    """Creates the strategies of one client. `build` also sets the attributes, for use by its balancer."""
 
     admission: Admission
     freshness: ListFreshness
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -38,7 +38,7 @@
 
 
 class FailoverRequests(LifecycleListener):
-    """Transfers the history of requests that fail over from another tier: attempts and possible runs."""
+    """Copies the history of requests that fail over: attempts, tried endpoints, and a possible first run."""
 
     def __init__(self) -> None:
         self.incoming: dict[int, Request] = {}  # the other tier's records, by request number
