--- a/puffindeck/client_side/client_balancer.py
+++ b/puffindeck/client_side/client_balancer.py
@@ -42,5 +42,5 @@
         self._client.freshness.confirm_list(now_ms)
 
     def endpoint_list_age_ms(self, now_ms: float) -> float:
-        """Return the milliseconds since the list was last confirmed; infinite before the first confirmation."""
+        """Return the milliseconds since the list was last confirmed; infinite if it never was."""
         return self._client.freshness.endpoint_list_age_ms(now_ms)
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -39,7 +39,7 @@
         self._confirmed_ms = now_ms
 
     def endpoint_list_age_ms(self, now_ms: float) -> float:
-        """Return the milliseconds since the list was last confirmed; infinite before the first confirmation."""
+        """Return the milliseconds since the list was last confirmed; infinite if it never was."""
         return now_ms - self._confirmed_ms
 
     def connect_failures_needed(self) -> float:
--- a/puffindeck/client_side/pool_router.py
+++ b/puffindeck/client_side/pool_router.py
@@ -59,5 +59,5 @@
             tier.client.freshness.confirm_list(now_ms)
 
     def endpoint_list_age_ms(self, now_ms: float) -> float:
-        """Return the milliseconds since the list was last confirmed; infinite before the first confirmation."""
+        """Return the milliseconds since the list was last confirmed; infinite if it never was."""
         return self._client_tiers()[0].client.freshness.endpoint_list_age_ms(now_ms)
