--- a/puffindeck/quic/__init__.py
+++ b/puffindeck/quic/__init__.py
@@ -1,1 +1,1 @@
-"""The QUIC front: datagrams passed on undecrypted, by connection id. docs/quic.md describes it."""
+"""The QUIC front, which forwards datagrams by connection id without decrypting them. See docs/quic.md."""
--- a/puffindeck/quic/connection_ids.py
+++ b/puffindeck/quic/connection_ids.py
@@ -1,7 +1,8 @@
-"""Connection ids that name their endpoint: the QUIC-LB draft (draft-ietf-quic-load-balancers).
+"""Connection ids that encode their endpoint, as in the QUIC-LB draft (draft-ietf-quic-load-balancers).
 
-First octet: three bits for the configuration in force, five for the length or at random. Then the server id
-and a nonce, in the clear, or encrypted with a key that the endpoints and the balancers share.
+The first octet has three bits with the configuration's id and five bits that hold the length or are random.
+The server id and a nonce follow, in the clear or encrypted with a key that the endpoints and the balancers
+share.
 """
 
 from __future__ import annotations
@@ -10,9 +11,9 @@
 
 from cryptography.hazmat.primitives.ciphers import Cipher, algorithms, modes
 
-CONFIG_IDS = 7  # the eighth codepoint says that an id names no endpoint
+CONFIG_IDS = 7  # the eighth codepoint marks connection ids that encode no endpoint
 KEY_OCTETS = 16
-BLOCK_OCTETS = 16  # of AES; server id and nonce of this length are encrypted in a single pass
+BLOCK_OCTETS = 16  # an AES block; if server id and nonce fill one block, a single pass encrypts both
 MAX_SERVER_ID_OCTETS = 15
 MIN_NONCE_OCTETS = 4
 MAX_NONCE_OCTETS = 18
@@ -22,21 +23,24 @@
 
 
 class ConnectionIds:
-    """One configuration: the length of server id and nonce in octets, and the key, if any."""
+    """Encodes and decodes the connection ids of one QUIC-LB configuration."""
 
     def __init__(self, config_id: int, server_id_octets: int, nonce_octets: int, key: bytes = b"") -> None:
-        """Raises ValueError for lengths that the draft does not allow."""
-        _check(config_id, server_id_octets, nonce_octets, key)
+        """An empty `key` leaves server id and nonce unencrypted.
+
+        Raises ValueError for a configuration id or lengths that the draft does not allow.
+        """
+        _check_parameters(config_id, server_id_octets, nonce_octets, key)
         self.config_id = config_id
         self.server_id_octets = server_id_octets
         self.nonce_octets = nonce_octets
         self.length = 1 + server_id_octets + nonce_octets
-        cipher = Cipher(algorithms.AES(key), modes.ECB()) if key else None  # each block is used as a hash
+        cipher = Cipher(algorithms.AES(key), modes.ECB()) if key else None  # the draft encrypts single blocks
         self._encryptor = cipher.encryptor() if cipher else None
         self._decryptor = cipher.decryptor() if cipher else None
 
     def server_id(self, connection_id: bytes) -> bytes | None:
-        """The server id in a connection id, or None in one of another configuration or length."""
+        """Return the server id in a connection id; None if its configuration or length differs."""
         if len(connection_id) != self.length or connection_id[0] >> 5 != self.config_id:
             return None
         plain = connection_id[1:]
@@ -46,12 +50,13 @@
         return plain[: self.server_id_octets]
 
     def issue(self, server_id: bytes, nonce: bytes | None = None) -> bytes:
-        """A connection id that names an endpoint, as the endpoint itself makes them.
+        """Return a connection id that encodes an endpoint's server id, as the endpoint itself issues them.
 
-        The nonce is random if it is not given. Raises ValueError for a server id of another length.
+        Without a `nonce`, a random one is used. Raises ValueError if the server id's length is not the
+        configured one.
         """
         if len(server_id) != self.server_id_octets:
-            raise ValueError(f"a server id here has {self.server_id_octets} octets")
+            raise ValueError(f"the server id must have {self.server_id_octets} octets")
         text = server_id + (nonce if nonce is not None else secrets.token_bytes(self.nonce_octets))
         if self._encryptor is not None:
             one_block = len(text) == BLOCK_OCTETS
@@ -59,7 +64,10 @@
         return bytes([self.config_id << 5 | self.length - 1]) + text
 
     def _feistel(self, text: bytes, passes: tuple[int, ...]) -> bytes:
-        """The draft's four passes of a Feistel network; halves of an odd length share its middle octet."""
+        """Apply the draft's four-pass Feistel network, with its passes in the given order.
+
+        If the length is odd, each half has four bits of the middle octet.
+        """
         assert self._encryptor is not None
         size = len(text)
         odd = size % 2 == 1
@@ -69,9 +77,9 @@
         if odd:
             left[-1] &= 0xF0
             right[0] &= 0x0F
-        for number in passes:
-            source, target = (left, right) if number % 2 else (right, left)
-            block = bytes(source).ljust(14, b"\0") + bytes([size, number])
+        for pass_number in passes:
+            source, target = (left, right) if pass_number % 2 else (right, left)
+            block = bytes(source).ljust(14, b"\0") + bytes([size, pass_number])
             mask = self._encryptor.update(block)
             for i in range(half):
                 target[i] ^= mask[i]
@@ -83,13 +91,15 @@
         return bytes(left + right)
 
 
-def _check(config_id: int, server_id_octets: int, nonce_octets: int, key: bytes) -> None:
+def _check_parameters(config_id: int, server_id_octets: int, nonce_octets: int, key: bytes) -> None:
     if not 0 <= config_id < CONFIG_IDS:
         raise ValueError("config_id must be 0 to 6")
     server_id_fits = 1 <= server_id_octets <= MAX_SERVER_ID_OCTETS
     nonce_fits = MIN_NONCE_OCTETS <= nonce_octets <= MAX_NONCE_OCTETS
     both_fit = server_id_octets + nonce_octets <= MAX_SERVER_ID_AND_NONCE_OCTETS
     if not (server_id_fits and nonce_fits and both_fit):
-        raise ValueError("server_id_length must be 1 and nonce_length 4 or more, 19 in all at most")
+        raise ValueError(
+            "server_id_length must be 1 to 15 and nonce_length 4 to 18, with a sum of 19 at most"
+        )
     if key and len(key) != KEY_OCTETS:
-        raise ValueError("key must be 16 octets")
+        raise ValueError("key must have 16 octets")
--- a/puffindeck/quic/dropped_datagrams.py
+++ b/puffindeck/quic/dropped_datagrams.py
@@ -1,4 +1,7 @@
-"""Counts of datagrams that were dropped. Junk costs a count, never a log line each."""
+"""Counts of dropped datagrams.
+
+The log has totals at intervals instead of a line per datagram, so that junk traffic cannot flood it.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class DroppedDatagrams:
-    """How many datagrams were dropped since the start, by reason."""
+    """The number of datagrams dropped since the start, by reason."""
 
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
@@ -18,15 +21,15 @@
 
     @property
     def total(self) -> int:
-        """How many were dropped, for whatever reason."""
+        """The number of dropped datagrams for all reasons together."""
         return sum(self._counts.values())
 
     def count(self, reason: str) -> None:
-        """One was dropped. `docs/on-call.md` lists the reasons."""
+        """Count a dropped datagram. `docs/on-call.md` lists the reasons."""
         self._counts[reason] += 1
 
     def report(self, flows: int) -> None:
-        """Log the counts if any has changed, with the number of flows."""
+        """Log the counts and the number of flows, if a datagram was dropped since the last report."""
         if self.total != self._reported_total:
             self._reported_total = self.total
             counts = ", ".join(f"{reason}: {count}" for reason, count in sorted(self._counts.items()))
--- a/puffindeck/quic/endpoint_link.py
+++ b/puffindeck/quic/endpoint_link.py
@@ -1,4 +1,4 @@
-"""A flow's way to an endpoint: an attempt first, then the socket that its datagrams pass through."""
+"""A flow's link to an endpoint, through which its datagrams pass during an attempt and after it."""
 
 from __future__ import annotations
 
@@ -20,21 +20,21 @@
 
 
 class LinkedFlow(Protocol):
-    """What a link needs of its flow."""
+    """The interface of a flow that its link uses."""
 
     @property
     def established(self) -> bool:
-        """Has the endpoint answered?"""
+        """Whether the endpoint has answered."""
 
     def on_endpoint_datagram(self, link: EndpointLink, datagram: bytes) -> None:
-        """The endpoint has sent a datagram."""
+        """Handle a datagram from the endpoint."""
 
     def on_link_ended(self) -> None:
-        """The link is gone; an established flow ends with it."""
+        """Handle the end of the link. An established flow ends too."""
 
 
 class UpstreamSocket(DatagramProtocol):
-    """A flow's socket towards an endpoint."""
+    """A flow's UDP socket to an endpoint."""
 
     noisy = False
     transport: Any = None
@@ -44,24 +44,27 @@
         self._address = address
 
     def startProtocol(self) -> None:
-        """Connect the socket, so that only the endpoint's datagrams and ICMP errors arrive."""
+        """Connect the socket, so that it receives only the endpoint's datagrams and ICMP errors."""
         self.transport.connect(*self._address)
 
     def datagramReceived(self, datagram: bytes, addr: Address) -> None:
-        """Pass a datagram of the endpoint to the flow."""
+        """Pass a datagram from the endpoint to the flow."""
         self._link.on_datagram(datagram)
 
     def connectionRefused(self) -> None:
-        """No process has the endpoint's port."""
+        """Handle an ICMP refusal: no process has the endpoint's port open."""
         self._link.on_refused()
 
     def stopProtocol(self) -> None:
-        """The reactor closes a socket with an error on it, an ICMP refusal say, and reports nothing more."""
+        """Treat a socket that the reactor closes as refused.
+
+        After a socket error such as an ICMP refusal, the reactor may close the socket without a report.
+        """
         self._link.on_refused()
 
 
 class EndpointLink:
-    """The engine's link: an attempt at an endpoint, and what the flow's datagrams pass through."""
+    """An attempt at an endpoint, then the established connection (the engine's `UpstreamLink`)."""
 
     def __init__(
         self,
@@ -80,7 +83,7 @@
         self._port: Any = None
 
     def open(self, reactor: Any, directory: Directory) -> bool:
-        """Bind a socket towards the endpoint's address; False where there is none to be had."""
+        """Open a socket to the endpoint's address. Returns False if the system provides none."""
         address = directory.addresses[self.endpoint]
         upstream = UpstreamSocket(self, address)
         interface = "::" if ":" in address[0] else ""
@@ -100,20 +103,20 @@
         if not self._done and self._port is not None:
             try:
                 self._port.write(datagram)
-            except OSError:  # a full buffer loses a datagram as any network may
+            except OSError:  # a full send buffer; datagrams may be lost on any network
                 self._dropped.count("not sent")
 
     def on_datagram(self, datagram: bytes) -> None:
-        """The endpoint has sent a datagram."""
+        """Pass a datagram from the endpoint to the flow, unless the link has ended."""
         if not self._done:
             self._flow.on_endpoint_datagram(self, datagram)
 
     def on_refused(self) -> None:
-        """The endpoint's port is closed, or the socket is."""
+        """End the link because the endpoint's port or the local socket is closed."""
         self.finish(Outcome.RESET if self._flow.established else Outcome.CONNECT_FAILED)
 
     def establish(self) -> bool:
-        """Report the endpoint's first valid response. False if nobody waits for it any more."""
+        """Report the endpoint's first valid response. Returns False if no request waits for it any longer."""
         return self._engine.attempt_established(self._attempt_id)
 
     def finish(self, outcome: Outcome) -> None:
@@ -124,10 +127,10 @@
             self._engine.attempt_ended(self._attempt_id, outcome)
 
     def read_available(self) -> None:
-        """No datagram waits unread here."""
+        """Do nothing: no received datagram waits unread in this process."""
 
     def abandon(self) -> None:
-        """End the link; nothing more is reported of it."""
+        """End the link without reporting an outcome."""
         if not self._done:
             self._done = True
             if self._port is not None:
--- a/puffindeck/quic/flow.py
+++ b/puffindeck/quic/flow.py
@@ -1,4 +1,4 @@
-"""A QUIC connection from one client address: its state, and the datagrams in both directions."""
+"""A QUIC connection from one client address: its state, and the forwarding of its datagrams."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
 
 log = Logger("puffindeck")
 
-UNCONFIRMED_TIMEOUT = milliseconds(
-    3000
-)  # how long a flow taken over may go without a datagram of its endpoint
-FIRST_FLIGHT_DATAGRAMS = 4  # of a client's first flight, kept for another attempt
-MIN_UNANSWERED_DATAGRAMS = 4  # fewer may be acknowledgements, which no response is due to
-AMPLIFICATION_LIMIT = (
-    3  # times the octets from an address are sent to it before it is validated (RFC 9000, 8)
-)
+# A flow that was taken over ends if its client is silent for this time before the endpoint's first datagram.
+UNCONFIRMED_TIMEOUT = milliseconds(3000)
+# Datagrams of the client's first flight that are stored, to be sent again in a further attempt.
+FIRST_FLIGHT_DATAGRAMS = 4
+# Fewer unanswered datagrams may all be acknowledgements, which the endpoint need not answer.
+MIN_UNANSWERED_DATAGRAMS = 4
+# Before an address is validated, it is sent at most so many times the octets received from it (RFC 9000, 8).
+AMPLIFICATION_LIMIT = 3
 
 
 @dataclass(slots=True, frozen=True)
 class FlowContext:
-    """What all flows of a front share."""
+    """The objects and settings that all flows of a front share."""
 
     reactor: Any
     engine: Engine
@@ -42,48 +42,52 @@
     directory: Directory
     table: FlowTable[Flow]
     dropped: DroppedDatagrams
-    write: Callable[[bytes, Address], None]  # a datagram to a client
+    write: Callable[[bytes, Address], None]  # sends a datagram to a client
     idle_timeout: timedelta
     silent_timeout: timedelta
-    short_id_octets: int  # of the ids that endpoints issue
+    short_id_octets: int  # length of the connection ids that endpoints issue
 
 
 class Flow:
-    """One connection from one client address, the engine's client.
+    """One connection from one client address (the engine's `Client`).
 
-    A flow that was taken over by its connection id alone has no Initial packet: it was set up elsewhere.
+    A flow without an Initial packet was taken over by its connection id alone: its connection was established
+    from another address or through another node.
     """
 
     def __init__(self, context: FlowContext, address: Address, initial: Packet | None) -> None:
         self.address = address
         self.link: EndpointLink | None = None
         self.established = False
-        self.request = 0  # the engine's number
+        self.request = 0  # the engine's number of the request
         self._context = context
         self._initial = initial
         self._ended = False
-        self._address_validated = False  # the client has shown to receive what is sent to its address
-        self._octets_received = 0  # from an address that is not validated
-        self._octets_sent = 0  # to an address that is not validated
+        self._address_validated = False  # the client has proved that it receives datagrams there
+        self._octets_received = 0  # from the client's address
+        self._octets_sent = 0  # to the client's address
         self._first_flight: list[bytes] = []
         self._first_response = b""
         now = context.clock.now()
         self._endpoint_heard_at = now
         self._client_heard_at = now
         self._unanswered_since = now
-        self._unanswered = 0  # datagrams of the client since the endpoint's last one
+        self._unanswered = 0  # the client's datagrams since the endpoint's last one
         self.slot = context.table.add(self, confirmed=initial is not None)
 
-    # The engine's client
+    # Interface of the engine's client
 
     def is_waiting(self) -> bool:
-        """Has the flow not ended?"""
+        """Return whether the flow still exists."""
         return not self._ended
 
     def start_attempt(
-        self, attempt_id: AttemptId, endpoint: int, until: timedelta, begin: timedelta
+        self, attempt_id: AttemptId, endpoint: int, answer_deadline: timedelta, start_deadline: timedelta
     ) -> UpstreamLink | None:
-        """Start an attempt: send the client's first flight to the endpoint. None if it has ended already."""
+        """Start an attempt by sending the client's first flight to the endpoint.
+
+        Returns None if the attempt has already ended and its end was reported.
+        """
         context = self._context
         link = self.new_link(attempt_id, endpoint)
         if endpoint not in context.directory.addresses or not context.engine.may_reach(endpoint):
@@ -98,11 +102,11 @@
         return link
 
     def new_link(self, attempt_id: AttemptId, endpoint: int) -> EndpointLink:
-        """A link to an endpoint, not yet open."""
+        """Return a link to an endpoint, which is not open yet."""
         return EndpointLink(self, attempt_id, endpoint, self._context.engine, self._context.dropped)
 
     def on_established(self, link: UpstreamLink) -> None:
-        """The endpoint has sent its first valid response: pass it on."""
+        """Forward the endpoint's first valid response: the request is served through this link."""
         self.established = True
         self.index_by_endpoint()
         self._send_to_client(self._first_response)
@@ -110,16 +114,16 @@
         self._first_response = b""
 
     def reject(self, retry_after: timedelta) -> None:
-        """Rejected by the decision module; a retry after `retry_after` does no harm."""
+        """Close the connection as refused. The client may safely retry after `retry_after`."""
         reason = f"busy, come back in {to_ms(retry_after):.0f} ms" if retry_after > ZERO else "busy"
         self._close(packets.CONNECTION_REFUSED, reason)
 
     def fail(self) -> None:
-        """Given up by the decision module."""
+        """Close the connection with an internal error, as every attempt has failed."""
         self._close(packets.INTERNAL_ERROR, "failed")
 
     def migrate(self) -> bool:
-        """Only an endpoint can migrate a QUIC client; docs/quic.md says what stands in."""
+        """Return False: only the endpoint can migrate a QUIC client (docs/quic.md)."""
         return False
 
     def _close(self, error: int, reason: str) -> None:
@@ -130,14 +134,15 @@
     # Datagrams
 
     def on_client_datagram(self, packet: Packet, datagram: bytes) -> None:
-        """Pass on what the client sends. Its first flight is kept too, in case of a further attempt."""
+        """Forward a datagram of the client. Its first flight is also stored for further attempts."""
         self._record_client_datagram(packet, len(datagram))
         link = self.link
         if not self.established and self._initial is not None:
             if len(self._first_flight) < FIRST_FLIGHT_DATAGRAMS:
                 self._first_flight.append(datagram)
             if link is not None and not self._context.engine.may_reach(link.endpoint):
-                link.finish(Outcome.RESET)  # its drain is older than the grace: nothing more begins there
+                # The endpoint's drain grace has passed, so no connection may begin there.
+                link.finish(Outcome.RESET)
                 return
         if link is not None:
             link.send(datagram)
@@ -152,16 +157,16 @@
         uses_later_id = initial is None or (
             packet.destination_id != initial.destination_id and self.established
         )
-        if uses_later_id and self._octets_sent > 0:  # the id was learnt from what was sent to the address
+        if uses_later_id and self._octets_sent > 0:  # the client has read the id in a datagram sent to it
             self._address_validated = True
 
     def on_endpoint_datagram(self, link: EndpointLink, datagram: bytes) -> None:
-        """Pass on what the endpoint sends. Its first valid response is what an attempt waits for."""
+        """Forward a datagram of the endpoint. Its first valid response establishes the connection."""
         self._endpoint_heard_at = self._context.clock.now()
         self._unanswered = 0
         if self.established:
             self._send_to_client(datagram)
-        elif self._initial is None:  # taken over from its id alone: any datagram from its endpoint will do
+        elif self._initial is None:  # taken over: any datagram from the endpoint confirms the flow
             self.established = True
             self._context.table.confirm(self)
             self._send_to_client(datagram)
@@ -176,7 +181,7 @@
             context.dropped.count("no answer to what was asked")
         elif packet.kind == PacketKind.VERSION_NEGOTIATION:
             link.finish(Outcome.ERROR)
-        elif packet.kind == PacketKind.RETRY:  # the client comes again with the endpoint's token
+        elif packet.kind == PacketKind.RETRY:  # the client sends a new Initial with the endpoint's token
             context.table.add_id(self, packet.source_id)
             self._first_flight = []
             self._send_to_client(datagram)
@@ -187,7 +192,7 @@
                 link.abandon()
 
     def _send_to_client(self, datagram: bytes) -> None:
-        """An address that is not validated gets no more than a few times the octets that came from it."""
+        """Send a datagram to the client, unless it would exceed the amplification limit of its address."""
         octets = len(datagram)
         limit = AMPLIFICATION_LIMIT * self._octets_received
         if not self._address_validated and self._octets_sent + octets > limit:
@@ -197,14 +202,14 @@
         self._context.write(datagram, self.address)
 
     def index_by_endpoint(self) -> None:
-        """Let further ids of the link's endpoint lead to this flow from its address."""
+        """Index this flow by its endpoint, so that all connection ids of that endpoint find it."""
         if self.link is not None:
             self._context.table.set_endpoint(self, self.link.endpoint)
 
-    # Its end
+    # End of the flow
 
     def check_timeouts(self, now: timedelta) -> None:
-        """End the flow if it has gone idle, or its endpoint silent."""
+        """End the flow if it is idle or unconfirmed for too long, or if its endpoint is silent."""
         context = self._context
         if not self.established:
             if self._initial is None and now - self._client_heard_at > UNCONFIRMED_TIMEOUT:
@@ -213,7 +218,7 @@
             self._finish(Outcome.OK)
         elif self._endpoint_is_silent():
             host = context.directory.name(self.link.endpoint) if self.link is not None else "?"
-            log.warn("quic: box {host} silent, its flow is dropped", host=host)
+            log.warn("quic: host {host} is silent; its flow is dropped", host=host)
             self._finish(Outcome.RESET)
 
     def _endpoint_is_silent(self) -> bool:
@@ -227,13 +232,13 @@
             link.finish(outcome)
 
     def on_link_ended(self) -> None:
-        """The link is gone; an established flow ends with it, another waits for its next attempt."""
+        """Handle the end of the link. An established flow ends too; any other waits for its next attempt."""
         self.link = None
         if self.established:
             self.end()
 
     def end(self) -> None:
-        """Forget the flow; what still comes is found by its id alone."""
+        """Remove the flow. Later datagrams are routed by their connection id alone."""
         if not self._ended:
             self._ended = True
             self._context.table.remove(self)
--- a/puffindeck/quic/flow_table.py
+++ b/puffindeck/quic/flow_table.py
@@ -1,4 +1,4 @@
-"""The flows, found by client address and connection id, or by client address and endpoint."""
+"""The table of flows, indexed by client address and connection id and by client address and endpoint."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 Address = tuple[str, int]  # host and port
 
-IDS_PER_FLOW = 8  # that lead to a flow at once: the client's first, then those its endpoint and it go on to
-UNCONFIRMED_PART = 4  # one in so many flows may be unconfirmed
+# Connection ids indexed per flow at once: the client's first one, then those that the endpoint issues later.
+IDS_PER_FLOW = 8
+UNCONFIRMED_DIVISOR = 4  # unconfirmed flows may use a quarter of the table
 
 
 class TableFlow(Protocol):
-    """What the table needs of a flow."""
+    """The interface of a flow that the table uses."""
 
     @property
     def slot(self) -> int:
@@ -34,13 +35,13 @@
     flow: FlowType
     confirmed: bool
     ids: list[bytes] = field(default_factory=list)
-    endpoint: int | None = None  # by whose ids the flow is found, besides those in `ids`
+    endpoint: int | None = None  # any connection id of this endpoint finds the flow, besides those in `ids`
 
 
 class FlowTable(Generic[FlowType]):
-    """Owns the flows' slots and the indexes on them. All of it is bounded.
+    """Owns the flows' slots and their indexes, all of bounded size.
 
-    A flow is unconfirmed if it was taken over by its connection id alone and its endpoint has not answered.
+    A flow that was taken over by its connection id alone is unconfirmed until its endpoint has answered.
     """
 
     def __init__(self, max_flows: int) -> None:
@@ -57,32 +58,32 @@
         return iter([entry.flow for entry in self._entries])
 
     def is_full(self) -> bool:
-        """May no flow be added?"""
+        """Return whether no further flow may be added."""
         return len(self) >= self._max_flows
 
     def is_full_for_unconfirmed(self) -> bool:
-        """May no unconfirmed flow be added?"""
-        return self.is_full() or UNCONFIRMED_PART * self._unconfirmed >= self._max_flows
+        """Return whether no further unconfirmed flow may be added."""
+        return self.is_full() or UNCONFIRMED_DIVISOR * self._unconfirmed >= self._max_flows
 
     def add(self, flow: FlowType, confirmed: bool) -> int:
-        """Put a flow into a slot; the slot's number."""
+        """Put a flow into a slot, and return the slot's number."""
         if not confirmed:
             self._unconfirmed += 1
         return self._entries.add(_Entry(flow, confirmed))
 
     def confirm(self, flow: FlowType) -> None:
-        """The endpoint of a flow has answered."""
+        """Mark a flow as confirmed, as its endpoint has answered."""
         entry = self._entries.get(flow.slot)
         if entry is not None and not entry.confirmed:
             entry.confirmed = True
             self._unconfirmed -= 1
 
     def find(self, address: Address, connection_id: bytes) -> FlowType | None:
-        """The flow of this address that the connection id leads to."""
+        """Return the flow with this client address and connection id."""
         return self._flow(self._slot_by_id.get((address, connection_id)))
 
     def find_by_endpoint(self, address: Address, endpoint: int) -> FlowType | None:
-        """The flow between this address and an endpoint."""
+        """Return the flow between this client address and the endpoint."""
         return self._flow(self._slot_by_endpoint.get((address, endpoint)))
 
     def _flow(self, slot: int | None) -> FlowType | None:
@@ -90,7 +91,7 @@
         return entry.flow if entry is not None else None
 
     def add_id(self, flow: FlowType, connection_id: bytes) -> None:
-        """Let a connection id lead to a flow from its address; the oldest of too many is forgotten."""
+        """Index a flow by a further connection id. Beyond IDS_PER_FLOW the oldest id is removed."""
         entry = self._entries.get(flow.slot)
         if entry is None:
             return
@@ -102,14 +103,14 @@
         self._slot_by_id[key] = flow.slot
 
     def set_endpoint(self, flow: FlowType, endpoint: int) -> None:
-        """Let every id of an endpoint lead to a flow from its address."""
+        """Index a flow by its endpoint, so that any connection id of that endpoint finds it."""
         entry = self._entries.get(flow.slot)
         if entry is not None:
             entry.endpoint = endpoint
             self._slot_by_endpoint[flow.address, endpoint] = flow.slot
 
     def remove(self, flow: FlowType) -> None:
-        """Forget a flow, and what leads to it."""
+        """Remove a flow and its index entries."""
         entry = self._entries.get(flow.slot)
         if entry is None:
             return
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -1,12 +1,15 @@
-"""The socket that QUIC clients send to: datagrams passed on by connection id, on the core of all fronts.
-
-A client's first Initial is a request; the module places it. The endpoint's first valid response means that
-the connection is established. Each client address of a connection has a flow with a socket of its own towards
-the endpoint, so the endpoint sees a client that changes its address do so, and validates the new path itself
-before it uses it; nobody's responses can be drawn elsewhere by a forged address, as the old flow stays as it
-was. Later packets find their flow by address and id, and else their endpoint by the id alone: a phone that
-comes from a new network, with an id never seen here, goes on where it was, also while that endpoint drains
-and also when another node had it before.
+"""The UDP socket for QUIC clients, whose datagrams are forwarded by connection id.
+
+A client's first Initial is a request, which the decision module places. The endpoint's first valid response
+establishes the connection.
+
+Each client address of a connection has a flow with its own socket to the endpoint. The endpoint therefore
+sees each change of the client's address and validates the new path before it uses it. A forged source address
+cannot redirect responses, because the flow of the old address remains unchanged.
+
+Later packets are matched to a flow by client address and connection id, otherwise to an endpoint by the
+connection id alone. A client that arrives from a new network with an unknown id therefore keeps its endpoint,
+even if that endpoint drains or another node forwarded the connection before.
 """
 
 from __future__ import annotations
@@ -32,13 +35,14 @@
 from puffindeck.service_discovery.directory import Directory
 from puffindeck.service_discovery.keys import key_number
 
-SWEEP_INTERVAL = milliseconds(500)  # how often flows are checked for time-outs
-REPORT_INTERVAL = milliseconds(10000)  # how often dropped datagrams are logged
-LATER_PACKETS = (PacketKind.SHORT, PacketKind.HANDSHAKE)  # of a connection that an endpoint has
+SWEEP_INTERVAL = milliseconds(500)  # interval of the check of all flows for timeouts
+REPORT_INTERVAL = milliseconds(10000)  # interval of the log line on dropped datagrams
+# Packets of a connection for which an endpoint already has state.
+LATER_PACKETS = (PacketKind.SHORT, PacketKind.HANDSHAKE)
 
 
 class QuicFront(DatagramProtocol):
-    """The socket that clients send to. It finds a datagram's flow, or begins one."""
+    """Receives the clients' datagrams, and finds or creates the flow of each."""
 
     noisy = False
     transport: Any = None
@@ -52,7 +56,7 @@
         directory: Directory,
         stopping: Callable[[], bool],
     ) -> None:
-        """`stopping` says whether the node shuts down, so that nothing new may begin."""
+        """`stopping` returns whether the node is shutting down and accepts no new connections."""
         self._config = config
         self._engine = engine
         self._deadlines = deadlines
@@ -94,7 +98,7 @@
             self.dropped.count("not sent")
 
     def _endpoint_of(self, connection_id: bytes) -> int | None:
-        """The endpoint that a connection id names, if the endpoint list has it."""
+        """Return the endpoint that a connection id encodes; None if the endpoint list does not have it."""
         server_id = self._ids.server_id(connection_id)
         if server_id is None:
             return None
@@ -105,10 +109,10 @@
         is_listed = endpoint in self._directory.addresses and self._engine.is_listed(endpoint)
         return endpoint if is_listed else None
 
-    # Datagrams of clients
+    # Datagrams from clients
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        """Pass a datagram to its flow, begin one, or drop it."""
+        """Pass a datagram to its flow, create a flow for it, or drop it."""
         address: Address = addr[:2]
         packet = packets.parse_packet(datagram, self._ids.length)
         if packet is None:
@@ -139,13 +143,13 @@
         return flow
 
     def _negotiate_version(self, address: Address, packet: Packet, datagram: bytes) -> None:
-        if len(datagram) >= packets.MIN_INITIAL_OCTETS:  # a shorter one than the response may be forged
+        if len(datagram) >= packets.MIN_INITIAL_OCTETS:  # otherwise a forged datagram could be amplified
             self._write(packets.version_negotiation(packet), address)
         else:
             self.dropped.count("version not known")
 
     def _begin_flow(self, address: Address, packet: Packet, datagram: bytes) -> None:
-        """A new connection, whatever endpoint its id may name: the module places it."""
+        """Begin a connection. The decision module places it, whatever endpoint the client's id encodes."""
         id_octets = len(packet.destination_id)
         if len(datagram) < packets.MIN_INITIAL_OCTETS or id_octets < packets.MIN_FIRST_ID_OCTETS:
             self.dropped.count("no valid Initial")
@@ -160,17 +164,17 @@
         flow.request = self._engine.request(flow, self._request(address, self._config.deadline))
 
     def _request(self, address: Address, time_to_answer: timedelta) -> Request:
-        """The key is the client's host: it comes back to the endpoint that may know it."""
+        """Return a request. Its key is the client's host, so that the client gets the same endpoint again."""
         facts = ConnectionInfo(address[0], address[1], self._config.listen[1], "quic")
         key = key_number(address[0].encode())
         return Request(self._config.class_number, key, time_to_answer, connection_info=facts)
 
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
-        """A connection set up at another address or through another node; its id names its endpoint.
+        """Create a flow for a connection established from another address or through another node.
 
-        Nothing new begins: the endpoint has the connection, and it may drain. If it does not have it, it
-        answers with a reset or not at all, and the flow is gone soon; so such flows may fill only a part of
-        the table.
+        Its connection id encodes its endpoint, which is used even if it drains, as the connection is not new.
+        An endpoint that does not know the connection answers with a reset or not at all, and the flow ends
+        soon. As anybody can send such ids, these flows may use only a part of the table.
         """
         endpoint = self._endpoint_of(packet.destination_id)
         if endpoint is None:
--- a/puffindeck/quic/packets.py
+++ b/puffindeck/quic/packets.py
@@ -1,4 +1,4 @@
-"""What can be read of QUIC packets without keys (RFC 8999, 9000), and the two that a balancer writes."""
+"""Parsing of QUIC headers without keys (RFC 8999, 9000), and the two packets that a balancer sends."""
 
 from __future__ import annotations
 
@@ -13,21 +13,22 @@
 V1 = 0x00000001
 V2 = 0x6B3343CF
 VERSIONS = (V1, V2)
-MAX_ID_OCTETS = 20  # of a connection id in these versions
-MIN_FIRST_ID_OCTETS = 8  # of the id that a client makes up for its first packets
-MIN_INITIAL_OCTETS = 1200  # of a datagram with a client's Initial
+MAX_ID_OCTETS = 20  # the longest connection id in these versions
+MIN_FIRST_ID_OCTETS = 8  # the shortest destination id that a client may choose for its first packets
+MIN_INITIAL_OCTETS = 1200  # the shortest datagram that may carry a client's Initial
 MIN_PACKET_OCTETS = 7
-SHORT_PACKET_REST_OCTETS = 20  # behind a short packet's id: less has no room for the sample that protects it
+# Minimum after the connection id of a short packet: fewer octets cannot hold the header protection's sample.
+SHORT_PACKET_REST_OCTETS = 20
 
-# errors of CONNECTION_CLOSE
+# Error codes of CONNECTION_CLOSE (RFC 9000, 20.1)
 INTERNAL_ERROR = 0x1
 CONNECTION_REFUSED = 0x2
 
-# bits of a packet's first octet
+# Bits of a packet's first octet
 LONG_HEADER = 0x80
 FIXED_BIT = 0x40
 
-FRAME_CONNECTION_CLOSE = 0x1C  # the transport's, not the application's
+FRAME_CONNECTION_CLOSE = 0x1C  # the frame type for errors of the transport, not of the application
 MAX_REASON_OCTETS = 63
 SOURCE_ID_OCTETS = 8
 PACKET_NUMBER_OCTETS = 2
@@ -35,7 +36,7 @@
 
 
 class PacketKind(Enum):
-    """What a packet is."""
+    """The kind of a packet, by its header."""
 
     INITIAL = 0
     ZERO_RTT = 1
@@ -43,11 +44,11 @@
     RETRY = 3
     SHORT = 4
     VERSION_NEGOTIATION = 5
-    UNKNOWN_VERSION = 6  # a long header of a version that is not known
+    UNKNOWN_VERSION = 6  # a long header with a version other than VERSIONS
 
 
 class Packet(NamedTuple):
-    """The head of a datagram's first packet; all packets in one datagram have the same destination."""
+    """The header of a datagram's first packet. All packets in one datagram have the same destination."""
 
     kind: PacketKind
     version: int
@@ -56,7 +57,10 @@
 
 
 def parse_packet(data: bytes, short_id_octets: int) -> Packet | None:
-    """The head of a packet, or None for junk. The ids in short packets have `short_id_octets`."""
+    """Return the header of a packet; None if the data is no valid QUIC packet.
+
+    A short header does not encode the length of its connection id, which must be `short_id_octets`.
+    """
     if len(data) < MIN_PACKET_OCTETS:
         return None
     if not data[0] & LONG_HEADER:
@@ -86,12 +90,12 @@
         return Packet(PacketKind.UNKNOWN_VERSION, version, destination_id, source_id)
     if not data[0] & FIXED_BIT or len(destination_id) > MAX_ID_OCTETS or len(source_id) > MAX_ID_OCTETS:
         return None
-    type_bits = (data[0] >> 4 & 3) - (version == V2)  # version 2 counts its kinds from Retry on
+    type_bits = (data[0] >> 4 & 3) - (version == V2)  # version 2 numbers its types from Retry on
     return Packet(PacketKind(type_bits % 4), version, destination_id, source_id)
 
 
 def version_negotiation(packet: Packet) -> bytes:
-    """A packet that lists the known versions, in response to one of another version."""
+    """Return a packet that lists the known versions, in response to a packet of another version."""
     return encode_quic_version_negotiation(
         source_cid=packet.destination_id,
         destination_cid=packet.source_id,
@@ -100,23 +104,23 @@
 
 
 def connection_close(initial: Packet, error: int, reason: str) -> bytes:
-    """A CONNECTION_CLOSE in an Initial packet, whose keys follow from the id in the client's Initial."""
+    """Return an Initial with a CONNECTION_CLOSE. Its keys derive from the id in the client's Initial."""
     crypto = CryptoPair()
     crypto.setup_initial(cid=initial.destination_id, is_client=False, version=initial.version)
     frame = _close_frame(error, reason)
-    packet_number = secrets.randbelow(PACKET_NUMBERS)  # an endpoint's own packets, if any came, start at 0
+    packet_number = secrets.randbelow(PACKET_NUMBERS)  # random, as an endpoint's own packets start at 0
     source_id = secrets.token_bytes(SOURCE_ID_OCTETS)
-    head = Buffer(capacity=128)
+    header = Buffer(capacity=128)
     version_bits = 0x10 if initial.version == V2 else 0
-    head.push_uint8(0xC1 | version_bits)  # Initial; a packet number of two octets
-    head.push_uint32(initial.version)
+    header.push_uint8(0xC1 | version_bits)  # Initial with a packet number of two octets
+    header.push_uint32(initial.version)
     for connection_id in (initial.source_id, source_id):
-        head.push_uint8(len(connection_id))
-        head.push_bytes(connection_id)
-    head.push_uint_var(0)  # no token
-    head.push_uint16(0x4000 | (PACKET_NUMBER_OCTETS + len(frame) + crypto.aead_tag_size))
-    head.push_uint16(packet_number)
-    return crypto.encrypt_packet(head.data, frame, packet_number)
+        header.push_uint8(len(connection_id))
+        header.push_bytes(connection_id)
+    header.push_uint_var(0)  # empty token
+    header.push_uint16(0x4000 | (PACKET_NUMBER_OCTETS + len(frame) + crypto.aead_tag_size))
+    header.push_uint16(packet_number)
+    return crypto.encrypt_packet(header.data, frame, packet_number)
 
 
 def _close_frame(error: int, reason: str) -> bytes:
@@ -124,7 +128,7 @@
     frame = Buffer(capacity=128)
     frame.push_uint_var(FRAME_CONNECTION_CLOSE)
     frame.push_uint_var(error)
-    frame.push_uint_var(0)  # caused by no frame
+    frame.push_uint_var(0)  # type of the frame that caused the error: none
     frame.push_uint_var(len(text))
     frame.push_bytes(text)
     return frame.data
--- a/tests/quic/__init__.py
+++ b/tests/quic/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of quic."""
+"""Tests of the QUIC front."""
--- a/tests/quic/test_front.py
+++ b/tests/quic/test_front.py
@@ -1,4 +1,4 @@
-"""The QUIC front over loopback, with stand-in clients and servers that speak QUIC."""
+"""Tests of the QUIC front on loopback, with aioquic clients and servers."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 from tests.support.quic_peers import IDS, KEY, QuicClient, QuicPeer, QuicServer
 
 
-class QuicFrontStories(NodeTestCase):
-    """Connections kept with their server by their ids."""
+class QuicFrontTests(NodeTestCase):
+    """Connections stay on the server that their connection ids encode."""
 
     def build_quic(
         self, servers: int = 2, connections: int = 64, deadline: float = 1200.0, **settings: Any
@@ -24,8 +24,8 @@
         self.build(servers, **settings)
         self.servers = {uid: QuicServer(i + 1) for i, uid in enumerate(self.hosts)}
         for uid, server in self.servers.items():
-            at = "127.0.0.1", server.port.getHost().port
-            self.node.directory.addresses[self.node.directory.number(uid)] = at
+            address = "127.0.0.1", server.port.getHost().port
+            self.node.directory.addresses[self.node.directory.number(uid)] = address
         ids = {server.server_id: uid for uid, server in self.servers.items()}
         self.node.start_quic(
             QuicConfig(
@@ -49,9 +49,9 @@
         self.clients: list[QuicClient] = []
         for server in self.servers.values():
             self.addCleanup(server.stop)
-        self.addCleanup(self.end_quic)
+        self.addCleanup(self.stop_quic)
 
-    async def end_quic(self) -> None:
+    async def stop_quic(self) -> None:
         for client in self.clients:
             await client.stop()
         for flow in list(self.front.flows):
@@ -67,160 +67,170 @@
             target.endpoint = f"127.0.0.1:{self.servers[uid].port.getHost().port}"
         return target
 
-    def connect(self, first: bytes = b"") -> QuicClient:
-        client = QuicClient(self.front_port, first)
+    def connect(self, initial_id: bytes = b"") -> QuicClient:
+        client = QuicClient(self.front_port, initial_id)
         self.clients.append(client)
         return client
 
-    async def connect_and_talk(self) -> tuple[QuicClient, str]:
-        """A client with an open stream, and its server."""
+    async def connect_and_echo(self) -> tuple[QuicClient, str]:
+        """Connect a client, exchange data on a stream, and return the client and its server's uid."""
         client = self.connect()
         await self.wait_until(lambda: client.events_of(events.HandshakeCompleted), "a handshake")
-        word = b"one" if len(self.clients) == 1 else b"client %d" % len(self.clients)
-        await self.speak(client, word)
-        return client, next(uid for uid, server in self.servers.items() if word in self.received_data(server))
+        data = b"one" if len(self.clients) == 1 else b"client %d" % len(self.clients)
+        await self.echo(client, data)
+        return client, next(uid for uid, server in self.servers.items() if data in self.received_data(server))
 
-    async def speak(self, client: QuicClient, data: bytes) -> None:
-        client.say(data)
-        await self.wait_until(lambda: b"echo " + data in client.said(), f"an answer to {data!r}")
+    async def echo(self, client: QuicClient, data: bytes) -> None:
+        """Send data on the client's stream, and wait until the server's echo arrives."""
+        client.send(data)
+        await self.wait_until(lambda: b"echo " + data in client.echoes(), f"an echo of {data!r}")
 
     @staticmethod
     def received_data(server: QuicServer) -> bytes:
         return b"".join(e.data for e in server.events_of(events.StreamDataReceived))
 
-    async def test_a_client_that_changes_its_address_keeps_its_stream_and_its_box(self) -> None:
+    async def test_client_that_changes_its_address_keeps_its_stream_and_server(self) -> None:
         self.build_quic()
-        client, uid = await self.connect_and_talk()
-        for new_id, said in ((True, b"two"), (False, b"three")):
-            await client.new_address(new_id)
-            await self.speak(client, said)
+        client, uid = await self.connect_and_echo()
+        for new_id, data in ((True, b"two"), (False, b"three")):
+            await client.change_address(new_id)
+            await self.echo(client, data)
         self.assertEqual(self.received_data(self.servers[uid]), b"onetwothree")
-        self.assertEqual([len(b.connections) for u, b in self.servers.items() if u != uid], [0])
+        self.assertEqual([len(s.connections) for u, s in self.servers.items() if u != uid], [0])
         self.assertEqual(len([f for f in self.front.flows if f.established]), 3)
 
-    async def test_a_draining_box_keeps_its_stream_and_gets_no_new_work(self) -> None:
+    async def test_draining_server_keeps_its_stream_and_gets_no_new_connection(self) -> None:
         self.build_quic()
         watch = await self.accept_watch()
-        client, uid = await self.connect_and_talk()
+        client, uid = await self.connect_and_echo()
         self.send_update(watch, 2, False, self.target(uid, "DRAINING"))
         endpoint = self.node.directory.number(uid)
-        await self.wait_until(lambda: endpoint in self.node.engine.reachability.unavailable_since, "the news")
-        notified_at = self.node.deadlines.clock.now()
         await self.wait_until(
-            lambda: to_ms(self.node.deadlines.clock.now() - notified_at) > 500, "the grace to pass"
+            lambda: endpoint in self.node.engine.reachability.unavailable_since, "the update"
         )
-        server, before = self.servers[uid], len(self.servers[uid].connections)
+        updated_at = self.node.deadlines.clock.now()
+        await self.wait_until(
+            lambda: to_ms(self.node.deadlines.clock.now() - updated_at) > 500, "the end of the grace period"
+        )
+        server, connections_before = self.servers[uid], len(self.servers[uid].connections)
         for _ in range(3):
-            other, elsewhere = await self.connect_and_talk()
-            self.assertNotEqual(elsewhere, uid)
-        # an Initial whose id names the draining server is new work all the same
+            other, other_uid = await self.connect_and_echo()
+            self.assertNotEqual(other_uid, uid)
+        # An Initial begins a new connection even if its id encodes the draining server.
         other = self.connect(IDS.issue(server.server_id))
-        await self.wait_until(lambda: other.events_of(events.HandshakeCompleted), "its handshake elsewhere")
-        self.assertEqual(len(server.connections), before)
-        for new_id, said in ((True, b"two"), (False, b"three")):
-            await client.new_address(new_id)
-            await self.speak(client, said)
+        await self.wait_until(
+            lambda: other.events_of(events.HandshakeCompleted), "a handshake with another server"
+        )
+        self.assertEqual(len(server.connections), connections_before)
+        for new_id, data in ((True, b"two"), (False, b"three")):
+            await client.change_address(new_id)
+            await self.echo(client, data)
         self.assertEqual(self.received_data(server), b"onetwothree")
 
-    async def test_a_detached_box_keeps_its_stream_and_gets_no_new_work(self) -> None:
+    async def test_detached_server_keeps_its_stream_and_gets_no_new_connection(self) -> None:
         self.build_quic(drain_grace_ms=0)
-        client, uid = await self.connect_and_talk()
+        client, uid = await self.connect_and_echo()
         server, endpoint = self.servers[uid], self.node.directory.number(uid)
         self.node.engine.detach(endpoint)
         for _ in range(3):
-            self.assertNotEqual((await self.connect_and_talk())[1], uid)
+            self.assertNotEqual((await self.connect_and_echo())[1], uid)
         other = self.connect(IDS.issue(server.server_id))
-        await self.wait_until(lambda: other.events_of(events.HandshakeCompleted), "its handshake elsewhere")
+        await self.wait_until(
+            lambda: other.events_of(events.HandshakeCompleted), "a handshake with another server"
+        )
         self.assertEqual(len(server.connections), 1)
-        await client.new_address(True)
-        await self.speak(client, b"two")
+        await client.change_address(True)
+        await self.echo(client, b"two")
 
-    async def test_another_node_goes_on_where_the_first_has_died(self) -> None:
+    async def test_node_without_state_forwards_by_connection_id(self) -> None:
+        """Another node takes over the clients of a failed one, without any of its state."""
         self.build_quic()
-        client, uid = await self.connect_and_talk()
-        for flow in list(self.front.flows):  # all that the node knew
+        client, uid = await self.connect_and_echo()
+        for flow in list(self.front.flows):  # drop all state, as if another node received the datagrams
             link = flow.link
             flow.end()
             assert link is not None
             link.finish(Outcome.OK)
-        await self.speak(client, b"two")
+        await self.echo(client, b"two")
         self.assertEqual(self.received_data(self.servers[uid]), b"onetwo")
 
-    async def test_a_dead_box_costs_an_attempt_and_a_mute_one_the_deadline(self) -> None:
+    async def test_attempt_at_closed_port_is_retried_and_silent_server_exhausts_the_deadline(self) -> None:
         self.build_quic(connect_timeout_ms=100)
         await self.servers["h0"].stop()
         for _ in range(4):
-            _, uid = await self.connect_and_talk()
+            _, uid = await self.connect_and_echo()
             self.assertEqual(uid, "h1")
         self.servers["h1"].silent = True
         client = self.connect()
-        await self.wait_until(lambda: client.events_of(events.ConnectionTerminated), "its refusal")
-        (end,) = client.events_of(events.ConnectionTerminated)
-        self.assertEqual(end.error_code, packets.CONNECTION_REFUSED)
-        self.assertRegex(end.reason_phrase, "^busy")
+        await self.wait_until(lambda: client.events_of(events.ConnectionTerminated), "the rejection")
+        (termination,) = client.events_of(events.ConnectionTerminated)
+        self.assertEqual(termination.error_code, packets.CONNECTION_REFUSED)
+        self.assertRegex(termination.reason_phrase, "^busy")
         self.assertIn(Outcome.CONNECT_FAILED, [e.outcome for e in self.recorded_events(AttemptEnded)])
 
-    async def test_a_box_that_dies_later_ends_its_flow(self) -> None:
+    async def test_flow_of_a_server_that_becomes_silent_is_reset(self) -> None:
         self.build_quic(servers=1)
-        client, uid = await self.connect_and_talk()
+        client, uid = await self.connect_and_echo()
         self.servers[uid].silent = True
         for i in range(6):
-            client.say(b"%d" % i)
+            client.send(b"%d" % i)
 
-        def ended() -> list[Any]:
-            client.say(b".")
+        def attempts_ended() -> list[Any]:
+            client.send(b".")
             return self.recorded_events(AttemptEnded)
 
-        await self.wait_until(ended, "the flow's end")
+        await self.wait_until(attempts_ended, "the end of the flow")
         self.assertEqual(self.recorded_events(AttemptEnded)[0].outcome, Outcome.RESET)
 
-    async def test_a_full_table_refuses_and_a_deadline_answers(self) -> None:
+    async def test_connection_is_refused_while_the_flow_table_is_full(self) -> None:
         self.build_quic(connections=1, deadline=300.0)
-        await self.connect_and_talk()
+        await self.connect_and_echo()
         client = self.connect()
-        await self.wait_until(lambda: client.events_of(events.ConnectionTerminated), "its refusal")
+        await self.wait_until(lambda: client.events_of(events.ConnectionTerminated), "the rejection")
         self.assertEqual(
             client.events_of(events.ConnectionTerminated)[0].error_code, packets.CONNECTION_REFUSED
         )
         self.assertEqual(len(self.front.flows), 1)
 
-    async def test_junk_is_counted_and_answered_with_nothing_larger(self) -> None:
+    async def test_invalid_datagrams_are_counted_and_never_amplified(self) -> None:
         self.build_quic()
         peer = QuicPeer()
         self.addCleanup(peer.stop)
         peer.datagramReceived = lambda datagram, addr: peer.received.append(datagram)  # type: ignore[method-assign]
-        unknown = b"\xc0\x0a\x0a\x0a\x0a\x08" + b"d" * 8 + b"\x04ssss"
+        unknown_version = b"\xc0\x0a\x0a\x0a\x0a\x08" + b"d" * 8 + b"\x04ssss"
         initial = b"\xc0\x00\x00\x00\x01\x08" + b"d" * 8 + b"\x04ssss"
         for data in (
             b"",
             b"junk",
             b"\x40" * 20,
-            unknown,
+            unknown_version,
             initial.ljust(400, b"\0"),
             b"\x40" + b"\xff" * 60,
             b"\xe0" + initial[1:].ljust(1300, b"\0"),
             b"\x40" + IDS.issue(b"\0\0\0\x09") + b"\0" * 60,
         ):
             peer.transport.write(data, ("127.0.0.1", self.front_port))
-        peer.transport.write(unknown.ljust(1200, b"\0"), ("127.0.0.1", self.front_port))
+        peer.transport.write(unknown_version.ljust(1200, b"\0"), ("127.0.0.1", self.front_port))
         await self.wait_until(lambda: peer.received, "a version negotiation")
-        (answer,) = peer.received
-        self.assertEqual(answer[1:5], b"\0\0\0\0")
-        self.assertIn(b"\0\0\0\x01", answer)
+        (response,) = peer.received
+        self.assertEqual(response[1:5], b"\0\0\0\0")
+        self.assertIn(b"\0\0\0\x01", response)
         self.assertEqual(len(self.front.flows), 0)
         self.assertEqual(self.front.dropped.total, 8)
 
-    async def test_a_forged_address_draws_little_and_steals_nothing(self) -> None:
+    async def test_replay_from_a_forged_address_is_not_amplified_and_redirects_nothing(self) -> None:
         self.build_quic()
-        client, uid = await self.connect_and_talk()
-        forger = QuicPeer()
-        self.addCleanup(forger.stop)
-        forger.datagramReceived = lambda datagram, addr: forger.received.append(datagram)  # type: ignore[method-assign]
-        sent = self.servers[uid].received[-1]
+        client, uid = await self.connect_and_echo()
+        attacker = QuicPeer()
+        self.addCleanup(attacker.stop)
+        attacker.datagramReceived = lambda datagram, addr: attacker.received.append(datagram)  # type: ignore[method-assign]
+        replayed = self.servers[uid].received[-1]
         for _ in range(3):
-            forger.transport.write(sent, ("127.0.0.1", self.front_port))
-        await self.speak(client, b"two")
-        await self.wait_until(lambda: forger.received or len(self.front.flows) > 1, "the copies to arrive")
-        await self.speak(client, b"three")
-        self.assertLessEqual(sum(map(len, forger.received)), AMPLIFICATION_LIMIT * 3 * len(sent))
-        self.assertIn(b"echo three", client.said())
+            attacker.transport.write(replayed, ("127.0.0.1", self.front_port))
+        await self.echo(client, b"two")
+        await self.wait_until(
+            lambda: attacker.received or len(self.front.flows) > 1, "the replayed datagrams"
+        )
+        await self.echo(client, b"three")
+        self.assertLessEqual(sum(map(len, attacker.received)), AMPLIFICATION_LIMIT * 3 * len(replayed))
+        self.assertIn(b"echo three", client.echoes())
--- a/tests/support/quic_peers.py
+++ b/tests/support/quic_peers.py
@@ -1,4 +1,4 @@
-"""Stand-in QUIC clients and servers over loopback, which speak QUIC by aioquic, driven by the reactor."""
+"""QUIC clients and servers on loopback, which use aioquic and are driven by Twisted's reactor."""
 
 from __future__ import annotations
 
@@ -29,21 +29,22 @@
 IDS = ConnectionIds(1, 4, 8, KEY)
 
 
-def certificate() -> tuple[Any, Any]:
+def create_certificate() -> tuple[Any, Any]:
+    """Return a self-signed certificate and its private key."""
     key = ec.generate_private_key(ec.SECP256R1())
-    name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "box")])
+    name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "server")])
     day = datetime.timedelta(days=1)
     now = datetime.datetime.now(datetime.UTC)
-    made = x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
-    made = made.serial_number(1).not_valid_before(now - day).not_valid_after(now + day)
-    return made.sign(key, hashes.SHA256()), key
+    builder = x509.CertificateBuilder().subject_name(name).issuer_name(name).public_key(key.public_key())
+    builder = builder.serial_number(1).not_valid_before(now - day).not_valid_after(now + day)
+    return builder.sign(key, hashes.SHA256()), key
 
 
-CERTIFICATE, PRIVATE = certificate()
+CERTIFICATE, PRIVATE_KEY = create_certificate()
 
 
 class QuicPeer(DatagramProtocol):
-    """A QUIC endpoint's socket and timer."""
+    """The socket of a QUIC client or server, with the timers of its connections."""
 
     noisy = False
     transport: Any = None
@@ -55,39 +56,47 @@
         self.listen()
 
     def listen(self) -> None:
+        """Open a socket on a free port."""
         self.port = reactor.listenUDP(0, self, interface="127.0.0.1", maxPacketSize=65535)
 
-    def pump(self, conn: QuicConnection) -> None:
-        for data, address in conn.datagrams_to_send(reactor.seconds()):
+    def process(self, connection: QuicConnection) -> None:
+        """Send the connection's datagrams, handle its events, and set its timer."""
+        for data, address in connection.datagrams_to_send(reactor.seconds()):
             self.transport.write(data, address)
-        while (event := conn.next_event()) is not None:
+        while (event := connection.next_event()) is not None:
             self.events.append(event)
-            self.on_event(conn, event)
-        timer = self.timers.pop(conn, None)
+            self.on_event(connection, event)
+        timer = self.timers.pop(connection, None)
         if timer is not None and timer.active():
             timer.cancel()
-        at = conn.get_timer()
-        if at is not None:
-            self.timers[conn] = reactor.callLater(max(0.0, at - reactor.seconds()), self.on_timer, conn)
+        due_s = connection.get_timer()
+        if due_s is not None:
+            self.timers[connection] = reactor.callLater(
+                max(0.0, due_s - reactor.seconds()), self.on_timer, connection
+            )
 
-    def on_timer(self, conn: QuicConnection) -> None:
-        conn.handle_timer(reactor.seconds())
-        self.pump(conn)
+    def on_timer(self, connection: QuicConnection) -> None:
+        """Handle a connection's timer."""
+        connection.handle_timer(reactor.seconds())
+        self.process(connection)
 
-    def on_event(self, conn: QuicConnection, event: Any) -> None: ...
+    def on_event(self, connection: QuicConnection, event: Any) -> None:
+        """Handle an event of a connection."""
 
     def stop(self) -> Any:
+        """Cancel the timers and close the socket."""
         for timer in self.timers.values():
             if timer.active():
                 timer.cancel()
         return self.port.stopListening()
 
     def events_of(self, kind: type[Any]) -> list[Any]:
+        """Return the recorded events of this type."""
         return [event for event in self.events if isinstance(event, kind)]
 
 
 class QuicServer(QuicPeer):
-    """A stand-in server: it echoes streams, and its ids name it."""
+    """A server that echoes stream data and issues connection ids that encode its server id."""
 
     def __init__(self, number: int) -> None:
         self.server_id = number.to_bytes(4, "big")
@@ -97,7 +106,7 @@
 
     @contextmanager
     def issuing_own_ids(self) -> Iterator[None]:
-        """Let aioquic make up no ids but this server's."""
+        """Have aioquic issue only connection ids of this server, by replacing its source of random octets."""
 
         def urandom(size: int) -> bytes:
             return IDS.issue(self.server_id) if size == IDS.length else os.urandom(size)
@@ -111,7 +120,7 @@
         if self.silent or packet is None:
             return
         with self.issuing_own_ids():
-            conn = next(
+            connection = next(
                 (
                     c
                     for c in self.connections
@@ -120,56 +129,59 @@
                 ),
                 None,
             )
-            if conn is None:
+            if connection is None:
                 if packet.kind != packets.PacketKind.INITIAL:
                     return
                 configuration = QuicConfiguration(
                     is_client=False, alpn_protocols=["t"], connection_id_length=IDS.length
                 )
-                configuration.certificate, configuration.private_key = CERTIFICATE, PRIVATE
-                conn = QuicConnection(
+                configuration.certificate, configuration.private_key = CERTIFICATE, PRIVATE_KEY
+                connection = QuicConnection(
                     configuration=configuration, original_destination_connection_id=packet.destination_id
                 )
-                self.connections.append(conn)
-            conn.receive_datagram(datagram, addr, reactor.seconds())
-            self.pump(conn)
+                self.connections.append(connection)
+            connection.receive_datagram(datagram, addr, reactor.seconds())
+            self.process(connection)
 
-    def on_event(self, conn: QuicConnection, event: Any) -> None:
+    def on_event(self, connection: QuicConnection, event: Any) -> None:
+        """Echo received stream data."""
         if isinstance(event, events.StreamDataReceived):
-            conn.send_stream_data(event.stream_id, b"echo " + event.data)
-            reactor.callLater(0, self.pump, conn)
+            connection.send_stream_data(event.stream_id, b"echo " + event.data)
+            reactor.callLater(0, self.process, connection)
 
 
 class QuicClient(QuicPeer):
-    """A stand-in client."""
+    """A client with one connection; `initial_id` replaces the random destination id of its Initial."""
 
-    def __init__(self, port: int, first: bytes = b"") -> None:
+    def __init__(self, port: int, initial_id: bytes = b"") -> None:
         super().__init__()
-        self.conn = QuicConnection(
+        self.connection = QuicConnection(
             configuration=QuicConfiguration(
-                alpn_protocols=["t"], verify_mode=ssl.CERT_NONE, server_name="box", connection_id_length=8
+                alpn_protocols=["t"], verify_mode=ssl.CERT_NONE, server_name="server", connection_id_length=8
             )
         )
-        if first:
-            self.conn._peer_cid.cid = self.conn._original_destination_connection_id = first
-        self.conn.connect(("127.0.0.1", port), reactor.seconds())
-        self.pump(self.conn)
+        if initial_id:
+            self.connection._peer_cid.cid = self.connection._original_destination_connection_id = initial_id
+        self.connection.connect(("127.0.0.1", port), reactor.seconds())
+        self.process(self.connection)
 
     def datagramReceived(self, datagram: bytes, addr: Any) -> None:
         self.received.append(datagram)
-        self.conn.receive_datagram(datagram, addr, reactor.seconds())
-        self.pump(self.conn)
+        self.connection.receive_datagram(datagram, addr, reactor.seconds())
+        self.process(self.connection)
 
-    def say(self, data: bytes) -> None:
-        self.conn.send_stream_data(0, data)
-        self.pump(self.conn)
+    def send(self, data: bytes) -> None:
+        """Send data on the client's stream."""
+        self.connection.send_stream_data(0, data)
+        self.process(self.connection)
 
-    def said(self) -> bytes:
+    def echoes(self) -> bytes:
+        """Return the stream data that the server has sent."""
         return b"".join(e.data for e in self.events_of(events.StreamDataReceived))
 
-    async def new_address(self, new_id: bool) -> None:
-        """Another network: another address, and another id where the client knows of the change."""
+    async def change_address(self, new_id: bool) -> None:
+        """Continue from another port; `new_id`: with another connection id, as if aware of the change."""
         await self.port.stopListening()
         self.listen()
         if new_id:
-            self.conn.change_connection_id()
+            self.connection.change_connection_id()
