--- a/puffindeck/__init__.py
+++ b/puffindeck/__init__.py
@@ -1,3 +1,3 @@
-"""puffindeck: the decisions of a balancer for long-lived connections."""
+"""puffindeck: a balancer for long-lived connections."""
 
 __version__ = "0.1.0"
--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -1,4 +1,4 @@
-"""The program `python -m puffindeck`: one node, from its configuration to SIGTERM."""
+"""The program `python -m puffindeck`, which runs one node until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -26,9 +26,9 @@
 
 @runtime_checkable
 class ActionableError(Protocol):
-    """An error that says what an operator can do.
+    """An error with a remedy for the operator.
 
-    `puffindeck_errors.OperatorError` is one; that package is installed only where a node is in a fleet.
+    `puffindeck_errors.OperatorError` implements it; that package is installed only on nodes of a fleet.
     """
 
     where: str
@@ -41,26 +41,26 @@
 class NodeProcess:
     """This process's node, and its signals: SIGHUP reloads the file, SIGTERM and SIGINT stop the node."""
 
-    _node: Node  # set by `run`: the reactor, which calls all other methods, runs only after that
+    _node: Node  # set by `run`, before the reactor calls any method that uses it
 
     def __init__(self, config_file: str) -> None:
-        """`config_file` goes before EDGE_CONFIG; empty: none."""
+        """`config_file` takes precedence over EDGE_CONFIG, unless it is empty."""
         self._config_file = config_file
         self._start_failed = False
 
     def read_config(self) -> config.NodeConfig:
-        """Read the configuration; from now on SIGHUP reloads it. Raises ConfigError if it can't be used."""
-        # The handler comes first, so that no change of the file is missed from the moment that it is read.
+        """Read the configuration, which SIGHUP reloads from now on. Raises ConfigError if it is invalid."""
+        # The handler is installed first, so that no change after the read is missed.
         _on_signal(signal.SIGHUP, self._reload)
         return config.load_node_config(os.environ, self._config_file)
 
     def run(self, node_config: config.NodeConfig) -> int:
-        """Run the node until it is stopped; returns the exit status."""
+        """Run the node until it is stopped, and return the exit status."""
         self._node = Node(reactor, node_config, Clock())
-        # Clients may connect, and count their time, from the moment that the port is open. So it opens in a
-        # later turn of the reactor: what waits for a node's first turn is answered late by the duration of
-        # the whole start. A call that is made within a turn runs in the next one, however long the start
-        # has taken; a timer that has run out before the first turn would run within that.
+        # Clients can connect as soon as the port is open, and their deadlines run from then on. A request
+        # that waits for the reactor's first iteration is answered late by the duration of the whole start, so
+        # the port opens in a later iteration. A call scheduled within an iteration runs in the next one,
+        # however long the start took; a timer that expired before the first iteration would run in that one.
         reactor.callLater(0, reactor.callLater, 0, self._start)
         for number in (signal.SIGTERM, signal.SIGINT):
             _on_signal(number, self._node.stop)
@@ -71,7 +71,7 @@
         self._node.reload(lambda now: config.reload_node_config(now, os.environ, self._config_file))
 
     def _start(self) -> None:
-        if self._node.lifecycle.shutdown is not None:  # a signal has stopped it before its start
+        if self._node.lifecycle.shutdown is not None:  # a signal stopped the node before its start
             return
         try:
             self._node.start()
@@ -89,10 +89,10 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run a node until it is stopped; returns the exit status.
+    """Run a node until it is stopped, and return the exit status.
 
-    `arguments` are those of the command line, by default this process's own. Configuration that can't be used
-    ends the process with one line on standard error and status 2.
+    `arguments` are the command line's, by default those of this process. With an invalid configuration, one
+    line is printed on standard error and the status is 2.
     """
     use_monotonic_clock(reactor)
     process = NodeProcess(_config_file(arguments))
@@ -102,13 +102,15 @@
         _print_error(error)
         return EXIT_FAILURE
     _begin_logging(json_logs=node_config.json_logs)
-    gc.freeze()  # what has been loaded stays; the collector need not look at it again
+    gc.freeze()  # loaded modules are permanent, so the collector need not scan them again
     return process.run(node_config)
 
 
 def _config_file(arguments: Sequence[str] | None) -> str:
-    parser = ArgumentParser(prog="puffindeck", description="One real node.")
-    parser.add_argument("--config", default="", metavar="FILE", help="an operator's file, for EDGE_CONFIG")
+    parser = ArgumentParser(prog="puffindeck", description="Run one node.")
+    parser.add_argument(
+        "--config", default="", metavar="FILE", help="configuration file, used instead of EDGE_CONFIG"
+    )
     return str(parser.parse_args(arguments).config)
 
 
@@ -118,7 +120,7 @@
 
 
 def _on_signal(number: signal.Signals, handler: Callable[[], None]) -> None:
-    """Have the reactor call the handler, once it runs."""
+    """Have the reactor call the handler on this signal, as soon as it runs."""
     signal.signal(number, lambda signal_number, frame: reactor.callFromThread(handler))
 
 
--- a/puffindeck/benchlink.py
+++ b/puffindeck/benchlink.py
@@ -1,4 +1,4 @@
-"""The program `python -m puffindeck.benchlink`: the decision module behind the simulator's protocol."""
+"""The program `python -m puffindeck.benchlink`, which serves the decision module to a simulator."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 def main() -> int:
-    """Serve standard input and output until the input ends, and return the exit status.
+    """Answer the batches on standard input until it ends, and return the exit status.
 
-    Input that can't be read ends it with one line on standard error and status 2.
+    For malformed input, one line is printed on standard error and the status is 2.
     """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/puffindeck/simulator/__init__.py
+++ b/puffindeck/simulator/__init__.py
@@ -1,7 +1,7 @@
-"""The decision module behind the simulator's binary protocol on standard input and output.
+"""Serves the decision module to a simulator over a binary protocol on standard input and output.
 
-A frame is one batch: a header and records, each a code with its fields, little-endian. Each batch is
-answered by one reply.
+All numbers are little-endian. A frame is one batch: a header, then records, each with a code and its fields.
+Each batch is answered by one reply.
 """
 
 from puffindeck.simulator.frames import FrameError
--- a/puffindeck/simulator/action_records.py
+++ b/puffindeck/simulator/action_records.py
@@ -1,4 +1,4 @@
-"""Actions of the decision module, as records for the simulator."""
+"""Encoding of the decision module's actions as records for the simulator."""
 
 from __future__ import annotations
 
@@ -18,36 +18,36 @@
     WatchEndpoints,
 )
 
-# Each begins with the record's code and the bytes of its fields.
+# Each layout begins with the record's code and the size of its fields in bytes; the comments list the fields.
 SEND = Struct("<BIIId")  # request, endpoint, timeout in ms
-REJECT = Struct("<BIId")  # request, delay in ms
+REJECT = Struct("<BIId")  # request, retry delay in ms
 REQUEST_ONLY = Struct("<BII")  # request
 CANCEL = Struct("<BIIB")  # request, attempt
 TIMER = Struct("<BIdI")  # delay in ms, token
-WATCH = Struct("<BIB")  # 1
-TEXT = Struct("<BIH")  # bytes of the text after it
+WATCH = Struct("<BIB")  # always 1
+TEXT = Struct("<BIH")  # length in bytes of the text, which follows
 INSTANCE = Struct("<BIH")  # instance
 
-LONGEST_TEXT_BYTES = 60000
+MAX_TEXT_BYTES = 60000  # longer texts are truncated
 
 
 def encode_action(action: Action) -> bytes:
-    """The record of an action."""
+    """Return the record of an action."""
     return ENCODERS[type(action)](action)
 
 
 def encode_failure(text: str) -> bytes:
-    """The record that says that a decision has failed."""
+    """Return the record that reports a failed decision, with the error's text."""
     return _text(9, text)
 
 
 def encode_instance(instance: int) -> bytes:
-    """The record that names the instance that the actions after it are of."""
+    """Return the record that selects the instance of the actions after it."""
     return INSTANCE.pack(13, 2, instance)
 
 
 def _text(code: int, text: str) -> bytes:
-    data = text.encode()[:LONGEST_TEXT_BYTES]
+    data = text.encode()[:MAX_TEXT_BYTES]
     return TEXT.pack(code, 2 + len(data), len(data)) + data
 
 
--- a/puffindeck/simulator/event_records.py
+++ b/puffindeck/simulator/event_records.py
@@ -1,4 +1,4 @@
-"""Records from the simulator, as events of the decision module."""
+"""Decoding of the simulator's records into events of the decision module."""
 
 from __future__ import annotations
 
@@ -31,13 +31,15 @@
 ESTABLISHED = Struct("<IIdB")  # request, endpoint, elapsed ms, attempt
 REPORT = Struct("<IBIBf")  # request, attempt, endpoint, report kind, value
 ENDED = Struct("<IBIBBd")  # request, outcome, endpoint, attempt, final, elapsed ms
-NUMBER = Struct("<I")  # a request or a timer's token
+NUMBER = Struct("<I")  # a request's number or a timer's token
 
-LOAD_HINT_GIVEN = 1  # flags of a request
+# Flags of a request
+LOAD_HINT_GIVEN = 1
 MID_FLOW = 8
 RETURNING = 16
 
-LOAD_REPORT = 1  # kinds of report
+# Kinds of report
+LOAD_REPORT = 1
 LATENCY_REPORT = 2
 
 UPDATE_KINDS = {int(kind): kind for kind in ListUpdateKind}
@@ -46,16 +48,16 @@
 
 
 def decode_event(code: int, data: bytes) -> Event | None:
-    """The event of a record, or None for a code that this project has no use for.
+    """Return the event of a record; None if its code is unknown or has no event.
 
-    Raises FrameError for an endpoint list that can't be read.
+    Raises FrameError if the record is a malformed endpoint list.
     """
     decoder = DECODERS.get(code)
     return decoder(data) if decoder else None
 
 
 def _unpack(layout: Struct, data: bytes) -> tuple[Any, ...]:
-    """The fields of a record; those left off at its end read as zero."""
+    """Return the fields of a record. Fields that are missing at its end are read as zero."""
     if len(data) < layout.size:
         data = data.ljust(layout.size, b"\0")
     return layout.unpack_from(data)
@@ -64,7 +66,7 @@
 def _endpoint_list(data: bytes) -> Event:
     kind, version, count = _unpack(ENDPOINT_LIST, data)
     if kind not in UPDATE_KINDS:
-        raise FrameError(f"list update of kind {kind} is not known")
+        raise FrameError(f"unknown kind of list update: {kind}")
     if len(data) < ENDPOINT_LIST.size + count * ENDPOINT_ENTRY.size:
         raise FrameError("truncated frame: the endpoint list is cut short")
     rows = ENDPOINT_ENTRY.iter_unpack(
@@ -114,7 +116,7 @@
 
 def _ended(data: bytes) -> Event:
     request, outcome_number, endpoint, attempt, final, elapsed_ms = _unpack(ENDED, data)
-    # After an outcome that is not known the endpoint may have processed the request, as after an error.
+    # An unknown outcome is treated as an error, after which the endpoint may have processed the request.
     outcome = OUTCOMES.get(outcome_number, Outcome.ERROR)
     return AttemptEnded(request, outcome, endpoint, attempt, bool(final), elapsed_ms)
 
--- a/puffindeck/simulator/frames.py
+++ b/puffindeck/simulator/frames.py
@@ -1,4 +1,4 @@
-"""Frames of the simulator's protocol: batches of records, and replies."""
+"""Frames of the simulator's protocol: batches of records, and the replies to them."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from struct import Struct
 from typing import BinaryIO
 
-LENGTH_BYTES = 4  # of the length field, which doesn't count itself
-BATCH_HEADER = Struct("<IIdI")  # length in bytes, records, clock in milliseconds, batch number
-REPLY_HEADER = Struct("<III")  # records, bytes after this field, batch number
-RECORD_HEADER = Struct("<BI")  # code, bytes of the fields
+LENGTH_BYTES = 4  # the length field itself, which is not included in the length
+BATCH_HEADER = Struct("<IIdI")  # length in bytes, number of records, clock in ms, batch number
+REPLY_HEADER = Struct("<III")  # number of records, bytes after this field, batch number
+RECORD_HEADER = Struct("<BI")  # code, size of the fields in bytes
 
 
 class FrameError(Exception):
@@ -19,7 +19,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Batch:
-    """One batch, its records not yet split."""
+    """One batch, with its records not yet split."""
 
     number: int
     now_ms: float
@@ -28,7 +28,10 @@
 
 
 def read_batch(source: BinaryIO) -> Batch | None:
-    """The next batch; None at the end of the input. Raises FrameError where it ends within a batch."""
+    """Read the next batch. Returns None at the end of the input.
+
+    Raises FrameError if the input ends within a batch or the length is too small.
+    """
     header = source.read(BATCH_HEADER.size)
     if not header:
         return None
@@ -45,7 +48,7 @@
 
 
 def split_records(body: bytes, count: int) -> Iterable[tuple[int, bytes]]:
-    """The code and the fields of each record of a batch. Raises FrameError where one is cut short."""
+    """Yield the code and the fields of each record of a batch. Raises FrameError if a record is truncated."""
     offset = 0
     for number in range(count):
         if offset + RECORD_HEADER.size > len(body):
@@ -59,6 +62,6 @@
 
 
 def encode_reply(records: list[bytes], batch_number: int) -> bytes:
-    """The reply to a batch, of encoded records."""
+    """Return the reply to a batch, from encoded records."""
     body = b"".join(records)
     return REPLY_HEADER.pack(len(records), len(body) + LENGTH_BYTES, batch_number) + body
--- a/puffindeck/simulator/session.py
+++ b/puffindeck/simulator/session.py
@@ -1,4 +1,4 @@
-"""A session with the simulator: one balancer for each instance, batches answered in their order."""
+"""A session with the simulator, with one balancer per instance. Batches are answered in order."""
 
 from __future__ import annotations
 
@@ -13,18 +13,17 @@
 from puffindeck.simulator.event_records import decode_event
 from puffindeck.simulator.frames import Batch, FrameError, encode_reply, read_batch, split_records
 
-START_INSTANCE = 0  # codes of the records that concern instances
+# Codes of the records that manage instances
+START_INSTANCE = 0
 STOP_INSTANCE = 9
 SELECT_INSTANCE = 12
 
 INSTANCE = Struct("<H")
-SETTINGS_HEADER = Struct("<QI")  # seed, bytes of the settings after it
+SETTINGS_HEADER = Struct("<QI")  # seed, length in bytes of the settings, which follow
 
-GC_THRESHOLDS = (
-    50_000,
-    20,
-    100,
-)  # rare: a balancer drops what it is done with itself, and few cycles are left
+# Thresholds of the garbage collector's generations. Collections are rare, because a balancer releases its
+# finished records itself and leaves few reference cycles.
+GC_THRESHOLDS = (50_000, 20, 100)
 
 
 class Session:
@@ -32,13 +31,13 @@
 
     def __init__(self) -> None:
         self._instances: dict[int, Balancer] = {}
-        self._selected = -1  # the instance that records concern
-        self._events: dict[int, list[Event]] = {}  # of the batch, by instance
+        self._selected = -1  # the instance of the following records; -1 if none is selected
+        self._events: dict[int, list[Event]] = {}  # the current batch's events by instance
 
     def answer(self, batch: Batch) -> bytes:
-        """Deliver a batch's events to their instances; returns the reply with their actions.
+        """Deliver a batch's events to their instances, and return the reply with the resulting actions.
 
-        Raises FrameError for a record that can't be read, ConfigError for settings that can't be used.
+        Raises FrameError or struct.error for a malformed record, ConfigError for invalid settings.
         """
         self._selected = -1
         self._events = {}
@@ -68,7 +67,7 @@
 
     def _start_instance(self, data: bytes) -> None:
         if len(data) < SETTINGS_HEADER.size:
-            raise FrameError("truncated frame: the first message is cut short")
+            raise FrameError("truncated frame: the record that starts the instance is cut short")
         seed, size = SETTINGS_HEADER.unpack_from(data)
         text = data[SETTINGS_HEADER.size :]
         if len(text) < size:
@@ -79,14 +78,14 @@
     def _decide(self, instance: int, events: list[Event], now_ms: float) -> list[bytes]:
         try:
             return [encode_action(action) for action in self._instances[instance].handle(now_ms, events)]
-        except Exception as error:  # the simulator is told of a decision that fails, whatever the error was
+        except Exception as error:  # any error of a decision is reported to the simulator
             return [encode_failure(f"{type(error).__name__}: {error}")]
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends.
 
-    Raises FrameError, ConfigError or struct.error for a batch that can't be read.
+    Raises FrameError or struct.error for a malformed batch, ConfigError for invalid settings.
     """
     session = Session()
     gc.set_threshold(*GC_THRESHOLDS)
--- a/tests/simulator/__init__.py
+++ b/tests/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of simulator."""
+"""Tests of the simulator's protocol."""
--- a/tests/simulator/settings_table.py
+++ b/tests/simulator/settings_table.py
@@ -1,4 +1,4 @@
-"""Settings as the simulator sends them."""
+"""Settings as the simulator sends them, without and with an unknown key."""
 
 from __future__ import annotations
 
