--- a/conftest.py
+++ b/conftest.py
@@ -1,7 +1,7 @@
-"""Known failures: tests that fail for a real fault and may land, listed in KNOWN-RED.txt with their cause.
+"""Known failures: tests that fail because of a known fault, listed with it in KNOWN-RED.txt.
 
-They run like all others. A failure of one is printed and does not fail the run; a pass of one does, so that
-it is removed from the list with its fix.
+They run like all other tests. If a listed test fails, the run reports it and still succeeds. If it passes,
+the run fails, so that the line is removed together with the fix.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class KnownFailure(NamedTuple):
-    """A line of the list: a test's id, the cause of its failure, and the issue."""
+    """A line of the list, with a test's id, the cause of its failure, and the issue."""
 
     test: str
     cause: str
@@ -24,7 +24,10 @@
 
 
 def known_failures(text: str) -> list[KnownFailure]:
-    """Parse the list, lines of `test | cause | issue`. Raises pytest.UsageError, naming the line."""
+    """Parse the list, whose lines are `test | cause | issue`.
+
+    Raises pytest.UsageError for an invalid line, with its number, and for more than MAX_KNOWN_FAILURES tests.
+    """
     found = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.startswith("#"):
@@ -38,13 +41,13 @@
     return found
 
 
-def _read() -> list[KnownFailure]:
+def _read_known_failures() -> list[KnownFailure]:
     return known_failures(KNOWN_RED.read_text()) if KNOWN_RED.exists() else []
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
     """Mark the listed tests as expected failures."""
-    causes = {known.test: known for known in _read()}
+    causes = {known.test: known for known in _read_known_failures()}
     for item in items:
         known = causes.get(item.nodeid)
         if known is not None:
@@ -52,6 +55,6 @@
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter) -> None:
-    """Print the list with every run."""
-    for known in _read():
+    """Print the list at the end of every run."""
+    for known in _read_known_failures():
         terminalreporter.write_line(f"known red: {known.test}: {known.cause} ({known.issue})")
--- a/tests/compatibility/__init__.py
+++ b/tests/compatibility/__init__.py
@@ -1,5 +1,5 @@
-"""Bytes that other processes read: literal octets that no rename and no refactoring may change.
+"""Tests of the octets that other processes read, which no renaming or refactoring may change.
 
-The tests of this package stay as they are. Where a class or a function gets another name or another module,
-`bindings.py` alone follows.
+The octets and the tests must not be edited. If a class or function is renamed or moved, only `bindings.py` is
+adapted.
 """
--- a/tests/compatibility/bindings.py
+++ b/tests/compatibility/bindings.py
@@ -1,4 +1,4 @@
-"""The names that this version of the code has for what the compatibility tests write and read."""
+"""Adapters from the compatibility tests to the current names of the code under test."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def _by_tag(module: Any) -> dict[int, type[msgspec.Struct]]:
-    """The messages of a module, by the number that stands for each on the wire."""
+    """Return the message classes of a module by their numbers on the wire."""
     structs = [
         kind for kind in vars(module).values() if isinstance(kind, type) and issubclass(kind, msgspec.Struct)
     ]
@@ -46,44 +46,44 @@
 
 
 def member_update(*fields: Any) -> Any:
-    """What a datagram says of a member: name, phase, incarnation, process, address, region."""
+    """Return a member's state in a datagram: name, phase, incarnation, process, address, region."""
     return membership_messages.MemberUpdate(*fields)
 
 
 def datagram(fleet: str, *fields: Any) -> bytes:
-    """A datagram: sender, process, incarnation, number, receiver, milliseconds, body, member updates."""
+    """Encode a datagram: sender, process, incarnation, number, receiver, time in ms, body, member updates."""
     return DatagramCodec(fleet).encode(membership_messages.Envelope(*fields))
 
 
 def read_datagram(fleet: str, data: bytes) -> tuple[Any, ...]:
-    """The fields of a datagram."""
+    """Decode a datagram, and return its fields."""
     envelope = DatagramCodec(fleet).decode(data)
     return tuple(getattr(envelope, field) for field in envelope.__struct_fields__)
 
 
 def quota_allocation(members: list[tuple[str, int, str]], amounts: dict[str, int]) -> Any:
-    """Who is given permits in an epoch."""
+    """Return an allocation of permits to members for one epoch."""
     receivers = [quota_messages.AllocationMember(*member) for member in members]
     return quota_messages.Allocation(receivers, amounts)
 
 
 def encode_quota(message: Any) -> bytes:
-    """A message between two gateways' quotas."""
+    """Encode a quota message between two gateways."""
     return quota_messages.ENCODER.encode(message)
 
 
 def decode_quota(data: bytes) -> Any:
-    """The message that stands in those octets."""
+    """Decode a quota message."""
     return quota_messages.DECODER.decode(data)
 
 
 def encode_residency(message: Any) -> bytes:
-    """A message between two gateways' rules."""
+    """Encode a residency message between two gateways."""
     return residency_messages.ENCODER.encode(message)
 
 
 def decode_residency(data: bytes) -> Any:
-    """The message that stands in those octets."""
+    """Decode a residency message."""
     return residency_messages.DECODER.decode(data)
 
 
@@ -96,13 +96,13 @@
 
 
 def read_member_state(folder: Path, name: str) -> tuple[str, int] | None:
-    """The name and incarnation that are stored."""
+    """Return the stored name and incarnation; None if there are none."""
     state = StateFile(folder, name).read()
     return (state.name, state.incarnation) if state is not None else None
 
 
 def mark_detached(folder: Path, host: str, detached: bool) -> None:
-    """Store that a host is out of use, or in use again."""
+    """Store whether a host is detached."""
     records = DetachmentStore(folder)
     records.open()
     if detached:
@@ -112,12 +112,12 @@
 
 
 def detached_hosts(folder: Path) -> set[str]:
-    """The hosts that are stored as out of use."""
+    """Return the hosts that are stored as detached."""
     return DetachmentStore(folder).read()
 
 
 class UpgradeProcess:
-    """This process among those that share the clients' socket in an upgrade."""
+    """This process's entry in the registry of processes that share the clients' socket in an upgrade."""
 
     def __init__(self, folder: Path) -> None:
         self._registry = ProcessRegistry(folder)
@@ -125,28 +125,28 @@
         self.file_name = self._registry.name
 
     def publish(self, ready: bool) -> None:
-        """Say whether this process is ready."""
+        """Publish whether this process is ready."""
         self._registry.publish_state(ready)
 
     def others(self) -> list[tuple[bool, bool, int]]:
-        """The other processes: newer than this one, ready, open descriptors."""
+        """Return for each other process whether it is newer and ready, and its number of open descriptors."""
         return [(other.is_newer, other.is_ready, other.descriptors) for other in self._registry.siblings()]
 
     def write_load_limits(self, limits: dict[str, float | None], now_ms: float) -> None:
-        """Store the load that each host has been seen to bear."""
+        """Store the observed load limit of each host."""
         self._registry.write_handover_state(limits, now_ms)
 
     def read_load_limits(self, now_ms: float) -> dict[str, float | None]:
-        """What an earlier process has stored."""
+        """Return the load limits that an earlier process has stored."""
         return self._registry.read_handover_state(now_ms)
 
     def end(self) -> None:
-        """Leave the others."""
+        """Remove this process from the registry."""
         self._registry.unregister()
 
 
 def open_descriptors() -> int:
-    """How many descriptors this process has open."""
+    """Return the number of open descriptors of this process."""
     return len(os.listdir("/dev/fd"))
 
 
@@ -154,10 +154,10 @@
 
 
 class FixedClock:
-    """A clock that stands still."""
+    """A clock that always returns the same time."""
 
     def now(self) -> Any:
-        """The moment, as the clock of the node has it."""
+        """Return the fixed time, in the type of the node's clock."""
         from puffindeck.core.clock import milliseconds
 
         return milliseconds(1_000_000_500.0)
@@ -172,7 +172,7 @@
     seed: int,
     peers: Iterable[tuple[Any, ...]],
 ) -> dict[str, bytes]:
-    """The JSON of each operators' call of a gateway that has just started and knows those peers."""
+    """Return the JSON of each operators' call by path, for a new gateway that knows these peers."""
     installed = parse_fleet_member(fleet, quota, residency, name)
     assert installed is not None
     assert installed.quota is not None
@@ -206,7 +206,7 @@
 
 
 def play_frames(frames: bytes) -> bytes:
-    """What the decision module answers to a session of the simulator."""
+    """Return the decision module's replies to a session of the simulator."""
     sink = io.BytesIO()
     simulator.serve(io.BytesIO(frames), sink)
     return sink.getvalue()
--- a/tests/compatibility/test_datagrams.py
+++ b/tests/compatibility/test_datagrams.py
@@ -1,4 +1,4 @@
-"""Each kind of fleet datagram, as octets."""
+"""The octets of each kind of fleet datagram, quota message and residency message."""
 
 from __future__ import annotations
 
@@ -106,7 +106,7 @@
 
 
 def quota_message(tag: int, fields: tuple[Any, ...]) -> Any:
-    """A message of the quotas; an allocation stands as its fields."""
+    """A quota message. An allocation among its fields is given as a tuple of the allocation's own fields."""
     made = [bindings.quota_allocation(*f) if isinstance(f, tuple) and len(f) == 2 else f for f in fields]
     return bindings.QUOTA_MESSAGES[tag](*made)
 
--- a/tests/compatibility/test_operator_calls.py
+++ b/tests/compatibility/test_operator_calls.py
@@ -1,4 +1,4 @@
-"""The JSON of operators' calls, as octets."""
+"""The exact JSON that operators' calls return."""
 
 from __future__ import annotations
 
--- a/tests/compatibility/test_simulator_frames.py
+++ b/tests/compatibility/test_simulator_frames.py
@@ -1,4 +1,4 @@
-"""The simulator's frames: sessions with every kind of event and action, as octets."""
+"""The octets of the simulator's frames, in sessions with every kind of event and action."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
 
 
 def endpoints(kind: int, version: int, *rows: tuple[int, int, int]) -> bytes:
-    """A list: number, zone and state of each endpoint."""
+    """A record with an endpoint list; each row has number, zone and state."""
     data = pack("<BII", kind, version, len(rows))
     for number, zone, state in rows:
         data += pack("<IHBHBfd", number, zone, 0, 0, state, 1.0, 0.0)
@@ -55,7 +55,7 @@
 
 
 def session(*steps: tuple[float, list[bytes]]) -> bytes:
-    """Batches, each at its moment, of one instance."""
+    """Batches for one instance, each with its time and records."""
     frames = b""
     for number, (now_ms, records) in enumerate(steps, 1):
         body = record(12, "<H", 3) + b"".join(records)
--- a/tests/compatibility/test_stored_files.py
+++ b/tests/compatibility/test_stored_files.py
@@ -1,4 +1,4 @@
-"""Files that outlive a process, or that two versions of it read at once, as octets."""
+"""The octets of files that are read by a later process or by another version of the program."""
 
 from __future__ import annotations
 
--- a/tests/deploy/__init__.py
+++ b/tests/deploy/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of deploy."""
+"""Tests of the deployed program."""
--- a/tests/deploy/test_descriptor_limits.py
+++ b/tests/deploy/test_descriptor_limits.py
@@ -1,6 +1,6 @@
-"""Real processes short of resources: descriptors that idle clients fill, a discovery that answers nothing.
+"""Tests of real node processes without free descriptors or without an answer from discovery.
 
-Each is the program as the platform starts it, on ports of its own; no test waits by sleeping.
+Each node is the program as the platform starts it, on its own ports. No test waits by sleeping.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 
 
 def bound_socket() -> socket.socket:
-    """A socket that is bound and does not listen yet: connections are refused."""
-    held = socket.socket()
-    held.bind(("127.0.0.1", 0))
-    return held
+    """Return a socket that is bound but does not listen yet, so that connections are refused."""
+    bound = socket.socket()
+    bound.bind(("127.0.0.1", 0))
+    return bound
 
 
 class NodeProcess:
-    """A node with a limit on its descriptors, whose log is read line by line."""
+    """A node with a limit on its descriptors. The test reads its log line by line."""
 
     def first_answer(self, line: bytes) -> bytes:
         """Connect, send a line, and return the first line of the answer."""
@@ -68,20 +68,20 @@
         )
 
     def wait_for_line(self, text: str) -> str:
-        """The next line of its log that contains this text. Raises NodeExitedError if it ends before."""
+        """Return the next log line that contains this text. Raises NodeExitedError if the node ends first."""
         assert self.process.stdout is not None
-        read = []
+        lines = []
         for line in self.process.stdout:
-            read.append(line)
+            lines.append(line)
             if text in line:
                 return line
-        raise NodeExitedError("n0", self.process.wait(), "".join(read))
+        raise NodeExitedError("n0", self.process.wait(), "".join(lines))
 
     def client(self, line: bytes) -> socket.socket:
-        """Connect and send a line."""
-        made = socket.create_connection(self.address, timeout=10)
-        made.sendall(line)
-        return made
+        """Connect, send a line, and return the socket."""
+        client = socket.create_connection(self.address, timeout=10)
+        client.sendall(line)
+        return client
 
     def end(self) -> None:
         """Kill the process."""
@@ -92,36 +92,36 @@
 
 
 class IdleClients(threading.Thread):
-    """Clients that connect and send nothing; for each one that is disconnected another connects."""
+    """Clients that connect and send nothing. Each client that is disconnected is replaced by another."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         super().__init__(daemon=True)
         self.address = address
         self.stopped = threading.Event()
-        self.full = threading.Event()  # all have tried to connect
+        self.full = threading.Event()  # set when all clients have tried to connect
         self.evicted = 0
 
     def run(self) -> None:
-        watch = select.epoll()
+        poller = select.epoll()
         connections: dict[int, socket.socket] = {}
         while not self.stopped.is_set():
             while len(connections) < IDLE_CLIENTS:
-                one = socket.socket()
-                one.setblocking(False)
-                one.connect_ex(self.address)
-                connections[one.fileno()] = one
-                watch.register(one, select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR)
+                client = socket.socket()
+                client.setblocking(False)
+                client.connect_ex(self.address)
+                connections[client.fileno()] = client
+                poller.register(client, select.EPOLLRDHUP | select.EPOLLHUP | select.EPOLLERR)
             self.full.set()
-            for number, _ in watch.poll(0.05):
+            for descriptor, _ in poller.poll(0.05):
                 self.evicted += 1
-                watch.unregister(number)
-                connections.pop(number).close()
-        for one in connections.values():
-            one.close()
-        watch.close()
+                poller.unregister(descriptor)
+                connections.pop(descriptor).close()
+        for client in connections.values():
+            client.close()
+        poller.close()
 
 
-class RoomTest(unittest.TestCase):
+class DescriptorLimitTests(unittest.TestCase):
     def setUp(self) -> None:
         folder = TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -138,10 +138,10 @@
                 peer.sendall(b"UP r\r\n")
                 self.addCleanup(peer.close)
 
-    def test_strangers_that_fill_the_descriptors_keep_nobody_from_discovery_or_service(self) -> None:
+    def test_idle_clients_that_use_all_descriptors_block_neither_discovery_nor_requests(self) -> None:
         node = NodeProcess(self.folder, self.discovery, DESCRIPTORS)
         self.addCleanup(node.end)
-        node.wait_for_line("ready")  # without a list, as discovery is down
+        node.wait_for_line("ready")  # without an endpoint list, as discovery is down
         idle_clients = IdleClients(node.address)
         idle_clients.start()
         self.addCleanup(idle_clients.join)
@@ -150,14 +150,14 @@
         host = socket.create_server(("127.0.0.1", 0))
         self.addCleanup(host.close)
         threading.Thread(target=self.serve, args=(host,), daemon=True).start()
-        before = time.monotonic()
-        self.discovery.listen()  # it is back
+        listening_since = time.monotonic()
+        self.discovery.listen()  # discovery is available from here on
         self.discovery.settimeout(10)
-        call, _ = self.discovery.accept()
-        self.addCleanup(call.close)
-        self.assertIn(b"GET /catalog/members", call.recv(4096))
-        self.assertLess(time.monotonic() - before, 6)
-        row: dict[str, Any] = {
+        connection, _ = self.discovery.accept()
+        self.addCleanup(connection.close)
+        self.assertIn(b"GET /catalog/members", connection.recv(4096))
+        self.assertLess(time.monotonic() - listening_since, 6)
+        target_row: dict[str, Any] = {
             "uid": "h",
             "endpoint": "{}:{}".format(*host.getsockname()),
             "az": "atlanta",
@@ -167,21 +167,21 @@
             "capacity_hint": 1.0,
             "boot_ms": 0,
         }
-        line = json.dumps({"rev": 9, "all": True, "targets": [row]}).encode() + b"\n"
-        call.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        call.sendall(b"%x\r\n%s\r\n" % (len(line), line))
+        line = json.dumps({"rev": 9, "all": True, "targets": [target_row]}).encode() + b"\n"
+        connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        connection.sendall(b"%x\r\n%s\r\n" % (len(line), line))
         self.assertEqual(node.first_answer(REQUEST), b"UP r\r\n")
         self.assertEqual(node.first_answer(b"PING\r\n"), b"PONG\r\n")
         self.assertEqual(node.first_answer(b"GET / HTTP/1.1\r\n"), b"ERR\r\n")
         self.assertIsNone(node.process.poll())
 
-    def test_ten_processes_restarted_at_once_are_ready_though_discovery_says_nothing(self) -> None:
-        self.discovery.listen()  # and takes no call
+    def test_ten_nodes_started_at_once_become_ready_while_discovery_is_silent(self) -> None:
+        self.discovery.listen()  # connections are never accepted
         nodes = [NodeProcess(self.folder / str(i), self.discovery) for i in range(10)]
         for node in nodes:
             self.addCleanup(node.end)
         for node in nodes:
             node.wait_for_line("ready")
-        took = sorted(time.monotonic() - node.started_at for node in nodes)
-        self.assertLess(took[8], 10)
+        start_durations_s = sorted(time.monotonic() - node.started_at for node in nodes)
+        self.assertLess(start_durations_s[8], 10)
         self.assertEqual(nodes[0].first_answer(b"PING\r\n"), b"PONG\r\n")
--- a/tests/deploy/test_imports.py
+++ b/tests/deploy/test_imports.py
@@ -1,4 +1,4 @@
-"""What a node loads: nothing that only clients' plug-ins need, as it has 32 MB on some days."""
+"""Tests that a node imports no module that only other programs need, as it may have to run in 32 MB."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 import sys
 from pathlib import Path
 
-HEAVY = {"click", "grpc", "google", "httpx", "httpcore", "anyio", "aioquic", "tomli_w", "xxhash"}
+HEAVY_LIBRARIES = {"click", "grpc", "google", "httpx", "httpcore", "anyio", "aioquic", "tomli_w", "xxhash"}
 
-APART = (
+OTHER_PROGRAMS = (
     "puffindeck_",
     "puffindeck.config.fleet",
     "puffindeck.config.quota",
@@ -21,24 +21,24 @@
 )
 
 
-def loaded(*modules: str) -> set[str]:
-    """What a fresh interpreter has loaded after these."""
-    done = subprocess.run(
+def imported_by(*modules: str) -> set[str]:
+    """Return all modules that a new interpreter has loaded after it imports the given ones."""
+    completed = subprocess.run(
         [sys.executable, "-c", f"import sys, {', '.join(modules)}; print(*sys.modules)"],
         capture_output=True,
         text=True,
         check=True,
         cwd=Path(__file__).parents[2],
     )
-    return set(done.stdout.split())
+    return set(completed.stdout.split())
 
 
-def test_a_node_loads_nothing_of_the_plug_ins() -> None:
-    found = loaded("puffindeck.__main__", "puffindeck.net.node")
-    assert not {name.split(".")[0] for name in found} & HEAVY
-    assert not {name for name in found if name.startswith(APART)}
+def test_node_imports_no_module_of_other_programs() -> None:
+    imported = imported_by("puffindeck.__main__", "puffindeck.net.node")
+    assert not {name.split(".")[0] for name in imported} & HEAVY_LIBRARIES
+    assert not {name for name in imported if name.startswith(OTHER_PROGRAMS)}
 
 
-def test_decisions_load_neither_io_nor_a_library() -> None:
-    found = loaded("puffindeck.client_side", "puffindeck.routing")
-    assert not found & {"socket", "asyncio", "twisted", "time.sleep", "msgspec", "ssl"}
+def test_decision_modules_import_neither_io_nor_libraries() -> None:
+    imported = imported_by("puffindeck.client_side", "puffindeck.routing")
+    assert not imported & {"socket", "asyncio", "twisted", "time.sleep", "msgspec", "ssl"}
--- a/tests/run.sh
+++ b/tests/run.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# Lint, types and tests. Wants what requirements-dev.txt names on the path.
+# Runs the linters, the type checker and all tests. The tools of requirements-dev.txt must be on the path.
 set -eu
 cd "$(dirname "$0")/.."
 ruff check .
 ruff format --check .
 lint-imports --no-cache
 mypy
-# Both suites mostly wait for time to pass, so they run side by side; the packages' output follows the other's.
+# Both test suites mostly wait for timers, so they run in parallel. The packages' output is printed last.
 packages_output=$(mktemp)
 trap 'rm -f "$packages_output"' EXIT
 python -m pytest packages > "$packages_output" 2>&1 &
