--- a/deploy/build.sh
+++ b/deploy/build.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Fills .venv with what the program runs on. The stamp is written last, so a half-made one is made anew.
+# Creates .venv with the program's dependencies. .venv/complete is written last, so an incomplete .venv is rebuilt.
 set -eu
 cd "$(dirname "$0")/.."
 if cmp -s requirements.txt .venv/complete; then
@@ -8,5 +8,6 @@
 rm -rf .venv
 python3 -m venv .venv
 .venv/bin/pip -q install -r requirements.txt
-.venv/bin/python -m compileall -q .venv/lib puffindeck || true  # the file system is read-only in service
+# The program runs on a read-only file system, where it cannot store compiled modules.
+.venv/bin/python -m compileall -q .venv/lib puffindeck || true
 cp requirements.txt .venv/complete
--- a/examples/rpc.py
+++ b/examples/rpc.py
@@ -1,7 +1,7 @@
-"""The gRPC plug-in against a toy feed, all on loopback.
+"""An example of the gRPC plug-in on loopback: three servers with a simple service, and a client.
 
-python examples/rpc.py world        three servers and discovery at 8501; reads: drain h1, serve h1
-python examples/rpc.py client KEY   asks once a second, and holds a stream that goes on when it is migrated
+python examples/rpc.py world        three servers, and discovery on port 8501; reads: drain h1, serve h1
+python examples/rpc.py client KEY   sends a call per second, and follows a stream that is resumed if migrated
 """
 
 from __future__ import annotations
@@ -22,14 +22,17 @@
 STATES = {"h1": "SERVING", "h2": "SERVING", "h3": "SERVING"}
 
 
-async def feed(name: str) -> int:
-    """Start a server: Status responds with its name, Watch does so each two seconds. Returns its port."""
+async def start_server(name: str) -> int:
+    """Start a server, and return its port.
+
+    Status returns the server's name; Watch streams the name every two seconds until the server drains.
+    """
 
     async def status(request: bytes, context: Any) -> bytes:
         return name.encode()
 
     async def watch(request: bytes, context: Any) -> AsyncIterator[bytes]:
-        await context.send_initial_metadata(())  # at once: this is what says "served"
+        await context.send_initial_metadata(())  # tells the client that the stream is served
         while True:
             yield name.encode()
             await asyncio.sleep(2)
@@ -51,12 +54,13 @@
 SERVERS: list[Any] = []
 
 
-async def world() -> None:
-    ports = {name: await feed(name) for name in STATES}
+async def run_servers() -> None:
+    """Run the servers and discovery, and execute the commands on standard input."""
+    ports = {name: await start_server(name) for name in STATES}
     watches: list[asyncio.StreamWriter] = []
     version = 1
 
-    def text(full: bool, names: Any) -> bytes:
+    def endpoint_list(full: bool, names: Any) -> bytes:
         targets = [
             {"uid": name, "endpoint": f"127.0.0.1:{ports[name]}", "state": STATES[name]} for name in names
         ]
@@ -68,55 +72,56 @@
     async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         watch = b"watch=1" in await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        chunk(writer, text(True, STATES))
+        chunk(writer, endpoint_list(True, STATES))
         if not watch:
             writer.write(b"0\r\n\r\n")
             writer.close()
             return
         watches.append(writer)
-        with suppress(asyncio.CancelledError):  # the world ends
+        with suppress(asyncio.CancelledError):  # the program ends
             while not writer.is_closing():
                 await asyncio.sleep(2)
                 chunk(writer, b"\n")
 
     await asyncio.start_server(discovery, "127.0.0.1", 8501)
-    print("three servers and discovery are there", flush=True)
+    print("three servers and discovery are running", flush=True)
     while line := await asyncio.to_thread(sys.stdin.readline):
-        word, _, name = line.strip().partition(" ")
-        if word in ("drain", "serve") and name in STATES:
-            STATES[name] = "DRAINING" if word == "drain" else "SERVING"
+        command, _, name = line.strip().partition(" ")
+        if command in ("drain", "serve") and name in STATES:
+            STATES[name] = "DRAINING" if command == "drain" else "SERVING"
             version += 1
             for writer in watches:
-                chunk(writer, text(False, [name]))
+                chunk(writer, endpoint_list(False, [name]))
         else:
             print("drain NAME or serve NAME")
 
 
-async def client(key: str) -> None:
+async def run_client(key: str) -> None:
+    """Call Status once per second and follow Watch, until the stream ends."""
     async with BalancedChannel.from_config(Path(__file__).with_name("desk.toml")) as channel:
         status, watch = channel.unary_unary("/toy.Feed/Status"), channel.unary_stream("/toy.Feed/Watch")
         metadata = (("puffindeck-key", key),)
 
-        async def follow() -> None:
+        async def print_stream() -> None:
             async for name in resuming(lambda last: watch(b"", metadata=metadata)):
                 print(f"the stream: {name.decode()}", flush=True)
 
-        following = asyncio.ensure_future(follow())
-        while not following.done():
+        stream = asyncio.ensure_future(print_stream())
+        while not stream.done():
             try:
                 print(f"a call: {(await status(b'', timeout=1.8, metadata=metadata)).decode()}", flush=True)
                 await asyncio.sleep(1)
             except AioRpcError as error:
-                wait = come_back(error)
-                print(f"{error.code().name}: {error.details()}; retry after {wait}", flush=True)
-                await asyncio.sleep(wait.total_seconds() if wait else 1)
-        await following
+                retry_after = come_back(error)
+                print(f"{error.code().name}: {error.details()}; retry after {retry_after}", flush=True)
+                await asyncio.sleep(retry_after.total_seconds() if retry_after else 1)
+        await stream
 
 
 if __name__ == "__main__":
     if sys.argv[1:] == ["world"]:
-        asyncio.run(world())
+        asyncio.run(run_servers())
     elif len(sys.argv) == 3 and sys.argv[1] == "client":
-        asyncio.run(client(sys.argv[2]))
+        asyncio.run(run_client(sys.argv[2]))
     else:
         sys.exit(__doc__)
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,8 +1,8 @@
-"""A toy environment for one node, all on loopback: three hosts and discovery, or one client.
+"""An example environment for one node on loopback: three hosts and discovery, or one client.
 
-python examples/toy.py world        hosts at 6001 to 6003, discovery at 8500; reads commands:
+python examples/toy.py world        hosts on ports 6001 to 6003, discovery on 8500; reads commands:
                                     drain h1, serve h1, gone h1
-python examples/toy.py client KEY   sends a request to the node at 5000, then a line each second
+python examples/toy.py client KEY   sends a request to the node on port 5000, then a line per second
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class EndpointList:
-    """The list of hosts, and the watches that are notified of its changes."""
+    """The list of hosts, and the watches to notify of its changes."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -29,7 +29,10 @@
         self.watches: set[Discovery] = set()
 
     def text(self, full: bool, *names: str) -> bytes:
-        """A line of JSON with the named hosts, all if none is named. `full`: it replaces the whole list."""
+        """Return a line of JSON with these hosts, or with all if none is given.
+
+        `full`: the line replaces the whole list.
+        """
         targets = [
             {
                 "uid": name,
@@ -46,7 +49,7 @@
         return json.dumps({"rev": self.version, "all": full, "targets": targets}).encode() + b"\n"
 
     def change(self, name: str, state: str) -> None:
-        """Change a host's state, and notify the watches."""
+        """Set a host's state, and notify the watches."""
         self.states[name] = state
         self.version += 1
         for watch in self.watches:
@@ -54,14 +57,14 @@
 
 
 class Discovery(LineReceiver):
-    """Discovery's side of HTTP/1.1: the list, and watches on it."""
+    """An HTTP/1.1 connection of the discovery service, which serves the list and watches on it."""
 
     def __init__(self, endpoint_list: EndpointList) -> None:
         self.endpoint_list = endpoint_list
         self.path = b""
 
     def lineReceived(self, line: bytes) -> None:
-        """Read the request's head, and answer it."""
+        """Read the request's header, and answer the request at its end."""
         if line:
             self.path = self.path or line.split(b" ")[1]
         elif b"watch=1" in self.path:
@@ -73,11 +76,11 @@
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
     def chunk(self, body: bytes) -> None:
-        """Write a chunk of a watch's answer."""
+        """Write a chunk of a watch's response."""
         self.transport.write(b"%x\r\n%s\r\n" % (len(body), body))
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Notify this watch no more."""
+        """Remove this watch from the list."""
         self.endpoint_list.watches.discard(self)
 
 
@@ -89,7 +92,7 @@
         self.first_line = b""
 
     def lineReceived(self, line: bytes) -> None:
-        """Answer UP to the first line, and echo the others."""
+        """Answer UP to the first line, and echo the following lines."""
         if not self.first_line:
             self.first_line = line
             print(f"{self.name}: {line.decode()}", flush=True)
@@ -99,7 +102,7 @@
 
 
 class Commands(LineReceiver):
-    """The commands on standard input."""
+    """Executes the commands on standard input."""
 
     delimiter = b"\n"
     states = {"drain": "DRAINING", "serve": "SERVING", "gone": "DELETED"}  # noqa: RUF012
@@ -108,7 +111,7 @@
         self.endpoint_list = endpoint_list
 
     def lineReceived(self, line: bytes) -> None:
-        """Change a host's state."""
+        """Execute a command, which sets a host's state."""
         verb, _, name = line.decode().strip().partition(" ")
         if verb in self.states and name in HOSTS:
             self.endpoint_list.change(name, self.states[verb])
@@ -117,14 +120,14 @@
 
 
 class Client(LineReceiver):
-    """A client."""
+    """A client of the node."""
 
     def connectionMade(self) -> None:
         """Send the request."""
         self.sendLine(b"OPEN 9b1f03aa5c7e2d41 %s c=item-watch,d=2000" % sys.argv[2].encode())
 
     def lineReceived(self, line: bytes) -> None:
-        """Print the line, and send one each second once the connection is up."""
+        """Print the line, and start to send a line per second when the connection is established."""
         print(line.decode(), flush=True)
         if line.startswith(b"UP "):
             task.LoopingCall(self.sendLine, b"still here?").start(1)
@@ -135,7 +138,7 @@
 
 
 class ProtocolFactory(Factory):
-    """Makes protocols of one class, with these arguments."""
+    """Builds protocols of one class with fixed arguments."""
 
     noisy = False
 
@@ -144,12 +147,12 @@
         self.args = args
 
     def buildProtocol(self, addr: object) -> Any:
-        """A protocol for a new connection."""
+        """Return a protocol for a new connection."""
         return self.kind(*self.args)
 
 
 def main() -> None:
-    """Run the part that the command line names."""
+    """Run the hosts and discovery, or the client, as the command line says."""
     if sys.argv[1:] == ["world"]:
         endpoint_list = EndpointList()
         reactor.listenTCP(8500, ProtocolFactory(Discovery, endpoint_list), interface="127.0.0.1")
@@ -163,8 +166,10 @@
 
         task.LoopingCall(send_keepalives).start(2)
     elif len(sys.argv) == 3 and sys.argv[1] == "client":
-        at = endpoints.TCP4ClientEndpoint(reactor, "127.0.0.1", 5000)
-        at.connect(ProtocolFactory(Client)).addErrback(lambda failure: (print(failure.value), reactor.stop()))
+        node = endpoints.TCP4ClientEndpoint(reactor, "127.0.0.1", 5000)
+        node.connect(ProtocolFactory(Client)).addErrback(
+            lambda failure: (print(failure.value), reactor.stop())
+        )
     else:
         sys.exit(__doc__)
     reactor.run()
