--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -163,11 +163,11 @@
         flow.on_client_datagram(packet, datagram)
         flow.request = self._engine.request(flow, self._request(address, self._config.deadline))
 
-    def _request(self, address: Address, time_to_answer: timedelta) -> Request:
+    def _request(self, address: Address, time_left: timedelta) -> Request:
         """Return a request. Its key is the client's host, so that the client gets the same endpoint again."""
-        facts = ConnectionInfo(address[0], address[1], self._config.listen[1], "quic")
+        info = ConnectionInfo(address[0], address[1], self._config.listen[1], "quic")
         key = key_number(address[0].encode())
-        return Request(self._config.class_number, key, time_to_answer, connection_info=facts)
+        return Request(self._config.class_number, key, time_left, connection_info=info)
 
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
         """Create a flow for a connection established from another address or through another node.
