--- a/puffindeck/cli/__init__.py
+++ b/puffindeck/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line for operators: `run`, `check`, `import haproxy`. The platform's node loads none of it."""
+"""The command line for operators: `run`, `check`, `import haproxy`. Nodes on the platform do not load it."""
--- a/puffindeck/cli/__main__.py
+++ b/puffindeck/cli/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m puffindeck.cli`: the same as the command `puffindeck`."""
+"""Runs the command `puffindeck` as `python -m puffindeck.cli`."""
 
 from puffindeck.cli.commands import main
 
--- a/puffindeck/cli/commands.py
+++ b/puffindeck/cli/commands.py
@@ -1,7 +1,7 @@
 """The commands, their options and exit codes.
 
-0: done; 2: something can't be read, written or used, and nothing was written; 3: `import --strict`, and
-something is refused that traffic would feel.
+Exit codes: 0 for success; 2 if input or output cannot be read, written or used, and nothing was written; 3
+for `import --strict` if a statement is refused and traffic is affected.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 
 
 class CommandError(click.ClickException):
-    """The command cannot go on: one line on standard error, exit code 2."""
+    """The command fails with one line on standard error and exit code 2."""
 
     exit_code = EXIT_FAILED
 
     def show(self, file: Any = None) -> None:
-        """Print the line on standard error."""
+        """Print the message on standard error."""
         click.echo(f"puffindeck: {self.message}", err=True)
 
 
@@ -45,7 +45,10 @@
 
 @main.command()
 @click.option(
-    "--config", "file", type=FILE, help="An operator's file (TOML), in place of what EDGE_CONFIG names."
+    "--config",
+    "file",
+    type=FILE,
+    help="An operator's file (TOML), in place of the file that EDGE_CONFIG names.",
 )
 def run(file: Path | None) -> None:
     """Run one node until SIGTERM."""
@@ -57,7 +60,7 @@
 @main.command()
 @click.argument("file", type=FILE)
 def check(file: Path) -> None:
-    """Read an operator's file as a node would, and say what it has. No socket is opened."""
+    """Check an operator's file as a node reads it, and print a summary. No socket is opened."""
     try:
         node = config.load_node_config({}, str(file))
     except config.ConfigError as error:
@@ -85,7 +88,7 @@
 
 
 def _check_servers_are_known(file: Path, node: config.NodeConfig, pool: Pool) -> None:
-    """Check a pool of a file without discovery. Raises CommandError for a server that is not in `known`."""
+    """Raise CommandError for a server of the pool that is not in `known`. Files without discovery only."""
     known = {target.uid for target in node.file_endpoints.targets}
     for server in (server for tier in pool.tiers for server in tier):
         is_pattern = "*" in server or "?" in server
@@ -95,22 +98,27 @@
 
 @main.group("import")
 def import_() -> None:
-    """Make an operator's file of another program's configuration."""
+    """Convert another program's configuration to an operator's file."""
 
 
 @import_.command("haproxy")
 @click.argument("files", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("-o", "--output", type=FILE, help="Where to write; standard output if left out.")
+@click.option("-o", "--output", type=FILE, help="Where to write; standard output by default.")
 @click.option(
-    "--report", "report_file", type=FILE, help="Where to write the account of every statement, as JSON."
+    "--report", "report_file", type=FILE, help="Where to write the report on every statement, as JSON."
 )
 @click.option(
-    "--state", "state_file", type=FILE, help="A file of servers' states, as `show servers state` writes it."
+    "--state", "state_file", type=FILE, help="A file of server states, as `show servers state` writes it."
 )
 @click.option("--backend", default="", help="The only backend to import, with its frontends.")
-@click.option("--strict", is_flag=True, help="Write nothing and exit with 3 where traffic is affected.")
 @click.option(
-    "--table", "every_statement", is_flag=True, help="Print the verdict on every statement, not on some only."
+    "--strict", is_flag=True, help="Write no operator's file and exit with 3 if traffic is affected."
+)
+@click.option(
+    "--table",
+    "every_statement",
+    is_flag=True,
+    help="Print the verdict on every statement, not only on changed and refused ones.",
 )
 def import_haproxy(
     files: tuple[Path, ...],
@@ -121,7 +129,7 @@
     strict: bool,
     every_statement: bool,
 ) -> None:
-    """Read HAProxy configuration FILES in their order (of a folder all *.cfg, by name)."""
+    """Convert HAProxy configuration FILES, read in order (for a folder, its *.cfg files by name)."""
     try:
         sources = read_files(files)
         server_states = read_file(state_file) if state_file else None
@@ -150,10 +158,10 @@
 
 
 def _print_report(report: ImportReport, every_statement: bool) -> None:
-    """Print the report for people on standard error."""
+    """Print the text report on standard error."""
     for line in report.text_lines(every_statement):
         click.echo(line, err=True)
     counts = report.counts()
-    shown = (Disposition.CARRIED, Disposition.CHANGED, Disposition.REFUSED, Disposition.HARMLESS)
-    totals = ", ".join(f"{counts[disposition.value]} {disposition.value}" for disposition in shown)
+    reported = (Disposition.CARRIED, Disposition.CHANGED, Disposition.REFUSED, Disposition.HARMLESS)
+    totals = ", ".join(f"{counts[disposition.value]} {disposition.value}" for disposition in reported)
     click.echo(f"{len(report.results)} statements: {totals}", err=True)
--- a/puffindeck/importer/__init__.py
+++ b/puffindeck/importer/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of other balancers, read into an operator's file."""
+"""Converts the configuration of other load balancers to an operator's file."""
--- a/puffindeck/importer/acl.py
+++ b/puffindeck/importer/acl.py
@@ -1,7 +1,10 @@
-"""ACLs and the conditions made of them, as groups of route conditions: all of a group, any of the groups.
+"""Converts ACLs and conditions to groups of route conditions.
 
-From the manual, 7.1 (how ACLs match) and 7.2 (how conditions are formed). A connection's source, the port it
-came to and the number of usable servers in a pool are known here; HAProxy's other criteria are unsupported.
+Groups are in disjunctive normal form: a route applies if all conditions of any group are met. Supported
+criteria are the source address and port of a connection, the port that accepted it, and the number of usable
+servers in a pool.
+
+Source: HAProxy's configuration manual, 7.1 (how ACLs match) and 7.2 (how conditions are formed).
 """
 
 from __future__ import annotations
@@ -13,7 +16,7 @@
 
 from puffindeck.importer.statement import Statement
 
-ConditionGroups = list[list[dict[str, Any]]]  # conditions as an operator's file has them
+ConditionGroups = list[list[dict[str, Any]]]  # conditions in the form of an operator's file
 ALWAYS: ConditionGroups = [[]]
 NEVER: ConditionGroups = []
 MAX_GROUPS = 64
@@ -23,13 +26,13 @@
     "LOCALHOST": [[{"on": "source", "is": ["127.0.0.1/8", "::1"]}]],
 }
 PORT_CRITERIA = {"dst_port": "port", "src_port": "source_port"}
-TLS_CRITERIA = ("req.ssl_", "req_ssl_", "ssl_fc", "ssl_c", "ssl_f")  # how they begin
+TLS_CRITERIA = ("req.ssl_", "req_ssl_", "ssl_fc", "ssl_c", "ssl_f")  # prefixes
 OPERATORS = ("eq", "ge", "gt", "le", "lt")
 FLAGS_WITH_ARGUMENT = ("-m", "-f", "-M", "-u")
 
 
 class UnsupportedConditionError(Exception):
-    """A condition asks for what is not known of a connection here. The text says what that is."""
+    """A condition has no equivalent here. The message names the unsupported criterion."""
 
 
 class _Criterion(NamedTuple):
@@ -41,7 +44,7 @@
 
 
 def negate(groups: ConditionGroups) -> ConditionGroups:
-    """Groups that hold exactly where these do not. Raises UnsupportedConditionError for too many."""
+    """Return the negation of groups. Raises UnsupportedConditionError for over MAX_GROUPS groups."""
     negated = [
         [{**condition, "not": not condition.get("not", False)} for condition in group] for group in groups
     ]
@@ -49,8 +52,8 @@
 
 
 def conjunction(first: ConditionGroups, second: ConditionGroups) -> ConditionGroups:
-    """Groups that hold where both do. Raises UnsupportedConditionError for too many."""
-    return _bounded([[*one, *other] for one in first for other in second])
+    """Return the conjunction of groups. Raises UnsupportedConditionError for over MAX_GROUPS groups."""
+    return _bounded([[*left, *right] for left in first for right in second])
 
 
 def _bounded(groups: ConditionGroups) -> ConditionGroups:
@@ -60,14 +63,14 @@
 
 
 def _range_of(operator: str, number: int) -> str | None:
-    """The range LOW:HIGH that an operator and a number stand for; None for an empty one."""
+    """Return the range LOW:HIGH of an operator other than `eq` and a number; None for an empty range."""
     if operator == "lt":
         return f":{number - 1}" if number else None
     return {"ge": f"{number}:", "gt": f"{number + 1}:", "le": f":{number}"}[operator]
 
 
 def _parse_ranges(statement: Statement, words: list[str]) -> list[str]:
-    """Numbers with operators as ranges; none where no number can fit."""
+    """Convert numbers with operators to ranges. The result is empty if no number can match."""
     ranges: list[str] = []
     operator = "eq"
     for word in words:
@@ -75,15 +78,15 @@
             operator = word
             continue
         if not re.fullmatch(r"\d*:?\d*", word) or word in ("", ":"):
-            raise statement.error(f"{word!r} is no number or range")
+            raise statement.error(f"{word!r} is not a number or range")
         if operator == "eq":
             ranges.append(word)
             continue
         if not word.isdecimal():
-            raise statement.error(f"{operator} wants a number, not {word!r}")
-        one_range = _range_of(operator, int(word))
-        if one_range is not None:
-            ranges.append(one_range)
+            raise statement.error(f"{operator} requires a number, not {word!r}")
+        converted_range = _range_of(operator, int(word))
+        if converted_range is not None:
+            ranges.append(converted_range)
     if not ranges and not any(word in OPERATORS for word in words):
         raise statement.error("no values to compare with")
     return ranges
@@ -98,14 +101,14 @@
             break
         if flag in FLAGS_WITH_ARGUMENT:
             if not rest:
-                raise statement.error(f"{flag} wants a word behind it")
+                raise statement.error(f"{flag} requires an argument")
             flag = f"{flag} {rest.pop(0)}"
         flags.append(flag)
     return _Criterion(name, flags, rest)
 
 
 def _check_flags(criterion: _Criterion, *supported: str) -> None:
-    """Check that there are no flags but those supported and -u, which has no effect here."""
+    """Raise UnsupportedConditionError for unsupported flags. -u is allowed, as it has no effect here."""
     if any(flag not in supported and not flag.startswith("-u") for flag in criterion.flags):
         raise UnsupportedConditionError(f"{criterion.name} compared by {', '.join(criterion.flags)}")
 
@@ -122,7 +125,7 @@
     if not ranges:
         return NEVER
     if not backend:
-        raise UnsupportedConditionError("nbsrv of the backend at hand")
+        raise UnsupportedConditionError("nbsrv of the current backend")
     return [[{"on": "usable", "pool": backend, "is": ranges}]]
 
 
@@ -134,9 +137,10 @@
 
 
 def parse_criterion(statement: Statement, words: list[str]) -> ConditionGroups:
-    """The groups of an ACL's criterion with its flags and values.
+    """Convert an ACL's criterion with its flags and values to groups.
 
-    Raises UnsupportedConditionError, and HaproxyImportError for what HAProxy would not read either.
+    Raises UnsupportedConditionError for a criterion without an equivalent, and HaproxyImportError for one
+    that is not valid in HAProxy.
     """
     criterion = _split_criterion(statement, words)
     name = criterion.name
@@ -157,16 +161,17 @@
 
 
 class Acls:
-    """The ACLs of a proxy by name. Statements of one name are alternatives."""
+    """The ACLs of a proxy by name. Several statements of the same name are alternatives."""
 
     def __init__(self) -> None:
         self._groups: dict[str, ConditionGroups] = {}
-        self._unsupported: dict[str, str] = {}  # why, by name
+        self._unsupported: dict[str, str] = {}  # reason, by name
 
     def add(self, statement: Statement, arguments: list[str]) -> None:
-        """Add an `acl` statement, of which `arguments` stand behind the keyword.
+        """Add an `acl` statement with its arguments.
 
-        Raises UnsupportedConditionError, as do later conditions that use it, and HaproxyImportError.
+        Raises HaproxyImportError for an invalid statement, and UnsupportedConditionError for one without an
+        equivalent. Conditions that use an unsupported ACL raise UnsupportedConditionError too.
         """
         name, *criterion = arguments
         if not criterion:
@@ -178,7 +183,10 @@
             raise
 
     def find(self, statement: Statement, name: str) -> ConditionGroups:
-        """The groups of the ACL with a name. Raises UnsupportedConditionError and HaproxyImportError."""
+        """Return the groups of an ACL by name.
+
+        Raises UnsupportedConditionError for an unsupported ACL, and HaproxyImportError for an unknown one.
+        """
         if name in self._unsupported:
             raise UnsupportedConditionError(f"acl {name}: {self._unsupported[name]}")
         if name in self._groups:
@@ -190,21 +198,22 @@
         raise statement.error(f"there is no acl {name}")
 
     def parse_condition(self, statement: Statement, words: list[str]) -> ConditionGroups:
-        """The groups of `if ...` or `unless ...`; those that always hold if there are no words.
+        """Convert `if ...` or `unless ...` to groups; without words the groups are always met.
 
-        Raises UnsupportedConditionError and HaproxyImportError.
+        Raises UnsupportedConditionError for a condition without an equivalent, and HaproxyImportError for an
+        invalid one.
         """
         if not words:
             return ALWAYS
         kind, *rest = words
         if kind not in ("if", "unless") or not rest:
-            raise statement.error(f"if or unless, and a condition, in place of {' '.join(words)!r}")
+            raise statement.error(f"expected if or unless and a condition, not {' '.join(words)!r}")
         groups = _ConditionReader(statement, rest, self.find).read()
         return negate(groups) if kind == "unless" else _bounded(groups)
 
 
 class _ConditionReader:
-    """Reads one condition: alternatives joined by `or`, each of terms that must all hold."""
+    """Parses a condition: alternatives joined by `or`, each a conjunction of terms."""
 
     def __init__(
         self,
@@ -216,15 +225,15 @@
         self._words = list(words)
         self._find_acl = find_acl
         self._alternatives: list[ConditionGroups] = []
-        self._terms: list[ConditionGroups] = []  # of the alternative at hand
-        self._is_negated = False  # the term that comes next
+        self._terms: list[ConditionGroups] = []  # of the current alternative
+        self._is_negated = False  # whether the next term is negated
 
     def read(self) -> ConditionGroups:
-        """The groups of all alternatives."""
+        """Return the groups of all alternatives."""
         while self._words:
             self._read_word(self._words.pop(0))
         if not self._terms or self._is_negated:
-            raise self._statement.error("the condition ends in the middle")
+            raise self._statement.error("the condition is incomplete")
         self._end_alternative()
         return [group for alternative in self._alternatives for group in alternative]
 
@@ -240,7 +249,7 @@
         if name:
             self._read_term(name)
         elif not self._words:
-            raise self._statement.error("! has no condition behind it")
+            raise self._statement.error("! has no condition after it")
 
     def _read_term(self, name: str) -> None:
         groups = self._read_anonymous_acl() if name == "{" else self._find_acl(self._statement, name)
--- a/puffindeck/importer/backend.py
+++ b/puffindeck/importer/backend.py
@@ -1,4 +1,4 @@
-"""A backend on its way into a pool: its servers, its tiers of backups and its limits."""
+"""Reads a backend section, which becomes a pool: servers, tiers of backups and limits."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from puffindeck.importer.statement import Statement
 from puffindeck.importer.values import MAX_PORT, parse_endpoint, parse_integer, parse_time_ms
 
-HASHED_BALANCES = ("source", "uri", "url_param", "hdr", "hash", "rdp-cookie")  # they place by a key
+HASHED_BALANCES = ("source", "uri", "url_param", "hdr", "hash", "rdp-cookie")  # algorithms that hash a key
 MIN_ARGUMENTS = {
     "server": 2,
     "server-template": 3,
@@ -23,29 +23,29 @@
     "balance": 1,
     "fullconn": 1,
 }
-DEFAULT_RETRIES = 3  # HAProxy's own
+DEFAULT_RETRIES = 3  # HAProxy's default
 MAX_RETRIES = 100
-MAX_HASH_BALANCE_FACTOR = 65535  # percent
-READ_TIMEOUTS = ("connect", "server")
-NO_SLOW_START_MS = -1.0
+MAX_HASH_BALANCE_FACTOR = 65535  # percent of the mean load
+SERVER_TIMEOUTS = ("connect", "server")
+UNSET_SLOW_START_MS = -1.0
 
 
 class Backend:
-    """A backend or listen section: what it says of its servers."""
+    """The servers and server settings of a backend or listen section."""
 
     def __init__(self, section: Section, report: ImportReport, states: dict[ServerKey, ServerState]) -> None:
         self.section = section
         self.name = section.name
         self.servers: list[Server] = []
-        self.is_hashed = False  # placed by a key
-        self.is_consistent = False
-        self.has_all_backups = False  # whether all backups are in use together
-        self.bound = 0.0  # times the mean load; 0: not set
-        self.timeouts_ms: dict[str, float] = {}  # `connect` and `server`
+        self.is_hashed = False  # whether connections are placed by the hash of a key
+        self.is_consistent = False  # whether the hash is consistent
+        self.uses_all_backups = False  # whether all backups form one tier (`option allbackups`)
+        self.load_bound = 0.0  # multiple of the mean load; 0: not set
+        self.timeouts_ms: dict[str, float] = {}  # by kind: `connect` or `server`
         self.attempts = DEFAULT_RETRIES + 1
-        self.slow_start_ms = NO_SLOW_START_MS
+        self.slow_start_ms = UNSET_SLOW_START_MS
         self._report = report
-        self._states = states  # of all servers; those that are used are taken out
+        self._unused_states = states  # of all servers; shared by backends, which remove the states they apply
         self._default_options = ServerOptions()
         self._server_names: set[str] = set()
         self._readers: dict[str, Callable[[Statement, list[str]], None]] = {
@@ -61,40 +61,41 @@
         }
 
     def read(self, statement: Statement) -> bool:
-        """Read a statement if it concerns servers; False for others.
+        """Read a statement about servers. Returns False, and does nothing, for any other statement.
 
-        Raises HaproxyImportError for one that cannot be read.
+        Raises HaproxyImportError for an invalid statement.
         """
         keyword, *arguments = statement.words
         if len(arguments) < MIN_ARGUMENTS.get(keyword, 0):
-            raise statement.error(f"{keyword}: something is missing")
+            raise statement.error(f"{keyword}: an argument is missing")
         if keyword in ("no", "default") and arguments[:2] == ["option", "allbackups"]:
-            self.has_all_backups = False
+            self.uses_all_backups = False
             self._record_carried(statement)
             return True
         if keyword == "option" and arguments[:1] == ["allbackups"]:
-            self.has_all_backups = True
-            self._record_carried(statement, "all backups stand in together")
+            self.uses_all_backups = True
+            self._record_carried(statement, "all backups are used together")
             return True
         if keyword not in self._readers:
             return False
-        if keyword == "timeout" and arguments[0] not in READ_TIMEOUTS:
+        if keyword == "timeout" and arguments[0] not in SERVER_TIMEOUTS:
             return False
         self._readers[keyword](statement, arguments)
         return True
 
     def tiers(self, uid: Callable[[Server], str]) -> list[list[str]]:
-        """The uids of servers by tier. Without `allbackups` each backup is a tier, in their order.
+        """Return the uids of servers by tier.
 
-        Where all servers are backups, those that HAProxy would use first are the first tier.
+        Without `allbackups` each backup is a tier of its own, in the order of the statements. If all servers
+        are backups, the first tier has the backups that HAProxy would use first.
         """
         primaries = [uid(server) for server in self.servers if not server.is_backup]
         backups = [uid(server) for server in self.servers if server.is_backup]
-        backup_tiers = [backups] if self.has_all_backups else [[backup] for backup in backups]
+        backup_tiers = [backups] if self.uses_all_backups else [[backup] for backup in backups]
         return [tier for tier in (primaries, *backup_tiers) if tier]
 
     def needs_pool(self) -> bool:
-        """Whether a plain list of servers cannot stand for it."""
+        """Return whether the backend needs a pool, because a list of servers cannot express its settings."""
         return any(server.is_backup or server.maxconn for server in self.servers)
 
     def _record_carried(self, statement: Statement, note: str = "") -> None:
@@ -103,22 +104,24 @@
     def _record_changed(self, statement: Statement, note: str) -> None:
         self._report.record(statement.location, Disposition.CHANGED, note)
 
-    # How connections are placed, and their limits
+    # Placement of connections, and limits
 
     def _read_balance(self, statement: Statement, arguments: list[str]) -> None:
         algorithm = arguments[0]
         self.is_hashed = algorithm.split("(")[0] in HASHED_BALANCES
         note = "connections are placed by their keys' hash"
         if self.is_hashed:
-            note = "the key is the one that the client's first line has"
+            note = "the key is taken from the client's first line"
         self._record_changed(statement, f"balance {algorithm}: {note}")
 
     def _read_hash_type(self, statement: Statement, arguments: list[str]) -> None:
         self.is_consistent = arguments[0] == "consistent"
         if not self.is_consistent:
-            self._record_changed(statement, f"hash-type {arguments[0]}: it is consistent here")
+            self._record_changed(statement, f"hash-type {arguments[0]}: the hash is always consistent here")
         elif len(arguments) > 1:
-            self._record_changed(statement, f"hash function {arguments[1]}: the one of the design")
+            self._record_changed(
+                statement, f"hash function {arguments[1]}: not used, as the hash function is fixed here"
+            )
         else:
             self._record_carried(statement)
 
@@ -126,9 +129,9 @@
         percent = parse_integer(statement, arguments[0], 0, MAX_HASH_BALANCE_FACTOR)
         if 0 < percent <= 100:
             raise statement.error("hash-balance-factor must be 0 or over 100")
-        self.bound = percent / 100
+        self.load_bound = percent / 100
         if percent:
-            self._record_carried(statement, f"bound = {self.bound:g}")
+            self._record_carried(statement, f"bound = {self.load_bound:g}")
         else:
             self._record_changed(statement, "hash-balance-factor 0: load is always bounded here")
 
@@ -138,7 +141,9 @@
         if kind == "connect":
             self._record_carried(statement, "settings.limits.connectTimeoutMs")
         else:
-            note = "the class's hardLimitMs: until a connection stands, not while it does"
+            note = (
+                "the class's hardLimitMs: bounds the time until a connection is established, not its duration"
+            )
             self._record_changed(statement, note)
 
     def _read_retries(self, statement: Statement, arguments: list[str]) -> None:
@@ -150,7 +155,7 @@
             self.attempts = 1
             self._record_carried(statement, "one attempt")
         elif arguments == ["conn-failure"]:
-            note = "a host that answers with an error, or not at all, is followed by another too"
+            note = "another host is also tried after a host that answers with an error or not at all"
             self._record_changed(statement, note)
         else:
             record_keyword(self._report, "proxy", statement)
@@ -166,7 +171,7 @@
 
     def _reserve_name(self, statement: Statement, name: str) -> None:
         if name in self._server_names:
-            raise statement.error(f"server {name} stands twice")
+            raise statement.error(f"server {name} is already defined")
         self._server_names.add(name)
 
     def _read_server(self, statement: Statement, arguments: list[str]) -> None:
@@ -174,7 +179,7 @@
         endpoint = parse_endpoint(statement, address)
         self._reserve_name(statement, name)
         if endpoint is None:
-            note = f"{address} is no address and port: left out"
+            note = f"{address} is not an address and port: the server is left out"
             self._report.record(statement.location, Disposition.TRAFFIC, note)
             return
         self._record_carried(statement)
@@ -187,7 +192,7 @@
         last = parse_integer(statement, high if dash else low, first, MAX_PORT)
         endpoint = parse_endpoint(statement, address)
         if endpoint is None:
-            note = f"{address} is no address and port: names are not looked up here"
+            note = f"{address} is not an address and port: names are not looked up here"
             self._report.record(statement.location, Disposition.TRAFFIC, note)
             return
         options = self._read_options(statement, words)
@@ -195,7 +200,7 @@
             name = f"{prefix}{number}"
             self._reserve_name(statement, name)
             self._add_server(statement, name, endpoint, options)
-        note = f"{last + 1 - first} servers at one address, as the template has it"
+        note = f"{last + 1 - first} servers at one address, as the template says"
         self._record_changed(statement, note)
 
     def _add_server(self, statement: Statement, name: str, endpoint: str, options: ServerOptions) -> None:
@@ -209,7 +214,7 @@
         )
         if options.slowstart_ms:
             self.slow_start_ms = max(self.slow_start_ms, options.slowstart_ms)
-        state = self._states.pop(ServerKey(self.name, name), None)
+        state = self._unused_states.pop(ServerKey(self.name, name), None)
         if state is not None:
             self._apply_state(statement, server, state)
         self.servers.append(server)
@@ -217,5 +222,5 @@
     def _apply_state(self, statement: Statement, server: Server, state: ServerState) -> None:
         server.weight = state.weight
         if state.is_draining and not server.is_draining:
-            self._record_changed(statement, "drains, as the state file has it")
+            self._record_changed(statement, "drains, as the state file says")
         server.is_draining = server.is_draining or state.is_draining
--- a/puffindeck/importer/conditional_blocks.py
+++ b/puffindeck/importer/conditional_blocks.py
@@ -1,4 +1,4 @@
-"""Conditional parts of a file: `.if`, `.elif`, `.else`, `.endif`, and their conditions (manual, 2.4)."""
+"""Conditional blocks of a file: `.if`, `.elif`, `.else`, `.endif`, and their conditions (manual, 2.4)."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from puffindeck.importer.statement import HaproxyImportError, Statement
 
-VERSION = (2, 6)  # the one whose manual the importer goes by
+VERSION = (2, 6)  # HAProxy version whose manual the importer follows
 TOKEN = re.compile(r"\s*(\|\||&&|!|\(|\)|[a-z_]+\([^()]*\)|[^\s()!&|]+)")
 PREDICATE = re.compile(r"([a-z_]+)\((.*)\)")
 MESSAGES = (".notice", ".warning", ".diag")
@@ -18,7 +18,7 @@
 
 
 class _Condition:
-    """A condition: terms with `!`, `&&`, `||` and parentheses, read by recursive descent."""
+    """A condition: terms with `!`, `&&`, `||` and parentheses, evaluated by recursive descent."""
 
     def __init__(self, statement: Statement, environment: Mapping[str, str]) -> None:
         self._statement = statement
@@ -26,11 +26,11 @@
         text = " ".join(statement.words[1:])
         self._tokens = TOKEN.findall(text)
         if "".join(self._tokens) != re.sub(r"\s+", "", text):
-            raise statement.error(f"{text!r} is no condition")
+            raise statement.error(f"{text!r} is not a condition")
         self._position = 0
 
     def evaluate(self) -> bool:
-        """Whether the condition is met; an empty one is not."""
+        """Return whether the condition is met. An empty condition is not met."""
         if not self._tokens:
             return False
         is_met = self._disjunction()
@@ -66,7 +66,9 @@
             return int(token) != 0
         match = PREDICATE.fullmatch(token)
         if not match:
-            raise self._statement.error(f"{token!r} is no condition" if token else "a condition is missing")
+            raise self._statement.error(
+                f"{token!r} is not a condition" if token else "a condition is missing"
+            )
         arguments = [argument.strip().strip("\"'") for argument in match[2].split(",")]
         return self._predicate(match[1], arguments)
 
@@ -85,29 +87,29 @@
         if name in ("version_atleast", "version_before") and len(arguments) == 1:
             return self._is_version_at_least(arguments[0]) == (name == "version_atleast")
         raise self._statement.error(
-            f"{name}({', '.join(arguments)}) can't be answered here: write the file out without it"
+            f"{name}({', '.join(arguments)}) is not supported: replace the block by the part that applies"
         )
 
     def _is_version_at_least(self, text: str) -> bool:
         match = re.match(r"(\d+)\.(\d+)", text)
         if not match:
-            raise self._statement.error(f"{text!r} is no version")
+            raise self._statement.error(f"{text!r} is not a version")
         return (int(match[1]), int(match[2])) <= VERSION
 
 
 @dataclass(slots=True)
 class _Block:
-    """An open `.if` and the part of it that is read."""
+    """An open `.if` block and the state of its current part."""
 
-    statement: Statement  # the .if
-    is_active: bool  # whether this part counts
-    any_met: bool  # whether this part or one before it has counted
-    is_outer_active: bool  # whether the blocks around it count
+    statement: Statement  # the .if statement
+    is_active: bool  # whether the current part applies
+    any_met: bool  # whether the current or an earlier part applies
+    is_outer_active: bool  # whether all enclosing blocks apply
     has_else: bool = False
 
 
 class ConditionalBlocks:
-    """Which parts of a file count, statement by statement."""
+    """Tracks which parts of a file apply, while its statements are read in order."""
 
     def __init__(self, environment: Mapping[str, str]) -> None:
         self._environment = environment
@@ -115,17 +117,18 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether what stands here counts."""
+        """Whether the statements at the current position apply."""
         return all(block.is_active for block in self._open)
 
     def read(self, statement: Statement) -> str:
-        """Read a statement that begins with a dot. The result is a note for the report.
+        """Read a statement that begins with a dot. Returns a note for the report.
 
-        Raises HaproxyImportError for one that is out of place, and for `.alert` and `.error` that count.
+        Raises HaproxyImportError for a misplaced statement, and for `.alert` or `.error` in a part that
+        applies.
         """
         keyword = statement.words[0]
         if keyword in MESSAGES:
-            return "a word for the log" if self.is_active else NOT_MET
+            return "a message for the log" if self.is_active else NOT_MET
         if keyword in FATAL_MESSAGES:
             if self.is_active:
                 raise statement.error(" ".join(statement.words[1:]) or keyword)
@@ -134,7 +137,7 @@
             return self._begin(statement)
         if not self._open:
             is_known = keyword in (".elif", ".else", ".endif")
-            raise statement.error(f"{keyword} without .if" if is_known else f"{keyword}: not known")
+            raise statement.error(f"{keyword} without .if" if is_known else f"{keyword}: unknown keyword")
         if keyword == ".endif":
             self._open.pop()
             return "the end of a condition"
@@ -147,15 +150,15 @@
         return MET if is_met else NOT_MET
 
     def _next_part(self, statement: Statement, block: _Block) -> str:
-        """The part that `.elif` or `.else` begins."""
+        """Begin the part after `.elif` or `.else`. Returns a note for the report."""
         keyword = statement.words[0]
         if block.has_else:
-            raise statement.error(f"{keyword} behind .else")
+            raise statement.error(f"{keyword} after .else")
         if keyword not in (".elif", ".else"):
-            raise statement.error(f"{keyword}: not known")
+            raise statement.error(f"{keyword}: unknown keyword")
         is_else = keyword == ".else"
-        may_count = block.is_outer_active and not block.any_met
-        is_met = may_count and (is_else or self._is_met(statement))
+        may_apply = block.is_outer_active and not block.any_met
+        is_met = may_apply and (is_else or self._is_met(statement))
         any_met = block.any_met or is_met
         self._open.append(_Block(block.statement, is_met, any_met, block.is_outer_active, is_else))
         return MET if is_met else NOT_MET
@@ -166,7 +169,7 @@
         return _Condition(statement, self._environment).evaluate()
 
     def end(self, file: str) -> None:
-        """Check at the end of the last file that no block is open. Raises HaproxyImportError."""
+        """Raise HaproxyImportError if a block is still open at the end of the last file."""
         if self._open:
             location = self._open[-1].statement.location
             raise HaproxyImportError(location, f".if is never closed in {file}")
--- a/puffindeck/importer/files.py
+++ b/puffindeck/importer/files.py
@@ -1,4 +1,4 @@
-"""Files of the import command: the sources are read first, and each output is written whole or not at all."""
+"""Reads the source files of the import command, and replaces its output files atomically."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def read_file(path: Path) -> SourceFile:
-    """Read a file. Raises HaproxyImportError for a line that is not UTF-8, and OSError."""
+    """Read a file. Raises HaproxyImportError for a line that is not valid UTF-8, or OSError."""
     octets = path.read_bytes()
     try:
         return SourceFile(str(path), octets.decode())
@@ -22,21 +22,22 @@
 
 
 def read_files(paths: Iterable[Path]) -> list[SourceFile]:
-    """Read files, and of folders their *.cfg by name.
+    """Read files. A folder stands for its *.cfg files in the order of their names.
 
-    Raises HaproxyImportError for a folder without *.cfg and for a line that is not UTF-8, and OSError.
+    Raises HaproxyImportError for a folder without *.cfg files and for a line that is not valid UTF-8, and
+    OSError if a file cannot be read.
     """
     sources: list[SourceFile] = []
     for path in paths:
         files = sorted(path.glob("*.cfg")) if path.is_dir() else [path]
         if not files:
-            raise HaproxyImportError(str(path), "a folder without *.cfg")
+            raise HaproxyImportError(str(path), "the folder has no *.cfg files")
         sources += [read_file(file) for file in files]
     return sources
 
 
 def replace_file(path: Path, content: bytes) -> None:
-    """Write a file whole or not at all: another program reads the old content or the new. Raises OSError."""
+    """Replace a file atomically: other programs read either the old or the new content. Raises OSError."""
     with NamedTemporaryFile(dir=path.parent, prefix=f".{path.name}.", delete=False) as file:
         try:
             file.write(content)
--- a/puffindeck/importer/haproxy.py
+++ b/puffindeck/importer/haproxy.py
@@ -1,11 +1,11 @@
-"""HAProxy's configuration as an operator's file, and a report of what became of each statement."""
+"""Converts HAProxy's configuration to an operator's file, with a report on each statement."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 from typing import Any, NamedTuple
 
-from puffindeck.importer.backend import READ_TIMEOUTS, Backend
+from puffindeck.importer.backend import SERVER_TIMEOUTS, Backend
 from puffindeck.importer.frontend import Frontend
 from puffindeck.importer.import_report import Disposition, ImportReport
 from puffindeck.importer.keywords import record_keyword
@@ -29,7 +29,7 @@
     "fullconn",
     "timeout",
 }
-MAX_MAXCONN = 1 << 20
+MAX_GLOBAL_MAXCONN = 1 << 20
 DESCRIPTORS_PER_CONNECTION = 2
 RESERVED_DESCRIPTORS = 64
 
@@ -37,19 +37,19 @@
 class HaproxyImport(NamedTuple):
     """The result of an import."""
 
-    table: dict[str, Any]  # the operator's file
+    table: dict[str, Any]  # content of the operator's file
     report: ImportReport
 
 
 class _Selection(NamedTuple):
-    """The proxies' sections that are imported, and the others."""
+    """Proxy sections, divided into those that are imported and those that are not."""
 
     selected: list[Section]
     left_out: list[Section]
 
 
 class _Proxy:
-    """A section that is imported: as a frontend, as a backend, or as both."""
+    """A proxy section that is imported as a frontend, as a backend or as both (`listen`)."""
 
     def __init__(self, section: Section, report: ImportReport, states: dict[ServerKey, ServerState]) -> None:
         self.section = section
@@ -79,10 +79,10 @@
             record_keyword(self._report, "proxy", statement)
 
     def _is_for_backends(self, keyword: str, arguments: list[str]) -> bool:
-        """Whether a frontend has a statement that only backends use."""
+        """Return whether this is a frontend and the statement applies to backends only."""
         if self.backend is not None or keyword not in BACKEND_KEYWORDS:
             return False
-        return keyword != "timeout" or arguments[:1] in [[kind] for kind in READ_TIMEOUTS]
+        return keyword != "timeout" or arguments[:1] in [[kind] for kind in SERVER_TIMEOUTS]
 
     def _read_mode(self, statement: Statement, arguments: list[str]) -> None:
         mode = arguments[0] if arguments else ""
@@ -91,14 +91,14 @@
             return
         note = f"no mode {mode} here"
         if mode == "http":
-            note = "no HTTP here: connections are passed on as they are"
+            note = "no HTTP here: connections are forwarded unchanged"
         self._report.record(statement.location, Disposition.TRAFFIC, note)
 
 
 def convert(
     file: str, text: str, backend: str = "", environment: Mapping[str, str] | None = None
 ) -> HaproxyImport:
-    """Import one file. As `convert_files`."""
+    """Import a single file; see `convert_files`."""
     return convert_files([SourceFile(file, text)], backend, environment)
 
 
@@ -108,11 +108,13 @@
     environment: Mapping[str, str] | None = None,
     server_states: SourceFile | None = None,
 ) -> HaproxyImport:
-    """Import files, which are read in their order as one.
+    """Import files as one configuration, in the order given.
 
-    `backend` names the only backend to import, with its frontends; all are imported where it is empty.
-    `environment` has the variables that files name in weak quotes, `server_states` is a file of servers'
-    states. Raises HaproxyImportError, which names file and line of what cannot be read.
+    `backend` selects one backend to import, with its frontends; an empty string selects all. `environment`
+    maps the variables that files may use in weak quotes to their values. `server_states` is a file of server
+    states, as `show servers state` writes it.
+
+    Raises HaproxyImportError, with file and line, for input that cannot be imported.
     """
     report = ImportReport()
     sections = read_sections(files, report, environment or {})
@@ -151,14 +153,14 @@
 
 def _record_left_out(sections: list[Section], report: ImportReport) -> None:
     for section in sections:
-        report.record(section.location, Disposition.TRAFFIC, "not among what is imported")
+        report.record(section.location, Disposition.TRAFFIC, "this section is not imported")
         note = f"{section.kind} {section.name} is not imported"
         for statement in section.statements:
             report.record(statement.location, Disposition.REFUSED, note)
 
 
 def _read_global_sections(sections: list[Section], report: ImportReport) -> int:
-    """Record `global` and `defaults` sections. The result is the descriptor limit, 0 where none is set."""
+    """Record `global` and `defaults` sections. Returns the limit of descriptors, or 0 if none is set."""
     descriptor_limit = 0
     for section in sections:
         if section.kind == "global":
@@ -177,22 +179,22 @@
         if keyword != "maxconn" or not arguments:
             record_keyword(report, "global", statement)
             continue
-        maxconn = parse_integer(statement, arguments[0], 1, MAX_MAXCONN)
+        maxconn = parse_integer(statement, arguments[0], 1, MAX_GLOBAL_MAXCONN)
         descriptor_limit = DESCRIPTORS_PER_CONNECTION * maxconn + RESERVED_DESCRIPTORS
-        note = f"limits.sockets = {descriptor_limit}: two descriptors a connection, and 64"
+        note = f"limits.sockets = {descriptor_limit}: two descriptors per connection, plus 64"
         report.record(statement.location, Disposition.CHANGED, note)
     return descriptor_limit
 
 
 def _record_unused_defaults(section: Section, report: ImportReport) -> None:
-    note = "no section that is imported has these defaults"
+    note = "no imported section uses these defaults"
     for statement in section.statements:
         if report.results[statement.location].disposition is None:
             report.record(statement.location, Disposition.HARMLESS, note)
 
 
 def _check_no_unused_state(states: dict[ServerKey, ServerState]) -> None:
-    """Check that the states of all servers were used. Raises HaproxyImportError."""
+    """Raise HaproxyImportError for a state whose server is not in the configuration."""
     for key, state in states.items():
         problem = f"there is no server {key.backend}/{key.server} in the configuration"
         raise HaproxyImportError(state.location, problem)
@@ -201,20 +203,20 @@
 def _record_empty_backends(proxies: list[_Proxy], report: ImportReport) -> None:
     for proxy in proxies:
         if proxy.section.kind == "backend" and proxy.backend is not None and not proxy.backend.servers:
-            note = "no server of it can be carried over"
+            note = "none of its servers can be imported"
             report.record(proxy.section.location, Disposition.TRAFFIC, note)
 
 
 def _no_backend_error(sections: list[Section], file: str) -> HaproxyImportError:
     locations = [section.location for section in sections if section.kind in ("backend", "listen")]
     location = locations[-1] if locations else file
-    return HaproxyImportError(location, "no backend has a server that can be carried over")
+    return HaproxyImportError(location, "no backend has a server that can be imported")
 
 
 def _record_unhashed_backends(backends: list[Backend], report: ImportReport) -> None:
     for backend in backends:
         if not (backend.is_hashed and backend.is_consistent):
-            note = "it is not placed by a consistent hash; here it will be"
+            note = "HAProxy does not place by a consistent hash in this backend; it is always used here"
             report.record(backend.section.location, Disposition.CHANGED, note)
 
 
--- a/puffindeck/importer/import_report.py
+++ b/puffindeck/importer/import_report.py
@@ -1,4 +1,4 @@
-"""The report of an import: the disposition of each statement. No statement is without one."""
+"""The report of an import, which has a disposition for every statement."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Disposition(StrEnum):
-    """What the import has done with a statement, from the least to the most important for an operator."""
+    """How the import handled a statement, in ascending order of importance to an operator."""
 
-    HARMLESS = "harmless"  # it concerns HAProxy's own process, logs, alerts or checks
-    CARRIED = "carried"  # it means the same here
-    CHANGED = "changed"  # it is here in another way
-    REFUSED = "refused"  # there is no equivalent
-    TRAFFIC = "traffic"  # there is no equivalent, and connections go another way
+    HARMLESS = "harmless"  # concerns only HAProxy's own process, logs, alerts or checks
+    CARRIED = "carried"  # imported with the same meaning
+    CHANGED = "changed"  # the equivalent here works differently
+    REFUSED = "refused"  # no equivalent; traffic is not affected
+    TRAFFIC = "traffic"  # no equivalent, and traffic is affected
 
     @property
     def severity(self) -> int:
@@ -23,13 +23,13 @@
         return _SEVERITIES[self]
 
     @property
-    def shown(self) -> str:
-        """The word in reports: TRAFFIC is shown as refused, with a mark of its own."""
+    def reported_name(self) -> str:
+        """The word used in reports. TRAFFIC is reported as refused, with a separate flag."""
         return Disposition.REFUSED.value if self is Disposition.TRAFFIC else self.value
 
 
 _SEVERITIES = {disposition: severity for severity, disposition in enumerate(Disposition)}
-SHOWN_WORDS = 3  # words of a statement that a line of text has
+MAX_TEXT_LINE_WORDS = 3  # leading words of a statement that a text line quotes
 
 
 @dataclass(slots=True)
@@ -38,28 +38,28 @@
 
     location: str  # FILE:LINE
     words: list[str]
-    disposition: Disposition | None = None  # None: not decided yet
+    disposition: Disposition | None = None  # None: not recorded yet
     notes: list[str] = field(default_factory=list)
 
     def to_json_object(self) -> dict[str, Any]:
-        """The result as the JSON report has it."""
+        """Return the result in the form of the JSON report."""
         disposition = self.disposition
         return {
             "at": self.location,
             "words": self.words,
-            "verdict": disposition.shown if disposition is not None else "",
+            "verdict": disposition.reported_name if disposition is not None else "",
             "says": "; ".join(self.notes),
             "traffic": disposition is Disposition.TRAFFIC,
         }
 
     def text_line(self) -> str:
-        """The result as one line for people."""
-        shown: str = self.disposition or ""
+        """Return the result as a line of the text report."""
+        verdict: str = self.disposition or ""
         if self.disposition is Disposition.TRAFFIC:
-            shown = "refused, traffic is affected"
-        beginning = " ".join(self.words[:SHOWN_WORDS])
+            verdict = "refused, traffic is affected"
+        beginning = " ".join(self.words[:MAX_TEXT_LINE_WORDS])
         notes = f": {'; '.join(self.notes)}" if self.notes else ""
-        return f"{self.location}: {shown}: {beginning}{notes}"
+        return f"{self.location}: {verdict}: {beginning}{notes}"
 
 
 class ImportReport:
@@ -69,11 +69,14 @@
         self.results: dict[str, StatementResult] = {}
 
     def add(self, location: str, words: list[str]) -> None:
-        """Add a statement, whose disposition is recorded later."""
+        """Add a statement without a disposition, which `record` sets later."""
         self.results[location] = StatementResult(location, words)
 
     def record(self, location: str, disposition: Disposition, note: str = "") -> None:
-        """Record the disposition of a statement or of a part of it; the gravest is the statement's."""
+        """Record the disposition of a statement or of a part of it.
+
+        A statement keeps the most severe of the recorded dispositions.
+        """
         result = self.results[location]
         if result.disposition is None or disposition.severity > result.disposition.severity:
             result.disposition = disposition
@@ -81,21 +84,23 @@
             result.notes.append(note)
 
     def without_disposition(self) -> list[StatementResult]:
-        """The statements that have no disposition yet."""
+        """Return the statements that have no disposition yet."""
         return [result for result in self.results.values() if result.disposition is None]
 
     def affects_traffic(self) -> bool:
-        """Whether anything is refused that makes connections go another way."""
+        """Return whether a refused statement affects traffic."""
         return any(result.disposition is Disposition.TRAFFIC for result in self.results.values())
 
     def counts(self) -> Counter[str]:
-        """The number of statements by disposition as shown."""
+        """Return the number of statements by reported disposition."""
         return Counter(
-            result.disposition.shown for result in self.results.values() if result.disposition is not None
+            result.disposition.reported_name
+            for result in self.results.values()
+            if result.disposition is not None
         )
 
     def to_json_object(self) -> dict[str, Any]:
-        """The report for programs: `{"statements": N, "counts": {...}, "verdicts": [...]}`."""
+        """Return the JSON report: `{"statements": N, "counts": {...}, "verdicts": [...]}`."""
         return {
             "statements": len(self.results),
             "counts": dict(self.counts()),
@@ -103,7 +108,7 @@
         }
 
     def text_lines(self, every_statement: bool = False) -> list[str]:
-        """The report for people, a line for each statement: those changed or refused, or all."""
+        """Return the text report, one line per statement: changed and refused statements, or all."""
         return [
             result.text_line()
             for result in self.results.values()
--- a/puffindeck/importer/keywords.py
+++ b/puffindeck/importer/keywords.py
@@ -1,6 +1,6 @@
-"""The table of keywords: the disposition of those that the importer does nothing of its own with.
+"""The keyword table: the dispositions of keywords that have no conversion code in the importer.
 
-It is data, in `keywords.toml` beside this file.
+The table is read from `keywords.toml` in this package.
 """
 
 from __future__ import annotations
@@ -16,11 +16,11 @@
 
 
 class KeywordDisposition(NamedTuple):
-    """What becomes of a keyword."""
+    """The disposition of a keyword, and the note that explains it in the report."""
 
     disposition: Disposition
     note: str
-    argument_count: int = 0  # words that follow it, among the options of a server or bind line
+    argument_count: int = 0  # number of arguments, for an option of a server or bind line
 
 
 def _keyword_disposition(row: list[str | int]) -> KeywordDisposition:
@@ -30,7 +30,10 @@
 
 @cache
 def keyword_table() -> dict[str, dict[str, KeywordDisposition]]:
-    """Dispositions by place (`global`, `proxy`, `server`, `bind`) and keyword, which may end in *."""
+    """Return dispositions by place (`global`, `proxy`, `server`, `bind`) and keyword.
+
+    A keyword that ends in * is a prefix pattern.
+    """
     text = files("puffindeck.importer").joinpath("keywords.toml").read_bytes()
     places = msgspec.toml.decode(text, type=dict[str, dict[str, list[str | int]]])
     return {
@@ -41,9 +44,10 @@
 
 @cache
 def find_keyword(place: str, *words: str) -> KeywordDisposition | None:
-    """The disposition of a statement that begins with these words; None for an unknown keyword.
+    """Return the disposition of a statement that begins with these words; None for an unknown keyword.
 
-    Two words go before one, an exact match before a pattern, and the longest pattern before the others.
+    A match of two words precedes a match of one, an exact match precedes a pattern, and the longest matching
+    pattern precedes shorter ones.
     """
     keywords = keyword_table()[place]
     for candidate in (" ".join(words[:2]), words[0]):
@@ -56,17 +60,20 @@
 
 
 def record_keyword(report: ImportReport, place: str, statement: Statement) -> None:
-    """Record the table's disposition of a statement. With `no` before it, the statement is off there."""
+    """Record the table's disposition of a statement.
+
+    The prefix `no` disables the statement in HAProxy: a keyword without an equivalent then changes nothing.
+    """
     words = statement.words
     is_prefixed = words[0] in ("no", "default") and len(words) > 1
-    is_off = is_prefixed and words[0] == "no"
+    is_disabled = is_prefixed and words[0] == "no"
     if is_prefixed:
         words = words[1:]
     found = find_keyword(place, *words)
     if found is None:
         note = f"{words[0]}: not a keyword that is known here"
         report.record(statement.location, Disposition.TRAFFIC, note)
-    elif is_off and found.disposition in (Disposition.REFUSED, Disposition.TRAFFIC):
-        report.record(statement.location, Disposition.HARMLESS, "off there, and not here at all")
+    elif is_disabled and found.disposition in (Disposition.REFUSED, Disposition.TRAFFIC):
+        report.record(statement.location, Disposition.HARMLESS, "disabled there, and not here at all")
     else:
         report.record(statement.location, found.disposition, found.note)
--- a/puffindeck/importer/lexer.py
+++ b/puffindeck/importer/lexer.py
@@ -1,8 +1,12 @@
-"""HAProxy's lines as words, lossless: what was read can be written back byte for byte. No I/O.
+"""Splits lines of HAProxy's configuration into words, without I/O.
 
-From the configuration manual, 2.2 (quoting and escaping) and 2.3 (environment variables): words stand between
-blanks; `\\` makes the next character plain, or is one of `\\n \\r \\t \\xHH`; strong quotes keep all as it
-is; weak ones know `\\"`, `\\\\`, `\\$` and variables; `#` begins a comment where it stands in no quotes.
+Lexing is lossless: `render` writes the text back byte for byte.
+
+Blanks separate words. `\\` escapes the next character or begins one of `\\n \\r \\t \\xHH`. Strong quotes
+preserve their content. Weak quotes support `\\"`, `\\\\`, `\\$` and variables. An unquoted `#` begins a
+comment.
+
+Source: HAProxy's configuration manual, 2.2 (quoting and escaping) and 2.3 (environment variables).
 """
 
 from __future__ import annotations
@@ -13,17 +17,17 @@
 
 BLANKS = " \t"
 ESCAPES = {"n": "\n", "r": "\r", "t": "\t"}
-PLAIN_IN_WEAK_QUOTES = ('"', "\\", "$")  # behind a \\
+ESCAPABLE_IN_WEAK_QUOTES = ('"', "\\", "$")  # characters that a backslash escapes
 VARIABLE_NAME = "[A-Za-z_.][A-Za-z0-9_.]*"
 VARIABLE = re.compile(
     rf"\$(?:({VARIABLE_NAME})|\{{(?P<name>{VARIABLE_NAME})(?P<list>\[\*\])?(?:-(?P<default>[^}}]*))?\}})"
 )
-MAX_LINE_CHARACTERS = 2048  # HAProxy's own limit by default (LINESIZE)
-MAX_LINE_WORDS = 64  # HAProxy's own limit (MAX_LINE_ARGS)
+MAX_LINE_CHARACTERS = 2048  # HAProxy's default limit (LINESIZE)
+MAX_LINE_WORDS = 64  # HAProxy's limit (MAX_LINE_ARGS)
 
 
 class HaproxySyntaxError(ValueError):
-    """A line that HAProxy would not read either. `location` is FILE:LINE, and the text begins with it."""
+    """A line is not valid in HAProxy's syntax. `location` is FILE:LINE, and the message begins with it."""
 
     def __init__(self, location: str, problem: str) -> None:
         super().__init__(f"{location}: {problem}")
@@ -33,36 +37,36 @@
 
 @dataclass(slots=True)
 class Word:
-    """A word: its text without quotes, escapes and variables, and as it was written."""
+    """A word of a line: its value after quotes, escapes and variables are resolved, and its source text."""
 
     text: str
     raw: str
-    unset: tuple[str, ...] = ()  # variables in it that are not set
+    unset: tuple[str, ...] = ()  # unset variables that the word uses
 
 
 @dataclass(slots=True)
 class Line:
-    """A line of a file: its words, and all that stands between and around them."""
+    """A line of a file: its words, the blanks around them, the comment and the line ending."""
 
     file: str
     number: int
     words: list[Word] = field(default_factory=list)
-    gaps: list[str] = field(default_factory=lambda: [""])  # before each word, and after the last one
+    gaps: list[str] = field(default_factory=lambda: [""])  # blanks before each word, and after the last word
     comment: str = ""
     end: str = "\n"
 
     @property
     def location(self) -> str:
-        """Where it stands, as FILE:LINE."""
+        """The location of the line, as FILE:LINE."""
         return f"{self.file}:{self.number}"
 
     @property
     def texts(self) -> list[str]:
-        """The texts of its words."""
+        """The values of the line's words."""
         return [word.text for word in self.words]
 
     def render(self) -> str:
-        """The line as it was read."""
+        """Return the source text of the line."""
         parts = [gap + word.raw for gap, word in zip(self.gaps, self.words, strict=False)]
         return "".join(parts) + self.gaps[-1] + self.comment + self.end
 
@@ -75,38 +79,38 @@
         self._location = location
         self._text = text
         self._environment = environment
-        self._unset: list[str] = []  # variables of the word at hand
+        self._unset: list[str] = []  # unset variables of the current word
 
     def at_end(self) -> bool:
-        """Whether only a comment or nothing is left."""
+        """Return whether at most a comment remains."""
         return self.position >= len(self._text) or self._text[self.position] == "#"
 
     def read_blanks(self) -> str:
-        """The blanks at this position."""
+        """Consume and return the blanks at the current position."""
         begin = self.position
         while self.position < len(self._text) and self._text[self.position] in BLANKS:
             self.position += 1
         return self._text[begin : self.position]
 
     def read_words(self) -> Iterator[Word]:
-        """The word at this position; several where a variable has a list of words.
+        """Consume the word at the current position, and yield it.
 
-        The first of several has all of what was written.
+        A variable that expands to a list yields several words, the first of which has the whole source text.
         """
         begin = self.position
         self._unset = []
         texts = [""]
         while self.position < len(self._text) and self._text[self.position] not in (*BLANKS, "#"):
-            first, *others = self._read_piece()
+            first, *remaining = self._read_piece()
             texts[-1] += first
-            texts += others
+            texts += remaining
         raw = self._text[begin : self.position]
         yield Word(texts[0], raw, tuple(self._unset))
         for text in texts[1:]:
             yield Word(text, "")
 
     def _read_piece(self) -> list[str]:
-        """A plain character, an escaped one or a quoted part; several texts for a list of words."""
+        """Consume a plain character, an escape or a quoted part. A list of words returns several texts."""
         character = self._text[self.position]
         self.position += 1
         if character == "\\":
@@ -122,7 +126,7 @@
 
     def _read_escape(self) -> str:
         if self.position >= len(self._text):
-            raise self._error("a \\ with nothing behind it")
+            raise self._error("a \\ with nothing after it")
         character = self._text[self.position]
         self.position += 1
         if character != "x":
@@ -142,15 +146,15 @@
         return quoted
 
     def _read_weak_quotes(self) -> list[str]:
-        """The text in weak quotes: one part, or as many as a list of words has."""
+        """Consume a part in weak quotes. Returns one text, or one for each word of a list."""
         parts = [""]
         while self.position < len(self._text):
             if self._text[self.position] == '"':
                 self.position += 1
                 return parts
-            first, *others = self._read_weakly_quoted_piece()
+            first, *remaining = self._read_weakly_quoted_piece()
             parts[-1] += first
-            parts += others
+            parts += remaining
         raise self._error('a " is never closed')
 
     def _read_weakly_quoted_piece(self) -> list[str]:
@@ -162,7 +166,7 @@
             value = self._value_of(variable)
             return (value.split() or [""]) if variable["list"] else [value]
         self.position += 1
-        if character == "\\" and following in PLAIN_IN_WEAK_QUOTES:
+        if character == "\\" and following in ESCAPABLE_IN_WEAK_QUOTES:
             self.position += 1
             return [following]
         if character == "\\" and following in (*ESCAPES, "x"):
@@ -180,7 +184,7 @@
 
 
 def _read_line(line: Line, body: str, environment: Mapping[str, str]) -> None:
-    """Fill a line with the words, gaps and the comment of its text."""
+    """Set the words, gaps and comment of a line from its text without the line ending."""
     if "\0" in body:
         raise HaproxySyntaxError(line.location, "a NUL byte")
     if len(body) > MAX_LINE_CHARACTERS:
@@ -198,21 +202,21 @@
 
 
 def read_lines(file: str, text: str, environment: Mapping[str, str] | None = None) -> list[Line]:
-    """All lines of a file's text. Raises HaproxySyntaxError for the first that cannot be read.
+    """Split a file's text into lines. Raises HaproxySyntaxError for the first invalid line.
 
-    `environment` has the variables that weak quotes name.
+    `environment` maps the variables that may be used in weak quotes to their values.
     """
     lines = []
-    for number, written in enumerate(re.split(r"(?<=\n)", text), 1):
-        if not written:
+    for number, source_line in enumerate(re.split(r"(?<=\n)", text), 1):
+        if not source_line:
             continue
-        body = written.removesuffix("\n").removesuffix("\r")
-        line = Line(file, number, end=written[len(body) :])
+        body = source_line.removesuffix("\n").removesuffix("\r")
+        line = Line(file, number, end=source_line[len(body) :])
         _read_line(line, body, environment or {})
         lines.append(line)
     return lines
 
 
 def render(lines: list[Line]) -> str:
-    """A file's text as it was read."""
+    """Return the source text of a file's lines."""
     return "".join(line.render() for line in lines)
--- a/puffindeck/importer/operator_file.py
+++ b/puffindeck/importer/operator_file.py
@@ -1,4 +1,4 @@
-"""An operator's file, as a table, of the frontends and backends that are imported."""
+"""Builds the content of an operator's file from imported frontends and backends."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from puffindeck.importer.import_report import Disposition, ImportReport
 from puffindeck.importer.server import Server
 
-MAIN_LISTENER = "listen"  # the name of the listener that the key `listen` is, among several
-DEFAULT_LISTEN = "127.0.0.1:5000"  # of a configuration without a frontend
+MAIN_LISTENER = "listen"  # name of the listener of the key `listen`, in conditions of routes
+DEFAULT_LISTEN = "127.0.0.1:5000"  # for a configuration without a frontend
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_DEADLINE_MS = 3000.0
 MAX_LATENCY_OBJECTIVE_MS = 500.0
@@ -25,17 +25,17 @@
 
 
 class _Timeouts(NamedTuple):
-    """The longest timeouts of the backends."""
+    """The longest timeouts of all backends."""
 
     connect_ms: float
     deadline_ms: float
 
 
 class _Routing(NamedTuple):
-    """The routes of all frontends."""
+    """The routes and additional listeners of all frontends."""
 
     routes: list[dict[str, Any]]
-    listeners: dict[str, str]  # HOST:PORT by name, but for the main listener
+    listeners: dict[str, str]  # HOST:PORT by name, without the main listener
 
 
 class _Listener(NamedTuple):
@@ -43,22 +43,22 @@
 
     name: str
     address: str  # HOST:PORT
-    is_main: bool  # whether it is the key `listen`
+    is_main: bool  # whether it becomes the key `listen`
 
 
 class _Uids:
-    """Servers' uids: their names, with the backend's before those that stand in several backends."""
+    """Uids of servers: the server's name, prefixed with the backend's name if it is in several backends."""
 
     def __init__(self, backends: list[Backend]) -> None:
         self._counts = Counter(server.name for backend in backends for server in backend.servers)
 
     def uid(self, backend: Backend, server: Server) -> str:
-        """The uid of a server."""
+        """Return the uid of a server."""
         return server.name if self._counts[server.name] == 1 else f"{backend.name}/{server.name}"
 
 
 def _select_main_backend(frontends: list[Frontend], backends: list[Backend]) -> Backend:
-    """The default backend of the first frontend, or the first backend."""
+    """Return the default backend of the first frontend, or else the first backend."""
     default_rule = frontends[0].default_rule if frontends else None
     for backend in backends:
         if default_rule is not None and backend.name == default_rule.backend:
@@ -67,10 +67,10 @@
 
 
 def _merge_timeouts(backends: list[Backend], report: ImportReport) -> _Timeouts:
-    """The longest timeouts, which hold for all. The report names backends that have others."""
+    """Return the longest timeouts, which apply to all backends. Backends with other values are reported."""
 
     def longest(kind: str, default_ms: float) -> float:
-        """The longest timeout of this kind in ms; `default_ms` if no backend has one."""
+        """Return the longest timeout of this kind in ms; `default_ms` if no backend has one."""
         times = [backend.timeouts_ms[kind] for backend in backends if kind in backend.timeouts_ms]
         return max(times, default=default_ms)
 
@@ -80,7 +80,7 @@
     for backend in backends:
         for kind, longest_ms in (("connect", timeouts.connect_ms), ("server", timeouts.deadline_ms)):
             if backend.timeouts_ms.get(kind, longest_ms) != longest_ms:
-                note = f"timeout {kind} is the same for all: the longest, {longest_ms:g} ms"
+                note = f"timeout {kind} is the same for all backends: the longest, {longest_ms:g} ms"
                 report.record(backend.section.location, Disposition.CHANGED, note)
     return timeouts
 
@@ -126,29 +126,29 @@
 
 
 def _name_listeners(frontends: list[Frontend]) -> list[list[_Listener]]:
-    """The listeners of each frontend. The first of all is the main one."""
+    """Return the listeners of each frontend. The very first listener is the main listener."""
     all_listeners: list[list[_Listener]] = []
     has_main = False
     for frontend in frontends:
         listeners = []
         for number, address in enumerate(frontend.binds, 1):
             section_name = frontend.section.name
-            own_name = section_name if number == 1 else f"{section_name}-{number}"
-            name = own_name if has_main else MAIN_LISTENER
+            additional_name = section_name if number == 1 else f"{section_name}-{number}"
+            name = additional_name if has_main else MAIN_LISTENER
             listeners.append(_Listener(name, address, is_main=not has_main))
             has_main = True
         all_listeners.append(listeners)
     return all_listeners
 
 
-def _build_routing(frontends: list[Frontend], known: set[str]) -> _Routing:
+def _build_routing(frontends: list[Frontend], backend_names: set[str]) -> _Routing:
     is_only = len(frontends) == 1
     addresses: dict[str, str] = {}
     routes: list[dict[str, Any]] = []
     for frontend, listeners in zip(frontends, _name_listeners(frontends), strict=True):
-        addresses.update((one.name, one.address) for one in listeners if not one.is_main)
+        addresses.update((listener.name, listener.address) for listener in listeners if not listener.is_main)
         if is_only or listeners:
-            routes += frontend.routes([one.name for one in listeners], is_only, known)
+            routes += frontend.routes([listener.name for listener in listeners], is_only, backend_names)
     return _Routing(routes, addresses)
 
 
@@ -161,15 +161,15 @@
     if limits:
         pool["server_limits"] = limits
     pool["attempts"] = backend.attempts
-    if backend.bound:
-        pool["bound"] = backend.bound
+    if backend.load_bound:
+        pool["bound"] = backend.load_bound
     if backend.slow_start_ms >= 0:
         pool["warm_ms"] = backend.slow_start_ms
     return pool
 
 
 def _needs_routing(frontends: list[Frontend], backends: list[Backend]) -> bool:
-    """Whether a plain list of servers cannot stand for the configuration."""
+    """Return whether the file needs a routing table, because a list of servers is not sufficient."""
     listeners = sum(len(frontend.binds) for frontend in frontends)
     has_rules = any(frontend.rules for frontend in frontends)
     return len(backends) > 1 or backends[0].needs_pool() or listeners > 1 or has_rules
@@ -192,9 +192,9 @@
 def build_operator_file(
     frontends: list[Frontend], backends: list[Backend], descriptor_limit: int, report: ImportReport
 ) -> dict[str, Any]:
-    """The operator's file as a table; a `descriptor_limit` of 0 leaves the default.
+    """Return the content of the operator's file; a `descriptor_limit` of 0 keeps the default.
 
-    Raises HaproxyImportError for a route to a backend that does not exist.
+    Raises HaproxyImportError for a route to an unknown backend.
     """
     main = _select_main_backend(frontends, backends)
     binds = [address for frontend in frontends for address in frontend.binds]
@@ -208,6 +208,6 @@
     routing = _build_routing(frontends, {backend.name for backend in backends})
     if _needs_routing(frontends, backends):
         table["routing"] = _build_routing_table(frontends, backends, main, routing, uids)
-    elif main.bound:
-        settings["bound"] = main.bound
+    elif main.load_bound:
+        settings["bound"] = main.load_bound
     return table
--- a/puffindeck/importer/sections.py
+++ b/puffindeck/importer/sections.py
@@ -1,4 +1,4 @@
-"""Sections of HAProxy's configuration and their statements."""
+"""Reads the sections of HAProxy's configuration and their statements."""
 
 from __future__ import annotations
 
@@ -13,7 +13,8 @@
 
 PROXY_KINDS = ("frontend", "backend", "listen")
 SECTION_KINDS = ("global", "defaults", *PROXY_KINDS)
-REFUSED_SECTIONS = {  # and why
+# Kinds of sections without an equivalent, and the reason for the report.
+REFUSED_SECTIONS = {
     "userlist": "no HTTP here",
     "peers": "nodes share nothing here",
     "resolvers": "no look-up of names here",
@@ -28,7 +29,7 @@
 
 
 class SourceFile(NamedTuple):
-    """A file and its text."""
+    """The name of a file, for locations, and its text."""
 
     name: str
     text: str
@@ -45,13 +46,13 @@
     defaults: Section | None = None
 
     def all_statements(self) -> list[Statement]:
-        """Its statements behind those of its defaults, so that its own come last."""
+        """Return the inherited statements, followed by the section's own, which override them."""
         inherited = self.defaults.all_statements() if self.defaults else []
         return inherited + self.statements
 
 
 def _unset_variable(line: lexer.Line) -> str:
-    """The first word of a line with a variable that is not set, and the variable's name; else empty."""
+    """Return "WORD: VARIABLE" for the first word with an unset variable; an empty string if there is none."""
     for word in line.words:
         if word.unset:
             return f"{word.raw}: {word.unset[0]}"
@@ -59,7 +60,7 @@
 
 
 def read_statements(file: SourceFile, environment: Mapping[str, str]) -> list[Statement]:
-    """The lines of a file that have words. Raises HaproxyImportError for a line that cannot be read."""
+    """Return the lines of a file that have words. Raises HaproxyImportError for an invalid line."""
     try:
         lines = lexer.read_lines(file.name, file.text, environment)
     except lexer.HaproxySyntaxError as error:
@@ -68,7 +69,7 @@
 
 
 class _SectionReader:
-    """Collects sections from statements in their order."""
+    """Collects sections from statements, which are read in order."""
 
     def __init__(self, report: ImportReport, environment: Mapping[str, str]) -> None:
         self.sections: list[Section] = []
@@ -77,10 +78,10 @@
         self._named_defaults: dict[str, Section] = {}
         self._latest_defaults: Section | None = None
         self._current: Section | None = None
-        self._refusal = ""  # why the section at hand is refused; empty if it is not
+        self._refusal = ""  # reason why the current section is refused; empty if it is not
 
     def read(self, statement: Statement) -> None:
-        """Take a statement into its section and into the report."""
+        """Add a statement to its section and to the report."""
         location = statement.location
         self._report.add(location, statement.words)
         if statement.words[0].startswith("."):
@@ -107,7 +108,7 @@
         elif self._refusal:
             self._report.record(statement.location, Disposition.REFUSED, self._refusal)
         else:
-            raise statement.error(f"{keyword!r} stands in no section that is known")
+            raise statement.error(f"{keyword!r} is not in a known section")
 
     def _begin_section(self, statement: Statement) -> None:
         kind, *arguments = statement.words
@@ -129,23 +130,23 @@
         if not name or kind == "defaults":
             return
         if any(section.kind == kind and section.name == name for section in self.sections):
-            raise statement.error(f"{kind} {name} stands twice")
+            raise statement.error(f"{kind} {name} is already defined")
 
     def _defaults_of(self, statement: Statement, kind: str, arguments: list[str]) -> Section | None:
         if "from" not in arguments[1:]:
             return self._latest_defaults if kind in PROXY_KINDS else None
         position = arguments.index("from") + 1
         if position >= len(arguments) or arguments[position] not in self._named_defaults:
-            raise statement.error("from names no defaults that stand before it")
+            raise statement.error("from must name an earlier defaults section")
         return self._named_defaults[arguments[position]]
 
 
 def read_sections(
     files: Iterable[SourceFile], report: ImportReport, environment: Mapping[str, str]
 ) -> list[Section]:
-    """The sections of files, read one after another, each with the defaults that hold for it.
+    """Read the sections of files in order, each with the defaults section that applies to it.
 
-    All statements are added to the report. Raises HaproxyImportError for what cannot be read.
+    All statements are added to the report. Raises HaproxyImportError for invalid input.
     """
     reader = _SectionReader(report, environment)
     last_file = ""
--- a/puffindeck/importer/server.py
+++ b/puffindeck/importer/server.py
@@ -1,4 +1,4 @@
-"""Servers of a backend and the options of their lines."""
+"""Servers of a backend and the options of `server` statements."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from puffindeck.importer.statement import Statement
 from puffindeck.importer.values import parse_integer, parse_time_ms
 
-NUMBER_LIMITS = {"weight": 256, "maxconn": 1 << 31}  # options that are whole numbers, and their greatest
+NUMBER_LIMITS = {"weight": 256, "maxconn": 1 << 31}  # maximum of each option with a whole number
 OWN_OPTIONS = (*NUMBER_LIMITS, "backup", "disabled", "slowstart")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerOptions:
-    """The options of a server line; those of `default-server` stand for options that it lacks."""
+    """The options of a `server` statement. `default-server` sets the defaults of options that it omits."""
 
     weight: int = 1
     is_backup: bool = False
@@ -37,7 +37,7 @@
     maxconn: int = 0  # 0: no limit
 
     def to_target(self, uid: str) -> dict[str, Any]:
-        """The server's entry in `known.targets`."""
+        """Return the server's entry in `known.targets`."""
         return {
             "uid": uid,
             "endpoint": self.endpoint,
@@ -60,7 +60,7 @@
         self._report = report
 
     def read(self) -> ServerOptions:
-        """The options; what becomes of each is recorded. Raises HaproxyImportError for a bad value."""
+        """Read the options, and report how each is handled. Raises HaproxyImportError for a bad value."""
         while self._words:
             self._read_option(self._words.pop(0))
         return self._options
@@ -89,22 +89,26 @@
             self._options = replace(self._options, weight=number)
             return
         self._options = replace(self._options, maxconn=number)
-        self._record_changed("maxconn: what finds no place is told when to come again, not queued")
+        self._record_changed(
+            "maxconn: a connection over the limit is refused with a time to retry, not queued"
+        )
 
     def _read_disabled(self, is_disabled: bool) -> None:
         self._options = replace(self._options, is_disabled=is_disabled)
         if is_disabled:
-            self._record_changed("disabled: it drains until staff or the list say otherwise")
+            self._record_changed(
+                "disabled: the server drains until an operator or the endpoint list changes its state"
+            )
 
     def _read_slowstart(self) -> None:
         slowstart_ms = parse_time_ms(self._statement, self._next_word())
         self._options = replace(self._options, slowstart_ms=slowstart_ms)
         self._record_changed(
-            f"slowstart: warm_ms = {slowstart_ms:g} for all of the pool, from rules.coldFrom on"
+            f"slowstart: warm_ms = {slowstart_ms:g} for the whole pool, starting at rules.coldFrom"
         )
 
     def _record_other(self, option: str) -> None:
-        """Record an option that nothing is done with, and skip its arguments."""
+        """Record an option that has no conversion code, and skip its arguments."""
         location = self._statement.location
         found = find_keyword("server", option)
         if found is not None:
--- a/puffindeck/importer/statement.py
+++ b/puffindeck/importer/statement.py
@@ -1,4 +1,4 @@
-"""A statement of HAProxy's configuration, and the error that names where it stands."""
+"""A statement of HAProxy's configuration, and the error that reports its location."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class HaproxyImportError(Exception):
-    """The input cannot be imported: change what stands at the location.
+    """The input cannot be imported until the fault at the location is corrected.
 
-    `location` is FILE:LINE, or a path; `problem` says what is wrong there.
+    `location` is FILE:LINE or a path; `problem` describes the fault.
     """
 
     def __init__(self, location: str, problem: str) -> None:
@@ -19,12 +19,12 @@
 
 @dataclass(slots=True)
 class Statement:
-    """A statement and where it stands."""
+    """A configuration statement and its location."""
 
     location: str  # FILE:LINE
     words: list[str]
-    unset_variable: str = ""  # the first word with a variable that is not set, and the variable's name
+    unset_variable: str = ""  # "WORD: VARIABLE" for the first word with an unset variable; empty if none
 
     def error(self, problem: str) -> HaproxyImportError:
-        """An error at this statement."""
+        """Return an error at this statement's location."""
         return HaproxyImportError(self.location, problem)
--- a/puffindeck/importer/values.py
+++ b/puffindeck/importer/values.py
@@ -1,4 +1,4 @@
-"""Values in statements: times, whole numbers and addresses, as the manual has them."""
+"""Parses values of statements: times, whole numbers and addresses, as HAProxy's manual defines them."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 
 
 def parse_time_ms(statement: Statement, text: str) -> float:
-    """Milliseconds of a whole number with a unit; without one it is in milliseconds.
+    """Return the milliseconds of a time: a whole number with a unit, by default in milliseconds.
 
-    Raises HaproxyImportError for anything else.
+    Raises HaproxyImportError for any other text.
     """
     match = re.fullmatch(r"(\d+)(us|ms|s|m|h|d|)", text)
     if not match:
-        raise statement.error(f"{text!r} is no time")
+        raise statement.error(f"{text!r} is not a time")
     return int(match[1]) * UNITS_MS[match[2]]
 
 
 def parse_integer(statement: Statement, text: str, low: int, high: int) -> int:
-    """A whole number from `low` to `high`. Raises HaproxyImportError for anything else."""
+    """Parse a whole number from `low` to `high`. Raises HaproxyImportError for any other text."""
     if not text.isdecimal() or not low <= int(text) <= high:
-        raise statement.error(f"{text!r} is no whole number from {low} to {high}")
+        raise statement.error(f"{text!r} is not a whole number from {low} to {high}")
     return int(text)
 
 
 def parse_endpoint(statement: Statement, text: str) -> str | None:
-    """ADDRESS:PORT as an operator's file has it; None for a name or a path, which it cannot have.
+    """Return ADDRESS:PORT in the form of an operator's file.
 
+    The result is None for a host name or a path, which an operator's file does not support.
     Raises HaproxyImportError for a port that is not from 1 to 65535.
     """
     host, _, port = re.sub(r"^(ipv4|ipv6|inet)@", "", text).rpartition(":")
