--- a/tests/cli/__init__.py
+++ b/tests/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of command line."""
+"""Tests of puffindeck.cli."""
--- a/tests/cli/test_commands.py
+++ b/tests/cli/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands: their output, files and exit codes."""
+"""The commands: output, files and exit codes."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 COMMAND = ("-m", "puffindeck.cli", "import", "haproxy")
 
 
-def test_the_command_says_what_it_is() -> None:
-    """Also where the package is not installed but run from its folder."""
+def test_version_and_help_are_printed_without_installation() -> None:
+    """The package is run from its folder, where it need not be installed."""
     command = (sys.executable, "-m", "puffindeck.cli")
-    for word, said in (("--version", "0.1.0"), ("--help", "import"), ("import", "haproxy")):
-        done = subprocess.run([*command, word], capture_output=True, text=True, cwd=ROOT)
-        assert said in done.stdout + done.stderr, done.stderr
+    for argument, expected in (("--version", "0.1.0"), ("--help", "import"), ("import", "haproxy")):
+        done = subprocess.run([*command, argument], capture_output=True, text=True, cwd=ROOT)
+        assert expected in done.stdout + done.stderr, done.stderr
     done = subprocess.run([*command, "check", "no-such-file"], capture_output=True, text=True, cwd=ROOT)
     assert (done.returncode, "no-such-file" in done.stderr) == (2, True)
 
 
-def test_files_are_read_as_one_and_accounted_for_by_their_names(tmp_path: Path) -> None:
+def test_files_of_a_folder_are_imported_as_one_and_reported_by_name(tmp_path: Path) -> None:
     (tmp_path / "10-defaults.cfg").write_text("defaults\n mode tcp\n timeout connect 100ms\n")
     (tmp_path / "20-boxes.cfg").write_text(BACKENDS)
     out, report = tmp_path / "o.toml", tmp_path / "r.json"
@@ -39,9 +39,9 @@
         cwd=ROOT,
     )
     assert done.returncode == 0, done.stderr
-    told = json.loads(report.read_text())
-    assert told["statements"] == len(told["verdicts"]) == 7
-    assert {v["at"].rpartition("/")[2].partition(":")[0] for v in told["verdicts"]} == {
+    report_content = json.loads(report.read_text())
+    assert report_content["statements"] == len(report_content["verdicts"]) == 7
+    assert {v["at"].rpartition("/")[2].partition(":")[0] for v in report_content["verdicts"]} == {
         "10-defaults.cfg",
         "20-boxes.cfg",
     }
@@ -54,16 +54,16 @@
     assert (checked.returncode, "routing.pools.b: why" in checked.stderr) == (2, True), checked.stderr
 
 
-class CommandStories(TestCase):
-    """The command's ends."""
+class ExitCodeTests(TestCase):
+    """Exit codes of the import command."""
 
-    def test_bad_input_ends_it_with_two(self) -> None:
+    def test_missing_input_exits_with_2(self) -> None:
         done = subprocess.run(
             [sys.executable, *COMMAND, "no-such-file"], capture_output=True, text=True, cwd=ROOT
         )
         self.assertEqual((done.returncode, done.stdout), (2, ""))
 
-    def test_a_refusal_that_traffic_feels_is_an_end_of_its_own_and_writes_nothing(self) -> None:
+    def test_strict_exits_with_3_if_traffic_is_affected_and_writes_nothing(self) -> None:
         with TemporaryDirectory() as folder:
             source, out = Path(folder, "h.cfg"), Path(folder, "o.toml")
             out.write_text("as it was")
--- a/tests/importer/__init__.py
+++ b/tests/importer/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of importer."""
+"""Tests of puffindeck.importer."""
--- a/tests/importer/configurations.py
+++ b/tests/importer/configurations.py
@@ -1,4 +1,4 @@
-"""Configurations that several tests of the importer begin with."""
+"""HAProxy configurations that several tests share."""
 
 from __future__ import annotations
 
--- a/tests/importer/test_acl.py
+++ b/tests/importer/test_acl.py
@@ -1,4 +1,4 @@
-"""ACLs and the conditions made of them, as groups of route conditions."""
+"""Conversion of ACLs and conditions to groups of route conditions."""
 
 from __future__ import annotations
 
@@ -15,16 +15,17 @@
 WEB = {"on": "port", "is": ["80", "8000:8099"]}
 
 
-def groups(text: str, *acls: str) -> Any:
-    known = acl.Acls()
-    for one in acls:
-        with suppress(acl.UnsupportedConditionError):  # the condition that uses it has to raise it again
-            known.add(STATEMENT, one.split())
-    return known.parse_condition(STATEMENT, text.split())
+def convert_condition(text: str, *acl_definitions: str) -> Any:
+    """Convert a condition that may use these ACLs to groups."""
+    acls = acl.Acls()
+    for definition in acl_definitions:
+        with suppress(acl.UnsupportedConditionError):  # a condition that uses the ACL must raise it again
+            acls.add(STATEMENT, definition.split())
+    return acls.parse_condition(STATEMENT, text.split())
 
 
 @pytest.mark.parametrize(
-    ("text", "made"),
+    ("text", "expected"),
     [
         ("", [[]]),
         ("if near", [[NEAR]]),
@@ -46,12 +47,12 @@
         ("if both", [[NEAR], [{"on": "source", "is": ["::1"]}]]),
     ],
 )
-def test_conditions_become_groups(text: str, made: Any) -> None:
+def test_condition_is_converted_to_groups(text: str, expected: Any) -> None:
     assert (
-        groups(
+        convert_condition(
             text, "near src 10.0.0.0/8", "web dst_port 80 8000:8099", "both src -n 10.0.0.0/8", "both src ::1"
         )
-        == made
+        == expected
     )
 
 
@@ -71,9 +72,9 @@
         "if { }",
     ],
 )
-def test_a_condition_that_haproxy_would_not_read_is_an_error(text: str) -> None:
+def test_invalid_condition_raises_an_error_with_its_location(text: str) -> None:
     with pytest.raises(HaproxyImportError, match=r"^h\.cfg:1: "):
-        groups(text, "near src 10.0.0.0/8")
+        convert_condition(text, "near src 10.0.0.0/8")
 
 
 @pytest.mark.parametrize(
@@ -87,11 +88,11 @@
         "if odd",
     ],
 )
-def test_what_is_not_known_of_a_connection_is_said_to_be(text: str) -> None:
+def test_condition_without_equivalent_raises_unsupported(text: str) -> None:
     with pytest.raises(acl.UnsupportedConditionError):
-        groups(text, "odd hdr(host) -i a.example")
+        convert_condition(text, "odd hdr(host) -i a.example")
 
 
-def test_an_acl_that_is_not_supported_says_so_when_it_is_added() -> None:
+def test_adding_an_unsupported_acl_raises_unsupported() -> None:
     with pytest.raises(acl.UnsupportedConditionError, match=r"^hdr\(host\): nothing that is known"):
         acl.Acls().add(STATEMENT, ["odd", "hdr(host)", "a.example"])
--- a/tests/importer/test_backend.py
+++ b/tests/importer/test_backend.py
@@ -1,11 +1,11 @@
-"""Backends: their servers, tiers and uids."""
+"""Backends: servers, tiers and uids."""
 
 from __future__ import annotations
 
 from puffindeck.importer import haproxy
 
 
-def test_servers_of_one_name_and_templates_and_backups_alone() -> None:
+def test_pools_of_duplicate_names_templates_and_only_backups() -> None:
     table, _ = haproxy.convert(
         "h.cfg",
         "backend a\n server x 127.0.0.1:1 backup\n server z 127.0.0.1:3 backup\n"
--- a/tests/importer/test_conditional_blocks.py
+++ b/tests/importer/test_conditional_blocks.py
@@ -1,4 +1,4 @@
-"""Conditional parts of a file."""
+"""Conditional blocks of a file."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
         ("version_atleast(2.7)", False),
     ],
 )
-def test_parts_count_by_their_conditions(condition: str, met: bool) -> None:
-    one, other = BACKENDS.split("backend b")[0], "backend b" + BACKENDS.split("backend b")[1]
-    text = f".if {condition}\n{one}.else\n{other}.endif\n"
+def test_part_applies_if_its_condition_is_met(condition: str, met: bool) -> None:
+    backend_a, backend_b = BACKENDS.split("backend b")[0], "backend b" + BACKENDS.split("backend b")[1]
+    text = f".if {condition}\n{backend_a}.else\n{backend_b}.endif\n"
     table, report = haproxy.convert("h.cfg", text, environment={"SITE": "atlanta"})
     assert table["name"] == ("a" if met else "b")
     assert not report.without_disposition()
 
 
-def test_a_part_that_does_not_count_may_name_what_is_not_set() -> None:
+def test_unset_variable_is_allowed_in_a_part_that_does_not_apply() -> None:
     haproxy.convert("h.cfg", '.if 0\nbackend c\n server z "${NOBODY}"\n.if 1\n.endif\n.endif\n' + BACKENDS)
--- a/tests/importer/test_frontend.py
+++ b/tests/importer/test_frontend.py
@@ -1,4 +1,4 @@
-"""Frontends: their listeners, and the routes to backends."""
+"""Frontends: listeners, and routes to backends."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from tests.importer.configurations import BACKENDS
 
 
-def test_every_option_of_a_bind_has_its_word() -> None:
+def test_every_option_of_a_bind_statement_has_a_note() -> None:
     _, report = haproxy.convert(
         "h.cfg", "frontend f\n bind :7 name x crt /etc/y ssl teleport\n default_backend a\n" + BACKENDS
     )
     entry = report.results["h.cfg:2"]
     assert entry.disposition == "traffic"
-    assert [says.split(":")[0] for says in entry.notes] == ["name", "crt", "ssl", "teleport"]
+    assert [note.split(":")[0] for note in entry.notes] == ["name", "crt", "ssl", "teleport"]
 
 
-def test_a_route_that_cannot_be_told_affects_traffic_and_the_others_stay() -> None:
+def test_unsupported_route_affects_traffic_and_other_routes_are_imported() -> None:
     text = (
         "frontend f\n bind :7\n use_backend a if { req.ssl_sni x }\n use_backend b if { src 10.0.0.1 }\n"
         " default_backend a\n" + BACKENDS
--- a/tests/importer/test_haproxy.py
+++ b/tests/importer/test_haproxy.py
@@ -1,4 +1,4 @@
-"""The import of whole configurations: an operator's file that the node reads, or an error."""
+"""Import of whole configurations: an operator's file that the node can load, or an error."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).parents[2]
 COMMAND = ("-m", "puffindeck.cli", "import", "haproxy")
-GOOD = """\
+SAMPLE = """\
 global
     maxconn 2000
     log /dev/log local0
@@ -46,8 +46,8 @@
 """
 
 
-def test_all_that_counts_is_carried_over_and_the_rest_named(tmp_path: Path) -> None:
-    (tmp_path / "h.cfg").write_text(GOOD)
+def test_supported_statements_are_imported_and_others_are_reported(tmp_path: Path) -> None:
+    (tmp_path / "h.cfg").write_text(SAMPLE)
     done = subprocess.run(
         [
             sys.executable,
@@ -65,21 +65,21 @@
     assert done.returncode == 0, done.stderr
     report = json.loads((tmp_path / "r.json").read_text())
     verdicts = {int(v["at"].rsplit(":", 1)[1]): v for v in report["verdicts"]}
-    assert sorted(verdicts) == list(range(1, GOOD.count("\n") + 1))  # each statement once
+    assert sorted(verdicts) == list(range(1, SAMPLE.count("\n") + 1))  # each statement once
     refused = [line for line, v in verdicts.items() if v["verdict"] == "refused"]
     assert refused == [20, 23, 24]
     assert [line for line, v in verdicts.items() if v["traffic"]] == [20, 23, 24]
     assert verdicts[20]["says"] == "ssl: no TLS towards servers; verify: no TLS towards servers"
     assert (verdicts[3]["verdict"], verdicts[7]["verdict"]) == ("harmless", "changed")
     assert "h.cfg:20: refused, traffic is affected: server b" in done.stderr
-    told = config.load_node_config({}, str(tmp_path / "o.toml"))
-    assert told.listen == ("127.0.0.1", 7000)
-    assert told.max_descriptors == 4064
-    assert told.settings.max_attempts == 3
-    assert told.settings.connect_timeout_ms == 300
-    assert told.settings.classes[0].deadline_ms == 3000
-    assert told.settings.bound == 1.5
-    assert [(t.uid, t.endpoint, t.capacity_hint, t.state) for t in told.file_endpoints.targets] == [
+    imported = config.load_node_config({}, str(tmp_path / "o.toml"))
+    assert imported.listen == ("127.0.0.1", 7000)
+    assert imported.max_descriptors == 4064
+    assert imported.settings.max_attempts == 3
+    assert imported.settings.connect_timeout_ms == 300
+    assert imported.settings.classes[0].deadline_ms == 3000
+    assert imported.settings.bound == 1.5
+    assert [(t.uid, t.endpoint, t.capacity_hint, t.state) for t in imported.file_endpoints.targets] == [
         ("a", "127.0.0.1:6001", 50, "SERVING"),
         ("b", "127.0.0.1:6002", 100, "SERVING"),
         ("c", "127.0.0.1:6003", 1, "DRAINING"),
@@ -103,7 +103,7 @@
         ("backend\n", 1),
     ],
 )
-def test_bad_input_is_named_by_file_and_line(text: str, line: int) -> None:
+def test_error_for_invalid_input_has_file_and_line(text: str, line: int) -> None:
     with pytest.raises(haproxy.HaproxyImportError, match=rf"^h\.cfg:{line}: "):
         haproxy.convert("h.cfg", text)
 
@@ -126,15 +126,15 @@
         ("backend a\n server-template x 3-1 127.0.0.1:1\n", 2),
     ],
 )
-def test_errors_name_the_line(text: str, line: int) -> None:
+def test_error_for_invalid_routes_and_blocks_has_file_and_line(text: str, line: int) -> None:
     with pytest.raises(haproxy.HaproxyImportError, match=rf"^h\.cfg:{line}: "):
         haproxy.convert("h.cfg", text)
 
 
-class SelectionStories(TestCase):
-    """Which backends are imported."""
+class BackendSelectionTests(TestCase):
+    """Selection of the backends to import."""
 
-    def test_several_backends_arrive_as_pools_unless_one_is_chosen(self) -> None:
+    def test_all_backends_become_pools_unless_one_is_selected(self) -> None:
         text = "backend a\n server x 127.0.0.1:1\nbackend b\n server y 127.0.0.1:2\n"
         table, report = haproxy.convert("h.cfg", text)
         self.assertEqual(
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -1,4 +1,4 @@
-"""Samples of HAProxy's format, imported, and played against stand-in servers: routes as the original's."""
+"""Routing of a node on imported HAProxy samples, compared with a reference model of HAProxy."""
 
 from __future__ import annotations
 
@@ -17,53 +17,55 @@
 from puffindeck.importer import haproxy
 from puffindeck.net.node import Node as NetNode
 from puffindeck_testing.ports import reserve_port
-from tests.importer.haproxy_reference import Reference, Where
+from tests.importer.haproxy_reference import Connection, Reference
 from tests.support.node_test_case import Listener, NodeTestCase, Peer, PeerFactory, reactor
 
 SAMPLES = Path(__file__).parent / "haproxy"
-BOXES = ("A", "B", "C", "D")
-FRONTS = ("FRONT", "SECOND", "THIRD")
+# Variables of the samples that have the ports of servers and frontends.
+SERVER_VARIABLES = ("A", "B", "C", "D")
+FRONTEND_VARIABLES = ("FRONT", "SECOND", "THIRD")
 
 
-class RouteStories(NodeTestCase):
-    """One sample each, in the states of its servers that matter."""
+class RoutingTests(NodeTestCase):
+    """A test per sample, with some of its servers down where that changes the routing."""
 
-    async def begin(self, name: str, **environment: str) -> Reference:
-        """A node on the imported sample, with a stand-in server at each of its ports."""
-        self.hosts = {box: Listener() for box in BOXES}
+    async def start_node(self, name: str, **environment: str) -> Reference:
+        """Start a node on an imported sample, with a scripted server at each server port."""
+        self.hosts = {variable: Listener() for variable in SERVER_VARIABLES}
         self.request_count = 0
-        ports = [self.hold_port() for _ in FRONTS]
+        ports = [self.reserve_frontend_port() for _ in FRONTEND_VARIABLES]
         self.environment = {
-            **{box: host.address.rpartition(":")[2] for box, host in self.hosts.items()},
-            **{front: str(port) for front, port in zip(FRONTS, ports, strict=True)},
+            **{variable: host.address.rpartition(":")[2] for variable, host in self.hosts.items()},
+            **{frontend: str(port) for frontend, port in zip(FRONTEND_VARIABLES, ports, strict=True)},
             **environment,
         }
         text = (SAMPLES / name).read_text()
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name, "operator.toml")
-        self.bring(name, text)
+        self.import_configuration(name, text)
         with patch.dict(os.environ, {"TMPDIR": folder.name}):
-            told = config.load_node_config(os.environ, str(self.path))
-        self.cls = told.settings.classes[0].name
-        self.node = NetNode(reactor, told, Clock())
+            node_config = config.load_node_config(os.environ, str(self.path))
+        self.class_name = node_config.settings.classes[0].name
+        self.node = NetNode(reactor, node_config, Clock())
         self.node.start()
         self.addCleanup(self.close_all)
         return Reference(text, self.environment)
 
-    def hold_port(self) -> int:
-        """A port for a frontend of a sample, on 127.0.0.1, which is held until the test ends."""
-        held = reserve_port("127.0.0.1")
-        self.addCleanup(held.close)
-        return int(held.getsockname()[1])
+    def reserve_frontend_port(self) -> int:
+        """Return a free port on 127.0.0.1, reserved for a frontend until the test ends."""
+        reservation = reserve_port("127.0.0.1")
+        self.addCleanup(reservation.close)
+        return int(reservation.getsockname()[1])
 
-    def bring(self, name: str, text: str) -> None:
-        """Import a text into the operator's file."""
+    def import_configuration(self, name: str, text: str) -> None:
+        """Import a configuration, and write it to the operator's file."""
         table, self.report = haproxy.convert(name, text, environment=self.environment)
         self.assertEqual(self.report.without_disposition(), [])
         self.path.write_bytes(msgspec.toml.encode(table))
 
     async def close_all(self) -> None:
+        """Close all connections and ports of the node and the servers."""
         peers = [p for host in self.hosts.values() for p in host.peers]
         for transport in [p.transport for p in peers] + [c.transport for c in self.node.connections.clients]:
             transport.abortConnection()
@@ -78,167 +80,184 @@
         )
         self.node.deadlines.clear()
 
-    async def down(self, *boxes: str) -> frozenset[str]:
-        """Stop these servers; their ports."""
-        for box in boxes:
-            for peer in self.hosts[box].peers:
+    async def stop_servers(self, *variables: str) -> frozenset[str]:
+        """Stop the servers at the ports of these variables; return the ports."""
+        for variable in variables:
+            for peer in self.hosts[variable].peers:
                 peer.transport.abortConnection()
-            await maybeDeferred(self.hosts[box].port.stopListening)
-        return frozenset(self.environment[box] for box in boxes)
-
-    async def come(self, source: str = "127.0.0.1", front: str = "FRONT") -> tuple[Peer, Where]:
-        """A client that asks, from an address of its own."""
-        dial = PeerFactory()
-        port = int(self.environment[front])
-        reactor.connectTCP("127.0.0.1", port, dial, bindAddress=(source, 0))
-        peer: Peer = await dial.up
+            await maybeDeferred(self.hosts[variable].port.stopListening)
+        return frozenset(self.environment[variable] for variable in variables)
+
+    async def send_request(
+        self, source: str = "127.0.0.1", frontend: str = "FRONT"
+    ) -> tuple[Peer, Connection]:
+        """Connect a client from a source address to a frontend, and send a request."""
+        factory = PeerFactory()
+        port = int(self.environment[frontend])
+        reactor.connectTCP("127.0.0.1", port, factory, bindAddress=(source, 0))
+        peer: Peer = await factory.up
         self.addCleanup(peer.transport.abortConnection)
         self.request_count += 1
-        line = f"OPEN {self.request_count:016x} {self.request_count * 7919:016x} c={self.cls},d=2000\r\n"
+        line = (
+            f"OPEN {self.request_count:016x} {self.request_count * 7919:016x} c={self.class_name},d=2000\r\n"
+        )
         peer.write(line.encode())
-        here = peer.transport.getHost()
-        return peer, Where(here.host, here.port, port)
-
-    async def served_by(self, source: str = "127.0.0.1", front: str = "FRONT") -> tuple[str, Where, Peer]:
-        """The port of the server that a client is served by, or what it was told instead."""
-        client, where = await self.come(source, front)
-        taken: list[Any] = []
-
-        def look() -> bool:
-            for box in BOXES:
-                accepted = self.hosts[box].accepted
+        local_address = peer.transport.getHost()
+        return peer, Connection(local_address.host, local_address.port, port)
+
+    async def request_server(
+        self, source: str = "127.0.0.1", frontend: str = "FRONT"
+    ) -> tuple[str, Connection, Peer]:
+        """Send a request; return the port of the server that accepts it, or the line that rejects it."""
+        client, connection = await self.send_request(source, frontend)
+        attempts: list[Any] = []
+
+        def has_attempt_or_rejection() -> bool:
+            for variable in SERVER_VARIABLES:
+                accepted = self.hosts[variable].accepted
                 if accepted.pending:
-                    taken.append((box, accepted.pending.pop(0)))
-            return bool(taken) or client.end is not None or bool(client._lines.pending)
+                    attempts.append((variable, accepted.pending.pop(0)))
+            return bool(attempts) or client.end is not None or bool(client._lines.pending)
 
-        await self.wait_until(look, "a server to be reached")
-        if not taken:
-            return (await client.line()).decode(), where, client
-        box, host = taken[0]
+        await self.wait_until(has_attempt_or_rejection, "an attempt at a server or a rejection")
+        if not attempts:
+            return (await client.line()).decode(), connection, client
+        variable, host = attempts[0]
         await host.line()
         host.write(b"UP r\r\n")
         self.assertEqual(await client.line(), b"UP r")
-        return self.environment[box], where, client
+        return self.environment[variable], connection, client
 
     async def compare(
         self,
         reference: Reference,
-        ways: Iterable[tuple[str, str]],
+        origins: Iterable[tuple[str, str]],
         down: frozenset[str] = frozenset(),
         times: int = 12,
     ) -> None:
-        """What is observed is what the original would do: no other server, and each of them."""
-        for source, front in ways:
+        """Check that clients reach exactly the servers that HAProxy could use.
+
+        `origins` has pairs of a source address and a frontend variable. Each sends `times` requests, which
+        must reach every eligible server and no other.
+        """
+        for source, frontend in origins:
             seen = set()
             for _ in range(times):
-                port, where, client = await self.served_by(source, front)
+                port, connection, client = await self.request_server(source, frontend)
                 seen.add(port)
                 client.transport.loseConnection()
-            self.assertEqual(seen, reference.servers(where, down), (source, front, down))
+            self.assertEqual(seen, reference.eligible_servers(connection, down), (source, frontend, down))
 
     async def test_one_backend(self) -> None:
-        reference = await self.begin("01-one-backend.cfg")
+        reference = await self.start_node("01-one-backend.cfg")
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=30)
 
     async def test_weights(self) -> None:
-        reference = await self.begin("02-weights.cfg")
+        reference = await self.start_node("02-weights.cfg")
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=30)
 
-    async def test_a_weight_of_0_and_a_server_disabled_in_the_middle_of_traffic(self) -> None:
-        """What stands stays, nothing new comes, and it is taken back as it was."""
+    async def test_reload_that_sets_weight_0_or_disables_a_server_drains_it(self) -> None:
+        """Established connections stay open. Restored settings let the server receive new connections."""
         name = "02-weights.cfg"
-        reference = await self.begin(name)
-        standing = [(await self.served_by())[2] for _ in range(16)]
+        reference = await self.start_node(name)
+        established = [(await self.request_server())[2] for _ in range(16)]
         text = (SAMPLES / name).read_text()
         for change in (("weight 30", "weight 0"), ('${A}"', '${A}" disabled')):
             changed = text.replace(*change)
             self.assertNotEqual(changed, text)
-            self.bring(name, changed)
-            self.node.reload(lambda told: config.reload_node_config(told, os.environ, str(self.path)))
+            self.import_configuration(name, changed)
+            self.node.reload(lambda current: config.reload_node_config(current, os.environ, str(self.path)))
             await self.compare(Reference(changed, self.environment), [("127.0.0.1", "FRONT")], times=16)
-            self.assertFalse([client for client in standing if client.end is not None])
-        self.bring(name, text)
-        self.node.reload(lambda told: config.reload_node_config(told, os.environ, str(self.path)))
+            self.assertFalse([client for client in established if client.end is not None])
+        self.import_configuration(name, text)
+        self.node.reload(lambda current: config.reload_node_config(current, os.environ, str(self.path)))
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=30)
 
     async def test_backups_in_order(self) -> None:
-        reference = await self.begin("03-backups-in-order.cfg")
+        reference = await self.start_node("03-backups-in-order.cfg")
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=24)
-        down = await self.down("A", "B")
-        await self.settle_on(reference, down)
+        down = await self.stop_servers("A", "B")
+        await self.detect_down_servers(reference, down)
         await self.compare(reference, [("127.0.0.1", "FRONT")], down, times=3)
-        down |= await self.down("C")
-        await self.settle_on(reference, down)
+        down |= await self.stop_servers("C")
+        await self.detect_down_servers(reference, down)
         await self.compare(reference, [("127.0.0.1", "FRONT")], down, times=3)
 
-    async def settle_on(self, reference: Reference, down: frozenset[str]) -> None:
-        """HAProxy's checks find servers down first; here clients do, and none of them is left unserved."""
+    async def detect_down_servers(self, reference: Reference, down: frozenset[str]) -> None:
+        """Send requests until the node detects the down servers; each request must reach an eligible server.
+
+        HAProxy detects down servers by checks, but the node by failed attempts, which it retries.
+        """
         for _ in range(4):
-            port, where, client = await self.served_by()
-            self.assertIn(port, reference.servers(where, down))
+            port, connection, client = await self.request_server()
+            self.assertIn(port, reference.eligible_servers(connection, down))
             client.transport.loseConnection()
 
     async def test_all_backups(self) -> None:
-        reference = await self.begin("04-all-backups.cfg")
+        reference = await self.start_node("04-all-backups.cfg")
         await self.compare(reference, [("127.0.0.1", "FRONT")])
-        down = await self.down("A")
-        await self.settle_on(reference, down)
+        down = await self.stop_servers("A")
+        await self.detect_down_servers(reference, down)
         await self.compare(reference, [("127.0.0.1", "FRONT")], down, times=16)
 
     async def test_sources(self) -> None:
-        reference = await self.begin("05-sources.cfg")
+        reference = await self.start_node("05-sources.cfg")
         sources = ("127.0.0.1", "127.0.0.2", "127.0.0.3", "127.0.1.7", "127.0.1.9", "127.9.9.9")
         await self.compare(reference, [(source, "FRONT") for source in sources])
 
     async def test_two_frontends(self) -> None:
-        reference = await self.begin("06-two-frontends.cfg")
-        await self.compare(reference, [("127.0.0.1", front) for front in FRONTS])
+        reference = await self.start_node("06-two-frontends.cfg")
+        await self.compare(reference, [("127.0.0.1", frontend) for frontend in FRONTEND_VARIABLES])
 
     async def test_ports(self) -> None:
-        reference = await self.begin("07-ports.cfg")
-        ways = [(source, front) for source in ("127.0.0.1", "127.0.5.1") for front in FRONTS[:2]]
-        await self.compare(reference, ways, times=3)
+        reference = await self.start_node("07-ports.cfg")
+        origins = [
+            (source, frontend) for source in ("127.0.0.1", "127.0.5.1") for frontend in FRONTEND_VARIABLES[:2]
+        ]
+        await self.compare(reference, origins, times=3)
 
     async def test_failover_by_count(self) -> None:
-        reference = await self.begin("08-failover-by-count.cfg")
+        reference = await self.start_node("08-failover-by-count.cfg")
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=30)
-        await self.down("A", "B")
-        for _ in range(12):  # clients find them down, one after another
-            _, _, client = await self.served_by()
+        await self.stop_servers("A", "B")
+        for _ in range(12):  # the node detects the down servers by failed attempts of requests
+            _, _, client = await self.request_server()
             client.transport.loseConnection()
-        down = frozenset(self.environment[box] for box in ("A", "B"))
+        down = frozenset(self.environment[variable] for variable in ("A", "B"))
         await self.compare(reference, [("127.0.0.1", "FRONT")], down, times=3)
 
     async def test_limits(self) -> None:
-        reference = await self.begin("09-limits.cfg")
-        seen = [await self.served_by() for _ in range(7)]
-        counts = {port: sum(one[0] == port for one in seen) for port in self.environment.values()}
-        for port, options in reference.up("boxes", frozenset()).items():
-            self.assertEqual(counts[port], int(options["maxconn"]), "full, and no more")
-        self.assertEqual([one[0].split()[0] for one in seen[5:]], ["BUSY", "BUSY"])
-        seen[0][2].transport.loseConnection()
-        await self.wait_until(
-            lambda: len(self.node.engine.established_requests()) == 4, "the room that it leaves"
-        )
-        self.assertEqual((await self.served_by())[0], seen[0][0])
+        reference = await self.start_node("09-limits.cfg")
+        results = [await self.request_server() for _ in range(7)]
+        counts = {port: sum(result[0] == port for result in results) for port in self.environment.values()}
+        for port, options in reference.usable_servers("boxes", frozenset()).items():
+            self.assertEqual(
+                counts[port], int(options["maxconn"]), "the server must be at its limit, and not over it"
+            )
+        self.assertEqual([result[0].split()[0] for result in results[5:]], ["BUSY", "BUSY"])
+        results[0][2].transport.loseConnection()
+        await self.wait_until(lambda: len(self.node.engine.established_requests()) == 4, "the released slot")
+        self.assertEqual((await self.request_server())[0], results[0][0])
 
     async def test_defaults_overridden(self) -> None:
-        reference = await self.begin("10-defaults-overridden.cfg")
+        reference = await self.start_node("10-defaults-overridden.cfg")
         self.assertEqual(self.node.config.settings.classes[0].deadline_ms, 2000)
         self.assertEqual(self.node.config.settings.max_attempts, 2)
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=24)
 
-    async def test_conditions_that_are_met(self) -> None:
-        reference = await self.begin("11-conditions.cfg", SITE="atlanta")
+    async def test_conditional_blocks_with_conditions_met(self) -> None:
+        reference = await self.start_node("11-conditions.cfg", SITE="atlanta")
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=3)
 
-    async def test_conditions_that_are_not(self) -> None:
-        reference = await self.begin("11-conditions.cfg", SITE="birmingham")
+    async def test_conditional_blocks_with_conditions_not_met(self) -> None:
+        reference = await self.start_node("11-conditions.cfg", SITE="birmingham")
         await self.compare(reference, [("127.0.0.1", "FRONT")], times=3)
 
-    async def test_a_member_operators_whole_file(self) -> None:
-        reference = await self.begin("12-member-operator.cfg")
-        refused = {e.words[0] for e in self.report.results.values() if e.disposition == "traffic"}
+    async def test_complete_file_of_a_member_operator(self) -> None:
+        reference = await self.start_node("12-member-operator.cfg")
+        refused = {
+            result.words[0] for result in self.report.results.values() if result.disposition == "traffic"
+        }
         self.assertEqual(refused, {"use_backend", "stick-table", "tcp-request", "server"})
-        ways = [("127.0.0.1", "FRONT"), ("127.0.0.9", "FRONT"), ("127.0.0.1", "SECOND")]
-        await self.compare(reference, ways, times=16)
+        origins = [("127.0.0.1", "FRONT"), ("127.0.0.9", "FRONT"), ("127.0.0.1", "SECOND")]
+        await self.compare(reference, origins, times=16)
--- a/tests/importer/test_keywords.py
+++ b/tests/importer/test_keywords.py
@@ -1,4 +1,4 @@
-"""The table of keywords: each has its disposition, alone and together."""
+"""The keyword table: each keyword has a disposition, alone and together with all others."""
 
 from __future__ import annotations
 
@@ -11,36 +11,41 @@
 
 
 @pytest.mark.parametrize("place", ["global", "proxy", "server", "bind"])
-def test_every_keyword_of_the_table_gets_its_verdict_alone_and_together(place: str) -> None:
-    def text(*names: str) -> str:
+def test_every_keyword_has_a_disposition_alone_and_together(place: str) -> None:
+    def configuration(*names: str) -> str:
+        """Return a configuration with these keywords at the place."""
         if place == "global":
             return "global\n" + "".join(f" {name} 1\n" for name in names) + BASE
         if place == "proxy":
             return BASE + "".join(f" {name} {'1s' if 'timeout' in name else 'x'}\n" for name in names)
         if place == "server":
-            follow = {name: " 1" * keyword_table()[place][name].argument_count for name in names}
+            arguments = {name: " 1" * keyword_table()[place][name].argument_count for name in names}
             return BASE + "".join(
-                f" server s{i} 127.0.0.1:{i + 2} {name}{follow[name]}\n" for i, name in enumerate(names)
+                f" server s{i} 127.0.0.1:{i + 2} {name}{arguments[name]}\n" for i, name in enumerate(names)
             )
-        follow = {name: " 1" * keyword_table()[place][name].argument_count for name in names}
+        arguments = {name: " 1" * keyword_table()[place][name].argument_count for name in names}
         return BASE + "".join(
-            f"frontend f{i}\n bind :{i + 1} {name}{follow[name]}\n default_backend b\n"
+            f"frontend f{i}\n bind :{i + 1} {name}{arguments[name]}\n default_backend b\n"
             for i, name in enumerate(names)
         )
 
     names = [name.replace("*", "x") for name in keyword_table()[place] if name != "*"]
     if place == "server":
         names = [name for name in keyword_table()[place] if not name.endswith("*")]
-    for some in (*([name] for name in names), names):
-        _, report = haproxy.convert("h.cfg", text(*some))
+    for tested_names in (*([name] for name in names), names):
+        _, report = haproxy.convert("h.cfg", configuration(*tested_names))
         assert not report.without_disposition()
-        assert len(report.results) == sum(bool(line.strip()) for line in text(*some).splitlines())
+        assert len(report.results) == sum(
+            bool(line.strip()) for line in configuration(*tested_names).splitlines()
+        )
         assert sum(report.counts().values()) == len(report.results)
-        assert not [e for e in report.results.values() if "not a keyword" in "; ".join(e.notes)]
+        assert not [
+            result for result in report.results.values() if "not a keyword" in "; ".join(result.notes)
+        ]
 
 
 @pytest.mark.parametrize(
-    ("line", "verdict", "says"),
+    ("line", "verdict", "note"),
     [
         ("server x 127.0.0.1:2 backup", "carried", ""),
         ("no option forwardfor", "harmless", "not here at all"),
@@ -54,10 +59,10 @@
         ("balance source", "changed", "first line"),
     ],
 )
-def test_what_looks_alike_is_told_apart(line: str, verdict: str, says: str) -> None:
-    made, report = haproxy.convert("h.cfg", f"{BASE} {line}\n")
+def test_similar_statements_have_different_dispositions(line: str, verdict: str, note: str) -> None:
+    table, report = haproxy.convert("h.cfg", f"{BASE} {line}\n")
     entry = report.results["h.cfg:3"]
-    assert (entry.disposition, says in "; ".join(entry.notes)) == (verdict, True), entry
-    if "backup" in line:  # it must not take traffic, as it would not there
-        pool = made["routing"]["pools"]["b"]
+    assert (entry.disposition, note in "; ".join(entry.notes)) == (verdict, True), entry
+    if "backup" in line:  # a backup must not receive traffic while a primary server is usable
+        pool = table["routing"]["pools"]["b"]
         assert (pool["members"], pool["backups"]) == (["a"], [["x"]])
--- a/tests/importer/test_lexer.py
+++ b/tests/importer/test_lexer.py
@@ -1,4 +1,4 @@
-"""HAProxy's lines as words: what the manual's sections 2.2 and 2.3 say, and nothing lost."""
+"""Lexing of lines into words by sections 2.2 and 2.3 of HAProxy's manual, without loss."""
 
 from __future__ import annotations
 
@@ -15,12 +15,13 @@
 
 
 def words(text: str) -> list[str]:
+    """Return the words of a single line."""
     (line,) = read_lines("h.cfg", text, ENVIRONMENT)
     return line.texts
 
 
 @pytest.mark.parametrize(
-    ("text", "wanted"),
+    ("text", "expected"),
     [
         ("  server\ta   b # a comment", ["server", "a", "b"]),
         (r"a\ b c\#d \\ \n \x41", ["a b", "c#d", "\\", "\n", "A"]),
@@ -34,13 +35,13 @@
         ("# nothing", []),
     ],
 )
-def test_a_line_is_read_as_the_manual_says(text: str, wanted: list[str]) -> None:
-    assert words(text) == wanted
+def test_line_is_split_into_words_and_rendered_unchanged(text: str, expected: list[str]) -> None:
+    assert words(text) == expected
     assert render(read_lines("h.cfg", text, ENVIRONMENT)) == text
 
 
 @pytest.mark.parametrize(
-    ("text", "why"),
+    ("text", "message"),
     [
         ("a\nb 'open\n", "h.cfg:2: a ' is never closed"),
         ('"open', 'h.cfg:1: a " is never closed'),
@@ -51,12 +52,12 @@
         ("a " * 65, "h.cfg:1: over 64 words"),
     ],
 )
-def test_what_cant_be_read_names_its_line(text: str, why: str) -> None:
-    with pytest.raises(HaproxySyntaxError, match=why):
+def test_error_for_an_invalid_line_has_its_location(text: str, message: str) -> None:
+    with pytest.raises(HaproxySyntaxError, match=message):
         read_lines("h.cfg", text)
 
 
-def test_a_variable_that_nobody_has_set_is_named() -> None:
+def test_error_for_an_unset_variable_names_it() -> None:
     (line,) = read_lines("h.cfg", 'bind "${NOBODY}:80"')
     assert line.words[1].unset == ("NOBODY",)
     with pytest.raises(haproxy.HaproxyImportError, match=r'^h.cfg:2: "\$\{NOBODY\}:1": NOBODY is not set'):
@@ -77,10 +78,10 @@
     assert [line.number for line in found] == list(range(1, len(found) + 1))
 
 
-def test_twenty_thousand_lines_are_read_in_time() -> None:
+def test_twenty_thousand_lines_are_split_within_the_limit() -> None:
     text = "backend b\n server a 127.0.0.1:1\n" + "".join(
         f" server s{i} 10.0.0.1:{i + 1} check weight {i % 256}\n" for i in range(20000)
     )
-    began = time.perf_counter()
+    started = time.perf_counter()
     read_lines("h.cfg", text)
-    assert time.perf_counter() - began < 20  # about 0.5 s; a machine that is busy takes longer
+    assert time.perf_counter() - started < 20  # s; usually about 0.5 s, but longer on a busy machine
--- a/tests/importer/test_sections.py
+++ b/tests/importer/test_sections.py
@@ -1,4 +1,4 @@
-"""Sections, and the defaults that each inherits."""
+"""Sections, and the defaults that they inherit."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from puffindeck.importer.sections import SourceFile, read_sections
 
 
-def inherited(text: str) -> dict[str, list[str]]:
-    """The statements of each proxy, with those of its defaults."""
+def statements_by_section(text: str) -> dict[str, list[str]]:
+    """Return the statements of each section, with those of its defaults."""
     sections = read_sections([SourceFile("h.cfg", text)], ImportReport(), {})
     return {
         section.name: [" ".join(statement.words) for statement in section.all_statements()]
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("begin", "found"),
+    ("beginning", "expected"),
     [
         ("defaults\n mode tcp\nbackend a\n", ["mode tcp", "retries 1"]),
         ("defaults\n mode tcp\ndefaults\n mode http\nbackend a\n", ["mode http", "retries 1"]),
@@ -31,8 +31,8 @@
         ("backend a\n", ["retries 1"]),
     ],
 )
-def test_a_proxy_inherits_the_defaults_before_it_or_those_it_names(begin: str, found: list[str]) -> None:
-    assert inherited(begin + " retries 1\n") == {"a": found}
+def test_proxy_inherits_the_latest_or_the_named_defaults(beginning: str, expected: list[str]) -> None:
+    assert statements_by_section(beginning + " retries 1\n") == {"a": expected}
 
 
 def test_statements_of_a_section_without_equivalent_are_refused() -> None:
--- a/tests/importer/test_server_state_file.py
+++ b/tests/importer/test_server_state_file.py
@@ -1,4 +1,4 @@
-"""Files of servers' states."""
+"""Files of server states."""
 
 from __future__ import annotations
 
@@ -26,18 +26,20 @@
         (0, 0, "DRAINING", 1),
     ],
 )
-def test_what_an_administrator_set_arrives(admin: int, weight: int, state: str, hint: float) -> None:
+def test_administrative_state_and_weight_are_imported(
+    admin: int, weight: int, state: str, hint: float
+) -> None:
     text = STATE.format(admin=admin, weight=weight)
     table, report = haproxy.convert_files(
         [SourceFile("h.cfg", BACKENDS)], server_states=SourceFile("s", text)
     )
-    found = {t["uid"]: (t["state"], t["capacity_hint"]) for t in table["known"]["targets"]}
-    assert found == {"x": (state, hint), "y": ("SERVING", 7)}, "what checks found is not taken over"
+    imported = {t["uid"]: (t["state"], t["capacity_hint"]) for t in table["known"]["targets"]}
+    assert imported == {"x": (state, hint), "y": ("SERVING", 7)}, "results of checks must not be imported"
     assert report.results["h.cfg:2"].disposition == ("changed" if admin & 9 else "carried")
 
 
 @pytest.mark.parametrize(
-    ("text", "at"),
+    ("text", "location"),
     [
         ("", "s:1"),
         ("2\n", "s:1"),
@@ -50,6 +52,6 @@
         (STATE.format(admin=0, weight=1)[:-8], "s:4"),
     ],
 )
-def test_a_state_file_that_cannot_be_used_is_refused_whole(text: str, at: str) -> None:
-    with pytest.raises(haproxy.HaproxyImportError, match=f"^{at}: "):
+def test_invalid_state_file_raises_an_error_with_its_location(text: str, location: str) -> None:
+    with pytest.raises(haproxy.HaproxyImportError, match=f"^{location}: "):
         haproxy.convert_files([SourceFile("h.cfg", BACKENDS)], server_states=SourceFile("s", text))
