--- a/packages/testing/src/puffindeck_testing/__init__.py
+++ b/packages/testing/src/puffindeck_testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins and fault injectors for tests and measurements."""
+"""Test doubles and fault injection for tests and benchmarks."""
--- a/packages/testing/src/puffindeck_testing/baseline_protocols.py
+++ b/packages/testing/src/puffindeck_testing/baseline_protocols.py
@@ -1,7 +1,8 @@
-"""Simpler membership protocols, which the benchmark of `puffindeck_membership` is compared with.
+"""Baseline membership protocols for the benchmark of `puffindeck_membership`.
 
-Heartbeats to all members, and SWIM without its later extensions. Both use the same messages on the same network.
-Neither uses refusals, a local health score or suspicions that the suspected member can refute.
+The protocols are all-to-all heartbeats, and SWIM without its later extensions. Both send the messages of
+`puffindeck_membership` over the same network as that package. Neither uses connection refusals, a local health
+score or suspicions that the suspected member can refute.
 
 Source of SWIM: Das, Gupta, Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol", 2002.
@@ -25,16 +26,16 @@
 )
 from puffindeck_membership.messages import Ack, Gossip, IndirectPingRequest, Ping
 
-SENDS_PER_UPDATE = 12  # datagrams that carry an update
+SENDS_PER_UPDATE = 12  # number of datagrams that carry each update
 
 
 class BaselineMember:
-    """What both protocols share: periods, and members that count as dead until a datagram of theirs arrives."""
+    """Base of both protocols: acts once per period, and considers a dead member alive once it sends a datagram."""
 
     period_ms = 1000.0
 
     def __init__(self, name: str, addresses: dict[str, str], seed: int) -> None:
-        """`addresses`: all members' addresses by their names, its own included."""
+        """`addresses` maps the names of all members, including this one, to their addresses."""
         self.name = name
         self.addresses = addresses
         self.random = Random(seed)
@@ -46,20 +47,20 @@
         self.actions: list[Any] = []
 
     def send(self, to: str, body: Any, updates: Iterable[MemberUpdate] = ()) -> None:
-        """Send a message to a member."""
+        """Send a message with membership updates to a member."""
         self.sequence_number += 1
         envelope = Envelope(self.name, 1, 1, self.sequence_number, to, int(self.now), body, list(updates))
         self.actions.append(SendDatagram(to, self.addresses[to], envelope))
 
     def set_dead(self, name: str, dead: bool) -> None:
-        """Declare a member dead or alive, if that is new."""
+        """Declare another member dead or alive, if its state differs."""
         if (name in self.dead) != dead and name != self.name:
             (self.dead.add if dead else self.dead.discard)(name)
             phase = Phase.DEAD if dead else Phase.ALIVE
             self.actions.append(MemberChanged(MemberUpdate(name, phase, 1, 1), None))
 
     def handle(self, now_ms: float, events: Iterable[Any]) -> list[Any]:
-        """The actions that follow from events."""
+        """Process events, and return the resulting actions."""
         self.actions = []
         self.now = now_ms
         if not self.next_period:
@@ -83,7 +84,7 @@
 
 
 class Heartbeats(BaselineMember):
-    """Each member sends to all others each second; one that is silent for three seconds is dead."""
+    """All-to-all heartbeats once per second; a member that sends nothing for three seconds is declared dead."""
 
     timeout_ms = 3000.0
 
@@ -96,7 +97,7 @@
         self.last_heartbeat[envelope.sender] = self.now
 
     def on_timer(self) -> None:
-        """Send heartbeats, and declare silent members dead."""
+        """Send heartbeats, and declare members dead whose last heartbeat is too old."""
         while self.now >= self.next_period:
             self.next_period += self.period_ms
         self.actions.append(ScheduleTimer(self.next_period))
@@ -107,23 +108,26 @@
 
 
 class SwimWithoutSuspicion(BaselineMember):
-    """Each second one member in turn is pinged, then by three others; without an answer it is dead, by gossip too."""
+    """SWIM that declares a member dead, without a suspicion first, if no ping of its period is acknowledged.
 
-    ping_timeout_ms = 300.0  # for the answer to a direct ping
-    helpers = 3  # members that ping indirectly
+    Each period pings one member directly and, after a timeout, through other members. Gossip spreads the result.
+    """
+
+    ping_timeout_ms = 300.0  # timeout of the direct ping
+    indirect_ping_count = 3  # number of members that ping the target indirectly
     updates_per_datagram = 6
 
     def __init__(self, name: str, addresses: dict[str, str], seed: int) -> None:
         super().__init__(name, addresses, seed)
         self.round_members: list[str] = []
-        self.target = ""  # of this period's ping
-        self.answered = True
+        self.target = ""  # the member that this period pings
+        self.acknowledged = True
         self.indirect_pings_sent = False
-        self.updates: dict[str, tuple[MemberUpdate, int]] = {}
-        self.relayed_pings: dict[int, tuple[str, int]] = {}
+        self.updates: dict[str, tuple[MemberUpdate, int]] = {}  # updates by member, with the sends left
+        self.relayed_pings: dict[int, tuple[str, int]] = {}  # requester and its probe number, by own probe number
 
     def set_dead(self, name: str, dead: bool) -> None:
-        """Declare a member dead or alive, and gossip it."""
+        """Declare another member dead or alive, and gossip the change."""
         if (name in self.dead) != dead and name != self.name:
             self.updates[name] = (
                 MemberUpdate(name, Phase.DEAD if dead else Phase.ALIVE, 1, 1),
@@ -132,17 +136,17 @@
         super().set_dead(name, dead)
 
     def piggybacked_updates(self) -> list[MemberUpdate]:
-        """The updates for the next datagram: those that were sent least often."""
+        """Return the updates for the next datagram: those that were sent least often."""
         chosen = sorted(self.updates.values(), key=lambda item: -item[1])[: self.updates_per_datagram]
-        for update, left in chosen:
-            if left > 1:
-                self.updates[update.name] = update, left - 1
+        for update, sends_left in chosen:
+            if sends_left > 1:
+                self.updates[update.name] = update, sends_left - 1
             else:
                 del self.updates[update.name]
         return [update for update, _ in chosen]
 
     def on_datagram(self, envelope: Envelope) -> None:
-        """Apply the updates, and answer or relay pings."""
+        """Apply the updates, and acknowledge or relay pings."""
         for update in envelope.updates:
             self.set_dead(update.name, update.phase == Phase.DEAD)
         body = envelope.body
@@ -153,26 +157,26 @@
             self.relayed_pings[self.sequence_number] = envelope.sender, body.probe_number
             self.send(body.target, Ping(self.sequence_number), self.piggybacked_updates())
         elif isinstance(body, Ack):
-            asker = self.relayed_pings.pop(body.probe_number, None)
-            if asker is not None:
-                self.send(asker[0], Ack(asker[1], body.member), self.piggybacked_updates())
+            relayed_ping = self.relayed_pings.pop(body.probe_number, None)
+            if relayed_ping is not None:
+                self.send(relayed_ping[0], Ack(relayed_ping[1], body.member), self.piggybacked_updates())
             elif body.member == self.target:
-                self.answered = True
+                self.acknowledged = True
 
     def on_timer(self) -> None:
-        """Ping indirectly after the time-out, and begin a period with a ping."""
-        if not self.answered and not self.indirect_pings_sent and self.now < self.next_period:
+        """Ping indirectly after the timeout of the direct ping, and start each period with a direct ping."""
+        if not self.acknowledged and not self.indirect_pings_sent and self.now < self.next_period:
             self.indirect_pings_sent = True
             candidates = [other for other in self.other_members if other != self.target and other not in self.dead]
-            for helper in self.random.sample(candidates, min(self.helpers, len(candidates))):
-                self.send(helper, IndirectPingRequest(0, self.target), self.piggybacked_updates())
+            for relay in self.random.sample(candidates, min(self.indirect_ping_count, len(candidates))):
+                self.send(relay, IndirectPingRequest(0, self.target), self.piggybacked_updates())
         elif self.now >= self.next_period:
-            if not self.answered:
+            if not self.acknowledged:
                 self.set_dead(self.target, True)
             if not self.round_members:
                 self.round_members = self.random.sample(self.other_members, len(self.other_members))
             self.target = self.round_members.pop()
-            self.answered = False
+            self.acknowledged = False
             self.indirect_pings_sent = False
             self.send(self.target, Ping(0), self.piggybacked_updates())
             while self.now >= self.next_period:
--- a/packages/testing/src/puffindeck_testing/checker.py
+++ b/packages/testing/src/puffindeck_testing/checker.py
@@ -1,4 +1,4 @@
-"""The result of a run, computed from what hosts and clients observed. It shares no code with the product."""
+"""Evaluates a run from what hosts and clients observed, without any code of the product."""
 
 from __future__ import annotations
 
@@ -12,28 +12,34 @@
 
 
 def group_of(first_line: str) -> str:
-    """The group in a first line, empty if there is none."""
+    """Return the group in a first line, or an empty string if it names none."""
     attributes = first_line.split(" ")[3].split(",")
     return next((attribute[2:] for attribute in attributes if attribute.startswith("g=")), "")
 
 
 def connections_per_window(connections: Iterable[HostConnection], group: str, window_s: float) -> Counter[int]:
-    """The number of a group's connections, by the window of Unix time in which their host saw them open."""
-    return Counter(int(one.opened // window_s) for one in connections if group_of(one.first_line) == group)
+    """Count a group's connections by the window of Unix time in which their host accepted them."""
+    return Counter(
+        int(connection.opened // window_s) for connection in connections if group_of(connection.first_line) == group
+    )
 
 
 def connections_outside(connections: Iterable[HostConnection], group: str, zones: set[str]) -> list[HostConnection]:
-    """The connections of a group at hosts that are not in these zones."""
-    return [one for one in connections if group_of(one.first_line) == group and one.zone not in zones]
+    """Return the connections of a group at hosts outside the given zones."""
+    return [
+        connection
+        for connection in connections
+        if group_of(connection.first_line) == group and connection.zone not in zones
+    ]
 
 
 def without_final_answer(results: Iterable[ClientResult]) -> list[ClientResult]:
-    """The clients that reached a gateway and did not get a final answer."""
-    wrong = []
+    """Return the results of clients that connected to a gateway and did not receive a final answer."""
+    unanswered = []
     for result in results:
         first = result.answers[0] if result.answers else "silence"
         if first == "no connection":
             continue  # the gateway was down
         if not first.startswith(FINAL_ANSWERS):
-            wrong.append(result)
-    return wrong
+            unanswered.append(result)
+    return unanswered
--- a/packages/testing/src/puffindeck_testing/clients.py
+++ b/packages/testing/src/puffindeck_testing/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients, which record what gateways answer them."""
+"""Test clients that record the answers of gateways."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 @dataclass
 class ClientResult:
-    """What one client was answered: the first answer, then what ended its connection."""
+    """The answers that one client received: the first answer, then how its connection ended."""
 
     request_id: str
     gateway: str
     requested: float  # Unix time in seconds
     answers: list[str] = field(default_factory=list)
-    latency_s: float = 0.0
+    latency_s: float = 0.0  # from the request to the first answer
 
 
 async def run_client(address: str, port: int, line: str, hold_s: float, result: ClientResult) -> None:
-    """Send a first line, record the answer, and hold an open connection for up to `hold_s`.
+    """Send a first line, record the answer, and keep an accepted connection open for up to `hold_s` seconds.
 
-    Beside the gateway's lines the answers are `no connection`, `closed`, `silence` and `reset`.
+    Records the gateway's lines, or `no connection`, `closed`, `silence` (no line within 10 s) or `reset`.
     """
     try:
         reader, writer = await asyncio.open_connection(address, port)
@@ -36,8 +36,8 @@
         result.latency_s = time.time() - result.requested
         result.answers.append(answer or "closed")
         if answer.startswith("UP"):
-            more = await asyncio.wait_for(reader.readline(), hold_s)
-            result.answers.append(more.decode().strip() or "closed")
+            next_line = await asyncio.wait_for(reader.readline(), hold_s)
+            result.answers.append(next_line.decode().strip() or "closed")
     except TimeoutError:
         if not result.answers:
             result.answers.append("silence")
--- a/packages/testing/src/puffindeck_testing/gateway_config.py
+++ b/packages/testing/src/puffindeck_testing/gateway_config.py
@@ -1,4 +1,4 @@
-"""The configuration file of a tested gateway."""
+"""The configuration file of a gateway under test."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 
 
 def new_ports() -> GatewayPorts:
-    """Free ports for one gateway. Raises NoFreePortError."""
+    """Choose free ports for one gateway. Raises NoFreePortError."""
     return GatewayPorts(free_port(), free_port(), free_port(socket.SOCK_DGRAM))
 
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """What the files of several gateways differ in. `peers`: the other gateways' addresses by their names."""
+    """The values that are specific to one gateway's file. `peers` maps the other gateways' names to addresses."""
 
     name: str
     region: str
@@ -37,7 +37,7 @@
 
 
 def gateway_config(gateway: Gateway, hosts: Sequence[Host], gateway_count: int, seed: int) -> dict[str, Any]:
-    """The tables of a gateway's file, with the hosts in its first list."""
+    """Return the tables of a gateway's file, with the hosts in its initial list of endpoints."""
     ports = gateway.ports
     return {
         "name": gateway.name,
--- a/packages/testing/src/puffindeck_testing/gateways.py
+++ b/packages/testing/src/puffindeck_testing/gateways.py
@@ -1,6 +1,6 @@
-"""Simulated gateways that enforce quotas together, on virtual time with the faults of a real network, by a seed.
+"""Simulated gateways that enforce shared quotas, on virtual time and over a network with seeded random faults.
 
-What was admitted is counted here by true time, independently of the gateways' own counts.
+The simulation counts the admitted requests by its own clock, independently of the gateways' counts and clocks.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 START_MS = 1_000_000.0
 STEP_MS = 20.0
 STEPS_PER_SECOND = 50
-CLOCK_SKEW_MS = 100.0  # the clock skew that the gateways are set to allow
-DEADLINE_MS = 500  # in which a request has to be served
-SERVICE_MS = 15  # in which the server serves it here, at most
-MIN_DELAY_MS = 1
-DELAY_MS = 30  # the most that chance adds to the delay of a message
-DUPLICATE_DELAY_FACTOR = 20  # how much later messages may be where they are duplicated
-SETTLE_S = 16  # seconds after which the gateways have their first permits
-AFTER_WINDOW_START_MS = 200  # where in a window `settle` ends, at least
-AFTER_WINDOW_START_MAX_MS = 250
+CLOCK_SKEW_MS = 100.0  # clock skew that the gateways' settings allow
+DEADLINE_MS = 500  # deadline of each request, relative to its arrival
+SERVICE_MS = 15  # maximum time until the server serves an admitted request
+MIN_DELAY_MS = 1  # minimum delay of a message
+DELAY_MS = 30  # maximum random addition to the delay of a message
+DUPLICATE_DELAY_FACTOR = 20  # maximum growth of the random delay, times the probability of duplication
+SETTLE_S = 16  # time after which the gateways have their first permits
+AFTER_WINDOW_START_MS = 200  # minimum time since the start of the window when `settle` returns
+AFTER_WINDOW_START_MAX_MS = 250  # exclusive maximum of the same time
 
 
 class InFlight(NamedTuple):
-    """A message on the network; those due in one step arrive in the order of these fields."""
+    """A message on the network. Messages that are due in the same step arrive in the order of these fields."""
 
     arrives_ms: float
     number: int
@@ -40,16 +40,17 @@
 
 
 class TenantWindow(NamedTuple):
-    """A tenant, and a window by true time."""
+    """A tenant, and the number of a window by the simulation's clock."""
 
     tenant: str
     window: int
 
 
 class Gateways:
-    """The gateways, the network between them, and what was admitted.
+    """The gateways, the network between them, and the counts of admitted requests.
 
-    `loss` and `duplication` are the probabilities that a message is lost or sent twice; `factory` makes a gateway.
+    `loss` and `duplication` are the probabilities that a message is lost or sent twice. `factory` creates the quota
+    of a gateway.
     """
 
     def __init__(
@@ -71,12 +72,12 @@
         self.process_count = 0
         self.message_count = 0
         self.gateways: dict[str, Any] = {}
-        self.cut_links: set[tuple[str, str]] = set()  # sender and receiver
+        self.cut_links: set[tuple[str, str]] = set()  # pairs of sender and receiver
         self.clock_skews_ms: dict[str, float] = {}
         self.paused: set[str] = set()
         self.in_flight: list[InFlight] = []
         self.admitted: Counter[TenantWindow] = Counter()
-        self.admitted_by: Counter[str] = Counter()  # by gateway
+        self.admitted_by: Counter[str] = Counter()  # number of admitted requests by gateway
         self.rejected = 0
         self.revoked: list[Charge] = []
         self.reports: list[Report] = []
@@ -96,11 +97,11 @@
         )
 
     def kill(self, name: str) -> None:
-        """End a gateway's process with no message."""
+        """Kill a gateway's process; it sends no message before it ends."""
         del self.gateways[name]
 
     def split(self, *sides: set[str]) -> None:
-        """Cut every link between gateways of different sides."""
+        """Partition the network: cut every link between gateways of different sides, and restore all others."""
         self.cut_links = {
             (sender, receiver)
             for side in sides
@@ -111,11 +112,11 @@
         }
 
     def clock_ms(self, name: str) -> float:
-        """A gateway's own clock."""
+        """Return the time on a gateway's own clock."""
         return self.now_ms + self.clock_skews_ms.get(name, 0.0)
 
     def step(self, ms: float = STEP_MS) -> None:
-        """Let time pass, deliver what is due, and tick every gateway."""
+        """Advance time, deliver the messages that are due, and tick every running gateway."""
         self.now_ms += ms
         self._deliver_due()
         for name, quota in list(self.gateways.items()):
@@ -124,7 +125,7 @@
                 self.apply_actions(name, quota.handle(self.clock_ms(name), events))
 
     def apply_actions(self, name: str, actions: Sequence[object]) -> None:
-        """Do what a gateway's quota has decided."""
+        """Carry out the actions of a gateway's quota."""
         for action in actions:
             if isinstance(action, Revoke):
                 self.revoked.append(action.charge)
@@ -134,7 +135,10 @@
                 self._send(name, action)
 
     def request(self, name: str, tenant: str = "acme") -> bool:
-        """Send a request to a gateway; whether it was admitted. Its server serves it some milliseconds later."""
+        """Send a request to a gateway, and return whether the gateway admitted it.
+
+        The server serves an admitted request up to 15 ms later; the request counts in the window of that time.
+        """
         quota = self.gateways.get(name)
         if quota is None or name in self.paused:
             return False
@@ -151,7 +155,7 @@
         return True
 
     def run(self, seconds: float, rates: dict[str, float], tenant: str = "acme") -> None:
-        """Let seconds pass with that many requests a second at each gateway."""
+        """Simulate a time span. `rates` are the requests per second at each gateway."""
         for _ in range(int(seconds * STEPS_PER_SECOND)):
             self.step()
             for name, rate in rates.items():
@@ -159,26 +163,26 @@
                     self.request(name, tenant)
 
     def settle(self) -> None:
-        """Run without requests until shortly after the beginning of a window with permits."""
+        """Run without requests until the gateways have permits and a window has just started."""
         self.run(SETTLE_S, {})
         while not AFTER_WINDOW_START_MS <= self.now_ms % WINDOW_MS < AFTER_WINDOW_START_MAX_MS:
             self.step()
 
     @property
     def window(self) -> int:
-        """The number of the current window, by true time."""
+        """The number of the current window by the simulation's clock."""
         return int(self.now_ms // WINDOW_MS)
 
     def admitted_in(self, window: int, tenant: str = "acme") -> int:
-        """What was admitted of a tenant in a window, by true time."""
+        """Return the number of a tenant's requests admitted in a window of the simulation's clock."""
         return self.admitted[TenantWindow(tenant, window)]
 
     def max_admitted(self) -> int:
-        """The most that was admitted of a tenant in one window."""
+        """Return the largest number of requests admitted for any tenant in any window."""
         return max(self.admitted.values(), default=0)
 
     def _request_count(self, rate: float) -> int:
-        """Requests in one step; chance rounds a fraction."""
+        """Return the number of requests in one step, with the fraction rounded randomly."""
         whole = int(rate / STEPS_PER_SECOND)
         return whole + (self.random.random() < rate / STEPS_PER_SECOND % 1)
 
--- a/packages/testing/src/puffindeck_testing/hosts.py
+++ b/packages/testing/src/puffindeck_testing/hosts.py
@@ -1,4 +1,4 @@
-"""A stand-in host of the platform's protocol, which accepts every connection and echoes its lines."""
+"""A test host that speaks the platform's protocol: it accepts every connection and echoes its lines."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 @dataclass
 class HostConnection:
-    """A connection as its host observed it."""
+    """A connection as observed by its host."""
 
     opened: float  # Unix time in seconds
     host: str
     zone: str
     first_line: str
-    closed: float = 0.0  # Unix time in seconds; 0: still open
+    closed: float = 0.0  # Unix time in seconds; 0 while the connection is open
 
 
 class Host:
     """A host that records its connections."""
 
     def __init__(self, name: str, zone: str, address: str, connections: list[HostConnection]) -> None:
-        """`connections` is the common record of all hosts, in the order of opening."""
+        """`connections` is the list that all hosts append their connections to, in the order of opening."""
         self.name = name
         self.zone = zone
         self.port = free_port()
@@ -33,11 +33,11 @@
         self._server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server = await asyncio.start_server(self._serve, self._address, self.port)
 
     async def stop(self) -> None:
-        """Accept no more connections."""
+        """Stop accepting connections."""
         if self._server is not None:
             self._server.close()
 
--- a/packages/testing/src/puffindeck_testing/relay.py
+++ b/packages/testing/src/puffindeck_testing/relay.py
@@ -1,7 +1,7 @@
-"""Datagram relays on loopback, one for each ordered pair of gateways, which lose, delay, duplicate and cut by a seed.
+"""Datagram relays on loopback that inject network faults: seeded loss, delay and duplication, and cut links.
 
-A relay also passes on refusals, as a network does: while nobody listens at its destination its own port is closed,
-so that its senders are refused.
+Each ordered pair of gateways has a relay. A relay also propagates refusals: while its destination refuses
+datagrams, the relay closes its own port, so that the sender's datagrams are refused too.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 from puffindeck_testing.ports import free_port, own_address
 
-PROBE_INTERVAL_S = 0.1  # between two probes of a destination that refuses
+PROBE_INTERVAL_S = 0.1  # time between probes of a destination that refuses datagrams
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFaults:
-    """What one direction does to datagrams. `loss` and `duplication` are probabilities from 0 to 1."""
+    """The faults of one direction. `loss` and `duplication` are probabilities from 0 to 1."""
 
     loss: float = 0.0
-    delay_s: tuple[float, float] = (0.0, 0.0)  # least and most
+    delay_s: tuple[float, float] = (0.0, 0.0)  # minimum and maximum
     duplication: float = 0.0
     cut: bool = False
 
@@ -32,7 +32,7 @@
         self._relay = relay
 
     def datagram_received(self, data: bytes, addr: Any) -> None:
-        """Hand a sender's datagram to the relay."""
+        """Pass a sender's datagram to the relay."""
         self._relay.on_datagram(data)
 
 
@@ -47,19 +47,19 @@
 
 
 class Relay:
-    """One direction between two gateways."""
+    """Relays the datagrams of one direction between two gateways."""
 
     def __init__(self, destination: tuple[str, int], seed: str) -> None:
-        """`destination`: address and port of the receiver."""
+        """`destination` is the address and port of the receiver."""
         self.faults = LinkFaults()
-        self.forwarded = 0  # datagrams
+        self.forwarded = 0  # number of datagrams sent to the destination
         self._destination = destination
         self._random = Random(seed)
         self._address = (own_address(), free_port(socket.SOCK_DGRAM))
         self._inbound: Any = None
         self._outbound: Any = None
         self._reopening: asyncio.Task[None] | None = None
-        self._last_refusal = 0.0  # on the loop's clock
+        self._last_refusal = 0.0  # time on the event loop's clock, in seconds
 
     async def open(self) -> str:
         """Open the relay, and return its address as HOST:PORT."""
@@ -73,13 +73,13 @@
         self._inbound, _ = await loop.create_datagram_endpoint(lambda: _Inbound(self), local_addr=self._address)
 
     def on_datagram(self, data: bytes) -> None:
-        """Forward a datagram, as far as the faults allow."""
+        """Apply the faults to a datagram, and forward it unless it is lost."""
         faults = self.faults
         if faults.cut or self._random.random() < faults.loss:
             return
         for _ in range(1 + (self._random.random() < faults.duplication)):
-            least, most = faults.delay_s
-            delay_s = least + (most - least) * self._random.random()
+            minimum_s, maximum_s = faults.delay_s
+            delay_s = minimum_s + (maximum_s - minimum_s) * self._random.random()
             asyncio.get_running_loop().call_later(delay_s, self._forward, data)
 
     def _forward(self, data: bytes) -> None:
@@ -88,7 +88,7 @@
             self._outbound.sendto(data)
 
     def on_refused(self) -> None:
-        """Close the own port, as nobody listens at the destination, until somebody does."""
+        """Close the relay's port until a process listens at the destination again."""
         self._last_refusal = asyncio.get_running_loop().time()
         if self._inbound is not None and not self.faults.cut:
             self._inbound.close()
@@ -98,10 +98,10 @@
     async def _reopen(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            sent = loop.time()
+            probed = loop.time()
             self._outbound.sendto(b"?")  # asyncio does not send an empty datagram
             await asyncio.sleep(PROBE_INTERVAL_S)
-            if self._last_refusal < sent:
+            if self._last_refusal < probed:
                 break
         await self._listen()
 
--- a/packages/testing/src/puffindeck_testing/world.py
+++ b/packages/testing/src/puffindeck_testing/world.py
@@ -1,6 +1,6 @@
-"""Real processes of the program on loopback, with relays between them, stand-in hosts and clients.
+"""A test environment on loopback: real gateway processes, relays between them, and test hosts and clients.
 
-A run is judged by what hosts and clients observed alone.
+Tests judge a run only by what the hosts and clients observed.
 """
 
 from __future__ import annotations
@@ -33,15 +33,15 @@
 
 
 class World:
-    """Gateways e1, e2, ... in regions, and hosts in zones."""
+    """An environment of gateways e1, e2, ... in regions, and hosts in zones."""
 
     def __init__(
         self, folder: Path, regions: dict[str, str], zones: dict[str, int], seed: int = 1, **tables: Any
     ) -> None:
-        """Start hosts and relays, no gateway yet.
+        """Start the hosts and relays, but no gateway.
 
-        `regions`: each gateway's region. `zones`: the number of hosts in each zone. `tables`: further tables of
-        the gateways' files, or others in place of the usual ones.
+        `regions` maps each gateway's name to its region, and `zones` each zone to its number of hosts. `tables` adds
+        tables to the gateways' files or replaces the default ones.
         """
         self.folder = folder
         self.regions = regions
@@ -75,7 +75,7 @@
                     self._relay_addresses[sender, receiver] = self._loop.run(relay.open())
 
     def close(self) -> None:
-        """End all processes, relays and hosts."""
+        """Stop all processes, relays and hosts."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -88,19 +88,19 @@
         self._loop.close()
 
     def wait_until(self, condition: Callable[[], Any], description: str, timeout_s: float = TIMEOUT_S) -> Any:
-        """Poll until the condition is true, and return its value. Raises AssertionError after the time-out."""
+        """Poll until the condition is true, and return its value. Raises AssertionError after the timeout."""
         deadline = time.monotonic() + timeout_s
         while time.monotonic() < deadline:
-            found = condition()
-            if found:
-                return found
+            value = condition()
+            if value:
+                return value
             time.sleep(POLL_S)
         raise AssertionError(f"timed out waiting for {description}: {self.last_states}")
 
     # Gateways
 
     def write_config(self, name: str, **changes: Any) -> Path:
-        """Write a gateway's file; `changes` replace tables."""
+        """Write a gateway's file, and return its path. `changes` adds or replaces tables."""
         peers = {other: self._relay_addresses[name, other] for other in self.regions if other != name}
         gateway = Gateway(name, self.regions[name], self.address, self.ports[name], peers)
         tables = gateway_config(gateway, self.hosts, len(self.regions), self.seed) | self.tables | changes
@@ -111,7 +111,11 @@
     def start(
         self, name: str, wait: bool = True, program: tuple[str, ...] = ("-m", "puffindeck"), **changes: Any
     ) -> None:
-        """Start a gateway, and wait until it serves. `changes` as in `write_config`. Raises NodeExitedError."""
+        """Start a gateway and, unless `wait` is false, wait until it is ready.
+
+        `program` are the interpreter's arguments that name the program, and `changes` is as in `write_config`.
+        Raises NodeExitedError if the process ends before it is ready.
+        """
         path = self.write_config(name, **changes)
         with self._log_path(name).open("ab") as log:
             self.processes[name] = subprocess.Popen(
@@ -124,17 +128,17 @@
             self.wait_until_ready(name)
 
     def start_all(self) -> None:
-        """Start all gateways at once, and wait until each serves. Raises NodeExitedError."""
+        """Start all gateways concurrently, and wait until all are ready. Raises NodeExitedError."""
         for name in self.regions:
             self.start(name, wait=False)
         for name in self.regions:
             self.wait_until_ready(name)
 
     def wait_until_ready(self, name: str) -> None:
-        """Wait until a gateway serves. Raises NodeExitedError if it ends before."""
+        """Wait until a gateway is ready. Raises NodeExitedError if its process ends first."""
 
         def is_ready() -> bool:
-            """Whether the gateway says that it serves. Raises NodeExitedError if its process has ended."""
+            """Return whether the gateway reports ready. Raises NodeExitedError if its process has ended."""
             raise_if_exited(name, self.processes[name], self._log_path(name))
             return self.operator_call(name, "/_ready") == "yes"
 
@@ -144,7 +148,7 @@
         return self.folder / f"{name}.log"
 
     def log(self, name: str) -> str:
-        """The log of all processes of this gateway."""
+        """Return the log of all processes of this gateway."""
         return self._log_path(name).read_text()
 
     def send_signal(self, name: str, number: int) -> None:
@@ -152,7 +156,7 @@
         self.processes[name].send_signal(number)
 
     def operator_call(self, name: str, path: str, method: str = "GET") -> str:
-        """Make an operator's call: the body of the answer, empty if there is none within 1 s."""
+        """Make an operator's call, and return the body of the answer, or "" if none arrives within 1 s."""
         url = f"http://{self.address}:{self.ports[name].operators}{path}"
         request = urllib.request.Request(url, method=method)
         try:
@@ -162,17 +166,17 @@
             return ""
 
     def status(self, name: str, path: str = "/_fleet") -> dict[str, Any]:
-        """The JSON of an operator's call, empty if there is none."""
+        """Return the JSON object that an operator's call answers, or {} if the answer is no JSON object."""
         text = self.operator_call(name, path)
         return dict(json.loads(text)) if text.startswith("{") else {}
 
     def states(self, name: str) -> dict[str, str]:
-        """Each member's state as this gateway has it."""
-        return {m["name"]: m["state"] for m in self.status(name).get("members", [])}
+        """Return each member's state from the view of this gateway."""
+        return {member["name"]: member["state"] for member in self.status(name).get("members", [])}
 
-    def all_alive(self, *but: str) -> bool:
-        """Whether all gateways, but for the named ones, have all members alive."""
-        names = set(self.regions) - set(but)
+    def all_alive(self, *excluded: str) -> bool:
+        """Return whether every gateway, except the excluded ones, considers all members alive."""
+        names = set(self.regions) - set(excluded)
         self.last_states = {name: self.states(name) for name in sorted(names)}
         return all(states == dict.fromkeys(self.regions, "alive") for states in self.last_states.values())
 
@@ -183,11 +187,11 @@
 
     def partition(self, *sides: set[str], cut: bool = True) -> None:
         """Cut all links between these sets of gateways, or with `cut=False` restore them."""
-        for one in sides:
-            for other in sides:
-                if one is not other:
-                    for sender in one:
-                        for receiver in other:
+        for side in sides:
+            for other_side in sides:
+                if side is not other_side:
+                    for sender in side:
+                        for receiver in other_side:
                             self.set_faults(sender, receiver, cut=cut)
 
     # Clients
@@ -195,7 +199,7 @@
     def start_client(
         self, name: str, group: str = "0", hold_s: float = 0.05, request_class: str = "claim-status"
     ) -> ClientResult:
-        """Start a client of a gateway; its answers are added to the result as they come."""
+        """Start a client of a gateway. Its answers are appended to the returned result as they arrive."""
         number = len(self.results) + 1
         result = ClientResult(f"{number:016x}", name, time.time())
         self.results.append(result)
@@ -204,12 +208,12 @@
         return result
 
     def send_load(self, rates: dict[str, float], duration_s: float, group: str = "0", hold_s: float = 0.05) -> None:
-        """Start so many clients a second at each gateway."""
+        """Start clients at each gateway for a time span. `rates` are the clients per second at each gateway."""
         began = time.monotonic()
-        sent = dict.fromkeys(rates, 0)
-        while (passed := time.monotonic() - began) < duration_s:
+        started = dict.fromkeys(rates, 0)
+        while (elapsed_s := time.monotonic() - began) < duration_s:
             for name, rate in rates.items():
-                while sent[name] < rate * passed:
-                    sent[name] += 1
+                while started[name] < rate * elapsed_s:
+                    started[name] += 1
                     self.start_client(name, group, hold_s)
             time.sleep(0.005)
--- a/packages/testing/tests/test_world.py
+++ b/packages/testing/tests/test_world.py
@@ -1,4 +1,4 @@
-"""The world of real processes: what it says of a gateway that ends before it is ready."""
+"""The test environment reports a gateway that ends before it is ready."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from puffindeck_testing.world import World
 
 
-def test_a_gateway_that_ends_before_it_is_ready_fails_at_once_with_the_last_lines_of_its_log(tmp_path: Path) -> None:
+def test_start_raises_with_the_end_of_the_log_if_a_gateway_exits_before_it_is_ready(tmp_path: Path) -> None:
     world = World(tmp_path, {"e1": "north"}, {"a": 1})
     try:
         with socket.create_server((world.address, world.ports["e1"].clients)):
