--- a/packages/faults/src/puffindeck_faults/__init__.py
+++ b/packages/faults/src/puffindeck_faults/__init__.py
@@ -1,1 +1,1 @@
-"""Faults under a real process: its clock, system calls, disk and network, each switched while it runs."""
+"""Fault injection for real processes of the program: faults of their clock, system calls, disk and network."""
--- a/packages/faults/src/puffindeck_faults/clients.py
+++ b/packages/faults/src/puffindeck_faults/clients.py
@@ -1,4 +1,4 @@
-"""Stand-in clients of the platform's protocol: well-behaved ones, and idle or malformed ones."""
+"""Test clients of the platform's protocol: well-behaved clients, and clients that are idle or send malformed lines."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from puffindeck_faults.records import ClientRecord, Records, now
 
-LATE_ANSWER_S = 1.5  # clients wait so long after their deadline, so that a late answer is recorded as late
-LINE_INTERVAL_S = 0.7  # between the lines that a client sends on an open connection
+LATE_ANSWER_S = 1.5  # time that clients wait after their deadline, so that a late answer is recorded as late
+LINE_INTERVAL_S = 0.7  # time between the lines that a client sends on an open connection
 
 
 @dataclass(frozen=True)
 class RequestClass:
-    """A class of requests, as the settings have it."""
+    """A request class of the settings."""
 
     name: str
     deadline_ms: int
@@ -35,12 +35,12 @@
         self._count = 0
         self.running: set[asyncio.Task[None]] = set()
 
-    def begin(
+    def start(
         self, node: str, port: int, request_class: RequestClass, hold_s: float, leave_after_s: float | None = None
     ) -> ClientRecord:
-        """Start a client that holds its open connection for `hold_s`.
+        """Start a client that keeps its accepted connection open for `hold_s` seconds.
 
-        With `leave_after_s` it closes after that time if it has no answer.
+        With `leave_after_s`, the client closes the connection if no answer arrives within that time.
         """
         self._count += 1
         record = ClientRecord(f"{self._count:016x}", node, request_class.name, request_class.deadline_ms / 1000)
@@ -48,17 +48,17 @@
         self._run(self._run_client(record, port, hold_s, leave_after_s))
         return record
 
-    def begin_idle(self, port: int, text: bytes, hold_s: float) -> None:
-        """Start a connection that sends `text`, no complete request, and stays open for up to `hold_s`."""
+    def start_idle(self, port: int, text: bytes, hold_s: float) -> None:
+        """Open a connection that sends `text` instead of a valid request, and keep it open for up to `hold_s`."""
         self._run(self._run_idle_client(port, text, hold_s))
 
-    def _run(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _run(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self.running.add(task)
         task.add_done_callback(self.running.discard)
 
     async def finish(self, timeout_s: float) -> None:
-        """Wait for all running clients, and cancel those that take longer."""
+        """Wait for all running clients, and cancel those that have not finished after the timeout."""
         if self.running:
             await asyncio.wait(self.running, timeout=timeout_s)
         for task in self.running:
--- a/packages/faults/src/puffindeck_faults/discovery.py
+++ b/packages/faults/src/puffindeck_faults/discovery.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's discovery: the complete list, and watches on its changes, over HTTP/1.1."""
+"""A test double of the platform's discovery: the complete list of hosts, and watches on its changes, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from puffindeck_faults.records import HostChange, Outage, Records, now
 from puffindeck_testing.ports import free_port
 
-KEEPALIVE_INTERVAL_S = 2.0  # of the empty lines on a watch
+KEEPALIVE_INTERVAL_S = 2.0  # time between the empty lines that keep a watch alive
 
 
 @dataclass
 class ListedEndpoint:
-    """A host in the list, with the keys of the protocol page."""
+    """A host in the list. The field names are the JSON keys of the protocol page."""
 
     uid: str
     endpoint: str
@@ -28,14 +28,14 @@
 
 
 class Discovery:
-    """One service with a port for each node, so that the records show which node was sent what, and when."""
+    """One discovery service. Each node has a separate port, so that the records show when each node was notified."""
 
     def __init__(self, records: Records, address: str) -> None:
         self._records = records
         self._address = address
         self.endpoints: dict[str, ListedEndpoint] = {}
         self.version = 1
-        self.silent = False  # connections stay open, and nothing is sent on them
+        self.silent = False  # whether the service keeps connections open without sending anything
         self.ports: dict[str, int] = {}
         self._servers: dict[str, asyncio.Server] = {}
         self._watches: dict[asyncio.StreamWriter, str] = {}
@@ -43,17 +43,17 @@
         self._down_since: float | None = None
 
     async def start(self, node: str) -> None:
-        """Listen for a node, on its former port if it had one."""
+        """Start to listen for a node, on the same port as before if the node had one."""
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-            """Serve one connection to this node's port."""
+            """Serve one connection to the node's port."""
             await self._serve(node, reader, writer)
 
         port = self.ports.setdefault(node, free_port())
         self._servers[node] = await asyncio.start_server(serve, self._address, port)
 
     def stop(self) -> None:
-        """Go down: connections are refused, watches end."""
+        """Go down: refuse connections, and abort all open ones."""
         self._down_since = now()
         for server in self._servers.values():
             server.close()
@@ -63,7 +63,7 @@
         self._watches.clear()
 
     async def resume(self) -> None:
-        """Come back on all ports."""
+        """Listen again on all ports, and record the outage."""
         if self._down_since is not None:
             self._records.outages.append(Outage(self._down_since, now()))
             self._down_since = None
@@ -72,19 +72,19 @@
                 await self.start(node)
 
     async def move(self, node: str) -> None:
-        """Use another port for this node; the old one accepts nothing more, and open watches are aborted."""
+        """Change the port for a node: close the old port, and abort the node's open watches."""
         old = self._servers.pop(node, None)
         self.ports.pop(node, None)
         await self.start(node)
         if old is not None:
             old.close()
-        for writer, watching in list(self._watches.items()):
-            if watching == node:
+        for writer, watching_node in list(self._watches.items()):
+            if watching_node == node:
                 writer.transport.abort()
                 del self._watches[writer]
 
     def change(self, *endpoints: ListedEndpoint) -> None:
-        """Add or change hosts; the state DELETED removes one."""
+        """Add or change hosts in the list, and notify the watches. The state DELETED removes a host."""
         self.version += 1
         for endpoint in endpoints:
             change = HostChange(endpoint.uid, endpoint.state, now())
@@ -120,11 +120,11 @@
             head = (await reader.readuntil(b"\r\n\r\n")).decode("ascii")
             while self.silent:
                 await asyncio.sleep(0.05)
-            if writer.is_closing():  # it went down meanwhile
+            if writer.is_closing():  # the service went down meanwhile
                 return
             await self._answer(node, head.split()[1], writer)
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # cancelled only at the end of the run
+            pass  # CancelledError occurs only at the end of the run
         finally:
             self._watches.pop(writer, None)
             self._open.discard(writer)
--- a/packages/faults/src/puffindeck_faults/fault_actions.py
+++ b/packages/faults/src/puffindeck_faults/fault_actions.py
@@ -1,4 +1,4 @@
-"""How each kind of fault is applied to the nodes, hosts and discovery of a run."""
+"""Applies each kind of fault to the nodes, hosts and discovery of a run."""
 
 from __future__ import annotations
 
@@ -26,13 +26,13 @@
 
 
 class FaultActions:
-    """Applies faults to a world. Each target that is restarting or away takes no further fault meanwhile."""
+    """Applies faults to a test environment. A target that is restarting or down gets no further fault meanwhile."""
 
     def __init__(self, world: World, random: Random) -> None:
-        """`random` chooses what misbehaving clients send."""
+        """`random` chooses the text that misbehaving clients send."""
         self._world = world
         self._random = random
-        self._busy: set[str] = set()  # nodes that are restarting, hosts that are away, detachments, discovery's faults
+        self._busy: set[str] = set()  # restarting nodes, draining or killed hosts, NODE/HOST detached, discovery faults
         self._node_actions: dict[FaultKind, Callable[[Fault, NodeProcess], Awaitable[None]]] = {
             FaultKind.CLOCK_STEP: self._step_clock,
             FaultKind.CALL: self._fail_calls,
@@ -49,11 +49,11 @@
         }
 
     def is_busy(self, target: str) -> bool:
-        """Whether the node or host takes no fault now."""
+        """Return whether the node or host accepts no fault now."""
         return target in self._busy
 
     async def apply(self, fault: Fault) -> None:
-        """Apply a fault, and end it after its duration."""
+        """Apply a fault, and remove it after its duration."""
         if fault.target in self._world.nodes:
             await self._node_actions[fault.kind](fault, self._world.nodes[fault.target])
         elif fault.target in self._world.hosts:
@@ -111,13 +111,13 @@
             await asyncio.sleep(0.2)
         else:
             node.send_signal(signal.SIGHUP)
-            await node.stop(self._world.longest_s)
+            await node.stop(self._world.longest_deadline_s)
         node.fault_injector.clear_failures()
         await node.start()
         self._busy.discard(node.name)
 
     async def _detach(self, fault: Fault, node: NodeProcess) -> None:
-        """Detach a host at a node; the call that attaches it again waits until the node accepts clients."""
+        """Detach a host at a node, and attach it again after the duration, once the node accepts clients."""
         host = fault.argument
         key = f"{node.name}/{host}"
         if key in self._busy or not node.accepts_clients():
@@ -126,10 +126,10 @@
         detachment = Detachment(node.name, host, now())
         if await node.call("PUT", f"/_hosts/detach?member={host}") == 200:
             detachment.confirmed = now()
-        if node.process_record is not None and node.process_record.killed is None:  # a killed node owes no answer
+        if node.process_record is not None and node.process_record.killed is None:  # a killed node can't confirm
             self._world.records.detachments.append(detachment)
         await asyncio.sleep(fault.duration_s)
-        while not node.accepts_clients():  # cancelled at the end of the run
+        while not node.accepts_clients():  # the end of the run cancels this loop
             await asyncio.sleep(0.05)
         detachment.ended = now()
         await node.call("PUT", f"/_hosts/attach?member={host}")
@@ -138,7 +138,7 @@
     async def _misbehaving_clients(self, fault: Fault, node: NodeProcess) -> None:
         for _ in range(int(fault.amount)):
             text = b"" if fault.kind is FaultKind.IDLE_CLIENTS else self._random.choice(MALFORMED_LINES)
-            self._world.clients.begin_idle(node.port, text, fault.duration_s)
+            self._world.clients.start_idle(node.port, text, fault.duration_s)
 
     # Hosts and discovery
 
--- a/packages/faults/src/puffindeck_faults/fault_injector.c
+++ b/packages/faults/src/puffindeck_faults/fault_injector.c
@@ -1,7 +1,7 @@
-/* Faults of the machine under one process, loaded into it with LD_PRELOAD.
+/* Fault injection for the system calls and clocks of one process, loaded into the process with LD_PRELOAD.
  *
- * The process maps the file that PUFFINDECK_FAULTS names; whoever wrote it switches faults on and off there while the
- * process runs. Its layout is that of fault_injector.py: 64-bit integers in the machine's byte order.
+ * The process maps the control file that PUFFINDECK_FAULTS names. The test process changes the file to switch faults
+ * on and off while the process runs. fault_injector.py defines the layout: 64-bit integers in native byte order.
  */
 #define _GNU_SOURCE
 #include <dirent.h>
@@ -25,27 +25,27 @@
 enum call { ACCEPT, SOCKET, CONNECT, SEND, RECV, EPOLL_WAIT, OPEN, WRITE, FSYNC, RENAME, UNLINK, LIST, CALLS };
 
 struct failure {
-    int64_t error;     /* errno, 0: off */
-    int64_t remaining; /* how many more calls fail; negative: no limit */
-    int64_t chance;    /* of a call, in millionths */
-    int64_t hits;      /* calls that have failed */
+    int64_t error;     /* errno of a failed call; 0: no failures */
+    int64_t remaining; /* number of calls that may still fail; negative: no limit */
+    int64_t chance;    /* probability that a call fails, in millionths */
+    int64_t failed;    /* number of calls that have failed */
 };
 
 struct control {
     int64_t wall_offset_ns;
     int64_t seed;
-    int64_t draws;
-    int64_t short_bytes; /* send and recv move at most this many, 0: off */
-    int64_t short_chance;
-    int64_t pause_ns; /* before a send: held up between reading the clock and writing */
-    int64_t pause_chance;
-    int64_t paused_at_ns; /* on the monotonic clock: at most one pause a second */
-    int64_t kill_at_step; /* SIGKILL at the n-th step of writing files, 0: off */
+    int64_t draws;        /* number of random numbers drawn so far */
+    int64_t short_bytes;  /* maximum bytes that one send, recv or write transfers; 0: no limit */
+    int64_t short_chance; /* probability of the limit, in millionths */
+    int64_t pause_ns;     /* pause before a send: a delay between reading the clock and writing; 0: no pause */
+    int64_t pause_chance; /* probability of a pause, in millionths */
+    int64_t paused_at_ns; /* monotonic time of the last pause: at least one second lies between two pauses */
+    int64_t kill_at_step; /* remaining steps of writing files until SIGKILL; 0: off */
     struct failure failures[CALLS];
 };
 
-static struct control none;
-static struct control *control = &none;
+static struct control no_faults;
+static struct control *control = &no_faults;
 static const char *folder;
 
 __attribute__((constructor)) static void map_control(void) {
@@ -53,7 +53,7 @@
     folder = getenv("PUFFINDECK_FAULTS_FOLDER");
     if (path == NULL)
         return;
-    prctl(PR_SET_PDEATHSIG, SIGKILL); /* nobody is left behind when the player is ended */
+    prctl(PR_SET_PDEATHSIG, SIGKILL); /* the process must not outlive the test process that started it */
     int (*real)(const char *, int, ...) = dlsym(RTLD_NEXT, "open");
     int file = real(path, O_RDWR | O_CLOEXEC);
     if (file < 0)
@@ -64,8 +64,10 @@
         control = mapped;
 }
 
-/* SplitMix64 (Steele, Lea, Flood 2014): the n-th number depends on the seed and n alone. */
-static int drawn(int64_t chance) {
+/* Returns 1 with a probability in millionths, otherwise 0.
+ *
+ * The generator is SplitMix64 (Steele, Lea, Flood 2014): the n-th number depends only on the seed and n. */
+static int random_event(int64_t chance) {
     if (chance >= 1000000)
         return 1;
     if (chance <= 0)
@@ -77,15 +79,15 @@
     return (int64_t)(z % 1000000) < chance;
 }
 
-/* Does this call fail? Sets errno if so. */
-static int fails(enum call call) {
+/* Returns whether this call fails, and sets errno if it does. */
+static int inject_failure(enum call call) {
     struct failure *failure = &control->failures[call];
     int error = (int)failure->error;
-    if (error == 0 || failure->remaining == 0 || !drawn(failure->chance))
+    if (error == 0 || failure->remaining == 0 || !random_event(failure->chance))
         return 0;
     if (failure->remaining > 0)
         failure->remaining--;
-    failure->hits++;
+    failure->failed++;
     errno = error;
     return 1;
 }
@@ -129,31 +131,31 @@
 
 int accept4(int fd, struct sockaddr *restrict address, socklen_t *restrict length, int flags) {
     REAL(accept4);
-    return fails(ACCEPT) ? -1 : real(fd, address, length, flags);
+    return inject_failure(ACCEPT) ? -1 : real(fd, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) {
     REAL(socket);
-    return fails(SOCKET) ? -1 : real(domain, type, protocol);
+    return inject_failure(SOCKET) ? -1 : real(domain, type, protocol);
 }
 
 int connect(int fd, const struct sockaddr *address, socklen_t length) {
     REAL(connect);
-    return fails(CONNECT) ? -1 : real(fd, address, length);
+    return inject_failure(CONNECT) ? -1 : real(fd, address, length);
 }
 
-static size_t shortened(size_t length) {
+static size_t limited_length(size_t length) {
     size_t most = (size_t)control->short_bytes;
-    return most > 0 && length > most && drawn(control->short_chance) ? most : length;
+    return most > 0 && length > most && random_event(control->short_chance) ? most : length;
 }
 
-static void hold_up(void) {
+static void maybe_pause(void) {
     struct timespec now;
     if (control->pause_ns == 0)
         return;
     clock_gettime(CLOCK_MONOTONIC, &now);
     int64_t moment = (int64_t)now.tv_sec * 1000000000 + now.tv_nsec;
-    if (moment - control->paused_at_ns >= 1000000000 && drawn(control->pause_chance)) {
+    if (moment - control->paused_at_ns >= 1000000000 && random_event(control->pause_chance)) {
         control->paused_at_ns = moment;
         struct timespec pause = {control->pause_ns / 1000000000, control->pause_ns % 1000000000};
         nanosleep(&pause, NULL);
@@ -162,27 +164,27 @@
 
 ssize_t send(int fd, const void *data, size_t length, int flags) {
     REAL(send);
-    hold_up();
-    return fails(SEND) ? -1 : real(fd, data, shortened(length), flags);
+    maybe_pause();
+    return inject_failure(SEND) ? -1 : real(fd, data, limited_length(length), flags);
 }
 
 ssize_t recv(int fd, void *data, size_t length, int flags) {
     REAL(recv);
-    return fails(RECV) ? -1 : real(fd, data, shortened(length), flags);
+    return inject_failure(RECV) ? -1 : real(fd, data, limited_length(length), flags);
 }
 
 int epoll_wait(int fd, struct epoll_event *events, int most, int timeout) {
     REAL(epoll_wait);
-    return fails(EPOLL_WAIT) ? -1 : real(fd, events, most, timeout);
+    return inject_failure(EPOLL_WAIT) ? -1 : real(fd, events, most, timeout);
 }
 
-/* Files below PUFFINDECK_FAULTS_FOLDER */
+/* Files in PUFFINDECK_FAULTS_FOLDER */
 
-static int below(const char *path) {
+static int in_folder(const char *path) {
     return folder != NULL && path != NULL && strncmp(path, folder, strlen(folder)) == 0;
 }
 
-static int file_below(int fd) {
+static int descriptor_in_folder(int fd) {
     char link[64], path[4096];
     if (folder == NULL)
         return 0;
@@ -201,19 +203,19 @@
     if (length < 0)
         return 0;
     path[length] = '\0';
-    return below(path);
+    return in_folder(path);
 }
 
-/* A step of a write to the folder: the process may be killed here. */
-static void step(void) {
+/* Counts a step of writing to files of the folder, and kills the process at the configured step. */
+static void count_file_step(void) {
     if (control->kill_at_step > 0 && --control->kill_at_step == 0)
         kill(getpid(), 9);
 }
 
-static int open_checked(int (*real)(const char *, int, ...), const char *path, int flags, mode_t mode) {
-    if (below(path) && (flags & (O_WRONLY | O_RDWR | O_CREAT))) {
-        step();
-        if (fails(OPEN))
+static int open_with_faults(int (*real)(const char *, int, ...), const char *path, int flags, mode_t mode) {
+    if (in_folder(path) && (flags & (O_WRONLY | O_RDWR | O_CREAT))) {
+        count_file_step();
+        if (inject_failure(OPEN))
             return -1;
     }
     return real(path, flags, mode);
@@ -225,7 +227,7 @@
     va_start(arguments, flags);
     mode_t mode = (flags & O_CREAT) ? va_arg(arguments, mode_t) : 0;
     va_end(arguments);
-    return open_checked(real, path, flags, mode);
+    return open_with_faults(real, path, flags, mode);
 }
 
 int open64(const char *path, int flags, ...) {
@@ -234,27 +236,27 @@
     va_start(arguments, flags);
     mode_t mode = (flags & O_CREAT) ? va_arg(arguments, mode_t) : 0;
     va_end(arguments);
-    return open_checked(real, path, flags, mode);
+    return open_with_faults(real, path, flags, mode);
 }
 
 ssize_t write(int fd, const void *data, size_t length) {
     REAL(write);
-    if (!file_below(fd))
+    if (!descriptor_in_folder(fd))
         return real(fd, data, length);
-    step();
-    if (control->kill_at_step == 1) { /* the next step: half of this write reaches the file first */
+    count_file_step();
+    if (control->kill_at_step == 1) { /* the kill is due at the next step: half of this write reaches the file first */
         ssize_t written = real(fd, data, length / 2);
-        step();
+        count_file_step();
         return written;
     }
-    return fails(WRITE) ? -1 : real(fd, data, shortened(length));
+    return inject_failure(WRITE) ? -1 : real(fd, data, limited_length(length));
 }
 
 ssize_t pwrite64(int fd, const void *data, size_t length, off64_t offset) {
     REAL(pwrite64);
-    if (file_below(fd)) {
-        step();
-        if (fails(WRITE))
+    if (descriptor_in_folder(fd)) {
+        count_file_step();
+        if (inject_failure(WRITE))
             return -1;
     }
     return real(fd, data, length, offset);
@@ -262,9 +264,9 @@
 
 int unlink(const char *path) {
     REAL(unlink);
-    if (below(path)) {
-        step();
-        if (fails(UNLINK))
+    if (in_folder(path)) {
+        count_file_step();
+        if (inject_failure(UNLINK))
             return -1;
     }
     return real(path);
@@ -272,14 +274,14 @@
 
 DIR *opendir(const char *path) {
     REAL(opendir);
-    return below(path) && fails(LIST) ? NULL : real(path);
+    return in_folder(path) && inject_failure(LIST) ? NULL : real(path);
 }
 
 int fsync(int fd) {
     REAL(fsync);
-    if (file_below(fd)) {
-        step();
-        if (fails(FSYNC))
+    if (descriptor_in_folder(fd)) {
+        count_file_step();
+        if (inject_failure(FSYNC))
             return -1;
     }
     return real(fd);
@@ -287,9 +289,9 @@
 
 int rename(const char *from, const char *to) {
     REAL(rename);
-    if (below(from)) {
-        step();
-        if (fails(RENAME))
+    if (in_folder(from)) {
+        count_file_step();
+        if (inject_failure(RENAME))
             return -1;
     }
     return real(from, to);
--- a/packages/faults/src/puffindeck_faults/hosts.py
+++ b/packages/faults/src/puffindeck_faults/hosts.py
@@ -1,4 +1,4 @@
-"""A stand-in host of the platform's protocol, whose behaviour is switched while it runs."""
+"""A test host of the platform's protocol, whose behaviour can be changed while it runs."""
 
 from __future__ import annotations
 
@@ -11,42 +11,42 @@
 from puffindeck_faults.records import Attempt, Records, now
 from puffindeck_testing.ports import free_port
 
-MAX_FIRST_LINE_BYTES = 1 << 16  # a longer one is read no further
+MAX_FIRST_LINE_BYTES = 1 << 16  # the host stops reading a first line at this length
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER, socket(7): on, for 0 s
 
 
 class Behaviour(Enum):
-    """What a host does with first lines and with lines on open connections."""
+    """How a host reacts to first lines and to lines on open connections."""
 
     SERVE = auto()
-    HANG = auto()  # reads everything, answers nothing
-    ERROR = auto()  # ERR to first lines
-    FULL = auto()  # BUSY to first lines
+    HANG = auto()  # reads all lines, and answers none
+    ERROR = auto()  # answers ERR to first lines
+    FULL = auto()  # answers BUSY to first lines
     RESET = auto()  # resets the connection after the first line
-    CLOSE = auto()  # closes it instead
-    BYE = auto()  # sends BYE and closes open connections at their next line
+    CLOSE = auto()  # closes the connection after the first line
+    BYE = auto()  # sends BYE and closes an open connection at its next line
 
 
 class Host:
-    """One host, on a loopback address."""
+    """One host on a loopback address."""
 
     def __init__(self, name: str, records: Records, address: str) -> None:
         self.name = name
         self._records = records
         self._address = address
         self.behaviour = Behaviour.SERVE
-        self.delay_s = 0.0  # before UP
+        self.delay_s = 0.0  # delay of the answer to a first line
         self.port = free_port()
         self._server: asyncio.Server | None = None
         self._open: dict[asyncio.StreamWriter, Attempt] = {}
         self._count = 0
 
     async def start(self) -> None:
-        """Listen, always on the same port."""
+        """Start to listen, on the same port at each start."""
         self._server = await asyncio.start_server(self._serve, self._address, self.port, backlog=512)
 
     async def kill(self) -> None:
-        """As a killed process: all connections are reset, new ones refused."""
+        """Simulate a killed process: reset all connections, and refuse new ones."""
         self._records.host_ends.setdefault(self.name, []).append(now())
         if self._server is not None:
             self._server.close()
@@ -70,18 +70,18 @@
             if await self._read_first_line(reader, attempt):
                 await self._answer(reader, writer, attempt)
         except (OSError, asyncio.IncompleteReadError, asyncio.LimitOverrunError, asyncio.CancelledError):
-            pass  # cancelled only at the end of the run
+            pass  # CancelledError occurs only at the end of the run
         finally:
             attempt.closed = attempt.closed or now()
             self._open.pop(writer, None)
             writer.close()
 
     async def _read_first_line(self, reader: asyncio.StreamReader, attempt: Attempt) -> bool:
-        """Read a connection's first line. False if the connection ends before; what has come is then noted."""
+        """Read and record a connection's first line. Return False if only a part of the line could be read."""
         line = bytearray()
         while not line.endswith(b"\r\n"):
             try:
-                octet = await reader.read(1)  # one at a time: a reset loses what a longer read waits for
+                octet = await reader.read(1)  # single octets, because a reset discards what a longer read waits for
             except OSError:
                 octet = b""
             if not octet or len(line) == MAX_FIRST_LINE_BYTES:
--- a/packages/faults/src/puffindeck_faults/node_process.py
+++ b/packages/faults/src/puffindeck_faults/node_process.py
@@ -1,4 +1,4 @@
-"""A node as shipped, in a process of its own, with faults that are injected while it runs."""
+"""A node of the shipped program in a separate process, with faults that can be injected while it runs."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 
 READY_WITHIN_S = 20.0
 
-# The platform's earliest SIGKILL comes the longest deadline, of which it counts 3 s at most, and 0.7 s after SIGTERM.
+# The platform sends SIGKILL no earlier than the longest deadline (capped at 3 s) plus 0.7 s after SIGTERM.
 LONGEST_DEADLINE_S = 3.0
 KILL_DELAY_S = 0.7
-FRONT_GRACE_S = 0.3  # the front still sends clients so long after SIGTERM
+FRONT_END_GRACE_S = 0.3  # time after SIGTERM in which the platform's front end still sends clients
 
 
 class NodeProcess:
-    """One node: its file, its ports, its fault injector, and one process after another."""
+    """One node with its file, ports and fault injector. `start` can replace an ended process by a new one."""
 
     def __init__(self, name: str, folder: Path, records: Records, seed: int, descriptor_limit: int = 256) -> None:
-        """`seed` is the node's and its fault injector's; `folder` gets a folder of the node's name."""
+        """`seed` is used by the node and its fault injector. Creates a folder of the node's name in `folder`."""
         self.name = name
         self._records = records
         self._seed = seed
@@ -47,7 +47,7 @@
         self._starts = 0
 
     def write_config(self, discovery_port: int, settings: dict[str, Any]) -> None:
-        """Write the file that it reads at its start and at SIGHUP."""
+        """Write the configuration file, which the node reads when it starts and on SIGHUP."""
         self.config = {
             "name": self.name,
             "listen": f"{self._address}:{self.port}",
@@ -60,13 +60,16 @@
         self.write_text(json.dumps(self.config))
 
     def write_text(self, text: str) -> None:
-        """Replace the file's text, valid or not."""
-        draft = self.folder / "config.draft"
-        draft.write_text(text)
-        draft.replace(self.folder / "config.json")
+        """Replace the text of the configuration file atomically. The text need not be valid."""
+        temporary = self.folder / "config.draft"
+        temporary.write_text(text)
+        temporary.replace(self.folder / "config.json")
 
     async def start(self) -> None:
-        """Start a process and wait until it answers PONG. Raises NodeExitedError, TimeoutError."""
+        """Start a process, and wait until it answers PONG.
+
+        Raises NodeExitedError if the process ends first, and TimeoutError after 20 s.
+        """
         self._starts += 1
         environment = {
             **os.environ,
@@ -86,14 +89,14 @@
             )
         self.process_record = ProcessRecord(self.name, now())
         self._records.processes.append(self.process_record)
-        await asyncio.wait_for(self._until_ready(self.process), READY_WITHIN_S)
+        await asyncio.wait_for(self._wait_until_ready(self.process), READY_WITHIN_S)
         self.process_record.ready = now()
 
     def _log_path(self) -> Path:
-        """The file that the current process writes its log to."""
+        """Return the path of the current process's log."""
         return self.folder / f"log.{self._starts}"
 
-    async def _until_ready(self, process: subprocess.Popen[bytes]) -> None:
+    async def _wait_until_ready(self, process: subprocess.Popen[bytes]) -> None:
         while not await self.ping():
             try:
                 raise_if_exited(self.name, process, self._log_path())
@@ -103,7 +106,7 @@
             await asyncio.sleep(0.05)
 
     async def ping(self) -> bool:
-        """Does it answer PONG?"""
+        """Return whether the node answers PING with PONG within 2 s."""
         try:
             reader, writer = await asyncio.open_connection(self._address, self.port)
         except OSError:
@@ -117,7 +120,7 @@
             writer.close()
 
     async def call(self, method: str, path: str) -> int:
-        """Make an operator's call: its HTTP status, or 0 if there is no answer."""
+        """Make an operator's call, and return the HTTP status, or 0 if no answer arrives within 2 s."""
         try:
             reader, writer = await asyncio.open_connection(self._address, self.operator_port)
         except OSError:
@@ -132,23 +135,23 @@
             writer.close()
 
     def accepts_clients(self) -> bool:
-        """Whether the platform's front sends clients to this node now."""
+        """Return whether the platform's front end sends clients to this node now."""
         record = self.process_record
         if record is None or record.ready is None or record.exited is not None:
             return False
-        return record.terminated is None or now() < record.terminated + FRONT_GRACE_S
+        return record.terminated is None or now() < record.terminated + FRONT_END_GRACE_S
 
     def log(self) -> str:
-        """The logs of all its processes."""
+        """Return the logs of all processes of this node."""
         return "".join(path.read_text() for path in sorted(self.folder.glob("log.*")))
 
     def send_signal(self, number: int) -> None:
-        """Send a signal, if it is running."""
+        """Send a signal to the process if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
     def observe(self) -> None:
-        """Record how many descriptors it has, and whether it has ended by itself."""
+        """Record the number of open descriptors, or the exit of a process that has ended."""
         if self.process is None or self.process_record is None or self.process_record.exited is not None:
             return
         if self.process.poll() is not None:
@@ -173,7 +176,10 @@
         return self.process.poll() is not None
 
     async def stop(self, longest_deadline_s: float, first: int = signal.SIGTERM) -> None:
-        """Send `first` (SIGTERM), and SIGKILL at the earliest moment that the protocol page allows."""
+        """Send the signal `first`, and SIGKILL at the earliest time that the protocol page allows.
+
+        `longest_deadline_s` is the longest deadline of a request class, in seconds.
+        """
         if self.process is None or self.process_record is None or self.process.poll() is not None:
             return
         self.send_signal(first)
@@ -185,7 +191,7 @@
         self._record_exit()
 
     async def kill(self) -> None:
-        """Send SIGKILL, without SIGTERM before."""
+        """Kill the process with SIGKILL, without a SIGTERM first, and wait until it has ended."""
         if self.process is not None and self.process_record is not None and self.process.poll() is None:
             self.process_record.killed = now()
             self.process.kill()
--- a/packages/faults/src/puffindeck_faults/node_settings.py
+++ b/packages/faults/src/puffindeck_faults/node_settings.py
@@ -1,4 +1,4 @@
-"""The settings of a tested node, with the keys of the protocol page."""
+"""The settings of a node under test, with the keys of the protocol page."""
 
 from __future__ import annotations
 
@@ -9,7 +9,10 @@
 
 
 def node_settings(classes: Sequence[RequestClass], gateways: int, **changes: Any) -> dict[str, Any]:
-    """The settings of one of so many gateways. `changes` replace values, or single keys of the tables."""
+    """Return the settings of a node in a fleet of `gateways` nodes.
+
+    `changes` replaces values; a dict replaces only its own keys of a table.
+    """
     table: dict[str, Any] = {
         "peersTotal": gateways,
         "locality": 0,
--- a/packages/faults/src/puffindeck_faults/records.py
+++ b/packages/faults/src/puffindeck_faults/records.py
@@ -1,4 +1,7 @@
-"""What clients, hosts and discovery observed in a run. All times are seconds on this process's monotonic clock."""
+"""Records of what clients, hosts and discovery observed in a run.
+
+All times are in seconds on the monotonic clock of this process.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 def now() -> float:
-    """The current time, in seconds on the monotonic clock."""
+    """Return the current time in seconds on the monotonic clock."""
     return time.monotonic()
 
 
@@ -18,13 +21,13 @@
     host: str
     connected: float
     request: str = ""
-    first_byte: float | None = None
+    first_byte: float | None = None  # when the first byte of the first line had been read
     read: float | None = None  # when the complete first line had been read
-    up: float | None = None
-    receipt: str = ""  # the text after UP, different for each connection
+    up: float | None = None  # when the host answered UP
+    receipt: str = ""  # the text after UP, unique for each connection
     closed: float | None = None
     ended_by_host: bool = False
-    partial_line: str = ""  # of a connection that was closed within its first line: what had come of it
+    partial_line: str = ""  # the received part of a first line that was never completed
 
 
 @dataclass
@@ -39,13 +42,13 @@
     sent: float | None = None  # when the complete first line had been written
     answer: str | None = None
     answered: float | None = None
-    unanswered_since: float | None = None  # when the oldest line that has no answer was sent
+    unanswered_since: float | None = None  # when the oldest unanswered line was sent
     longest_silence_s: float = 0.0
     migrated: bool = False  # the node sent MOVE
     left: float | None = None  # when the client closed the connection
     ended: float | None = None  # when the node closed the connection
-    reset: bool = False  # the node closed it by a reset
-    first_line: str = ""  # as the client sent it, with its line end; empty: it has sent none
+    reset: bool = False  # the node reset the connection
+    first_line: str = ""  # the first line as sent, with its line end; empty if the client has not sent it
 
 
 @dataclass
@@ -64,17 +67,17 @@
 
 @dataclass
 class HostChange:
-    """A change of a host in discovery's list."""
+    """A change of a host in the list of discovery."""
 
     host: str
     state: str
     made: float
-    sent_to_nodes: dict[str, float] = field(default_factory=dict)  # when, by the node's name
+    sent_to_nodes: dict[str, float] = field(default_factory=dict)  # when the change was sent, by the node's name
 
 
 @dataclass
 class Detachment:
-    """A host that an operator detached at a node, from that call to the call that attached it again."""
+    """The time span in which an operator had a host detached at a node, from call to call."""
 
     node: str
     host: str
@@ -85,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Outage:
-    """A span in which discovery could not be reached."""
+    """A time span in which discovery was down or silent."""
 
     began: float
     ended: float
--- a/packages/faults/src/puffindeck_faults/scenario_runner.py
+++ b/packages/faults/src/puffindeck_faults/scenario_runner.py
@@ -1,4 +1,4 @@
-"""Runs a schedule on real processes: continuous clients, faults at their times, and SIGTERM to all nodes at the end."""
+"""Runs a schedule on real processes, with continuous clients, and sends SIGTERM to all nodes at the end."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from puffindeck_faults.schedule import Schedule
 from puffindeck_faults.world import World
 
-OBSERVE_INTERVAL_S = 0.2  # between two looks at the processes
-HOLD_RANGE_S = (0.3, 8.0)  # how long clients hold their connections
-EARLY_LEAVE_FRACTION = 0.05  # of the clients leave before their answer
-EARLY_LEAVE_RANGE_S = (0.0, 0.3)
-LOAD_FRACTION = 0.33  # of the hosts' capacity
+OBSERVE_INTERVAL_S = 0.2  # time between observations of the processes
+HOLD_RANGE_S = (0.3, 8.0)  # how long clients keep their connections open
+EARLY_LEAVE_FRACTION = 0.05  # fraction of the clients that close early if they have no answer
+EARLY_LEAVE_RANGE_S = (0.0, 0.3)  # when these clients close
+LOAD_FRACTION = 0.33  # request rate as a fraction of the hosts' capacity
 
 
 class ScenarioRunner:
     """One run of a schedule."""
 
     def __init__(self, schedule: Schedule, folder: Path) -> None:
-        """`folder` gets the nodes' files and logs."""
+        """`folder` is the parent of the nodes' folders with their files and logs."""
         self._schedule = schedule
         short_ms, long_ms = schedule.deadlines_ms
         classes = (
@@ -42,17 +42,17 @@
             schedule.descriptor_limit,
             limits={"maxAttempts": schedule.max_attempts},
         )
-        self._random = Random(f"player/{schedule.seed}")
+        self._random = Random(f"player/{schedule.seed}")  # replays of recorded runs depend on this text
         self._actions = FaultActions(self.world, self._random)
         self._tasks: set[asyncio.Task[None]] = set()
         self._ended = False
 
     async def run(self) -> list[Violation]:
-        """Run the whole schedule: the violated rules. Raises NodeExitedError and TimeoutError of a node's start."""
+        """Run the schedule, and return the violations. Raises NodeExitedError or TimeoutError if a node can't start."""
         async with self.world:
             began = now()
-            for work in (self._start_clients(), self._observe_processes(), self._start_faults(began)):
-                self._start(work)
+            for coroutine in (self._start_clients(), self._observe_processes(), self._start_faults(began)):
+                self._start(coroutine)
             await asyncio.sleep(self._schedule.seconds)
             await self._end()
         return check(self.world.records, self._limits())
@@ -65,8 +65,8 @@
             host_capacity=schedule.rate * schedule.nodes / (schedule.hosts * LOAD_FRACTION),
         )
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _start(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._on_done)
 
@@ -76,13 +76,13 @@
             raise RuntimeError("a fault could not be applied") from task.exception()
 
     async def _end(self) -> None:
-        """Send SIGTERM to all nodes at once; clients continue until SIGKILL."""
-        while any(self._actions.is_busy(name) for name in self.world.nodes):  # until restarts are complete
+        """Send SIGTERM to all nodes at once. New clients start until all nodes have ended."""
+        while any(self._actions.is_busy(name) for name in self.world.nodes):  # waits for unfinished restarts
             await asyncio.sleep(0.05)
         nodes = list(self.world.nodes.values())
-        await asyncio.gather(*(node.stop(self.world.longest_s) for node in nodes))
+        await asyncio.gather(*(node.stop(self.world.longest_deadline_s) for node in nodes))
         self._ended = True
-        await self.world.clients.finish(self.world.longest_s + 2.0)
+        await self.world.clients.finish(self.world.longest_deadline_s + 2.0)
         for task in list(self._tasks):
             task.cancel()
 
@@ -96,7 +96,7 @@
                 leaves_early = self._random.random() < EARLY_LEAVE_FRACTION
                 leave_after_s = self._random.uniform(*EARLY_LEAVE_RANGE_S) if leaves_early else None
                 hold_s = self._random.uniform(*HOLD_RANGE_S)
-                self.world.clients.begin(node.name, node.port, request_class, hold_s, leave_after_s)
+                self.world.clients.start(node.name, node.port, request_class, hold_s, leave_after_s)
 
     async def _observe_processes(self) -> None:
         while not self._ended:
@@ -112,6 +112,6 @@
 
 
 def run_schedule(schedule: Schedule, folder: Path) -> tuple[list[Violation], ScenarioRunner]:
-    """Run a schedule with an event loop of its own: the violated rules, and the runner with its records."""
+    """Run a schedule in a new event loop, and return the violations and the runner with its records."""
     runner = ScenarioRunner(schedule, folder)
     return asyncio.run(runner.run()), runner
--- a/packages/faults/src/puffindeck_faults/schedule.py
+++ b/packages/faults/src/puffindeck_faults/schedule.py
@@ -1,4 +1,7 @@
-"""The faults of a run and their times: drawn from a seed, stored as JSON, replayed unchanged."""
+"""Schedules: the settings of a run, and its faults with their times.
+
+A schedule is drawn from a seed, and can be stored as JSON and replayed.
+"""
 
 from __future__ import annotations
 
@@ -10,35 +13,39 @@
 import msgspec
 
 HOUR_S = 3600.0
-MEAN_INTERVAL_S = 0.8  # between faults
-FULL_QUIET_CHANCE = 0.2  # a run in so many has no fault in its first half
-USUAL_QUIET_S = 2.0
+MEAN_INTERVAL_S = 0.8  # mean time between faults
+HALF_QUIET_CHANCE = 0.2  # probability that the first half of a run has no faults
+DEFAULT_QUIET_S = 2.0  # usual time before the first fault
 
 
 class FaultKind(StrEnum):
-    """A kind of fault. The values are stored in schedules."""
+    """A kind of fault. Stored schedules contain the values."""
 
     CLOCK_STEP = "clock"  # the wall clock is stepped
     CALL = "call"  # a system call fails
-    SHORT_IO = "short"  # reads and writes are short
-    WRITE_PAUSE = "hold_up"  # the process is paused before writes
-    FREEZE = "freeze"  # SIGSTOP and SIGCONT
+    SHORT_IO = "short"  # reads and writes transfer only a few bytes
+    WRITE_PAUSE = "hold_up"  # the process pauses before writes
+    FREEZE = "freeze"  # the process is stopped by SIGSTOP, and continued by SIGCONT
     HOST = "host"  # a host changes its behaviour
-    HOST_KILLED = "host_dies"  # a host is killed and comes back in slow start
-    DRAIN = "drain"  # a host drains
-    DISCOVERY_DOWN = "discovery_down"
-    DISCOVERY_SILENT = "discovery_silent"
-    RELOAD = "reload"  # SIGHUP in series, the last file invalid or discovery moved
-    RESTART = "restart"  # SIGTERM, SIGKILL at the earliest moment, and a start
-    KILL = "kill"  # SIGKILL, and a start
-    IDLE_CLIENTS = "crowd"  # idle clients that fill the descriptors
-    MALFORMED_REQUESTS = "rude"  # clients that send a malformed or partial line
-    DISK = "disk"  # file operations in the node's folder fail
+    HOST_KILLED = "host_dies"  # a host is killed, and restarts in slow start
+    DRAIN = "drain"  # a host drains, is killed, and restarts in slow start
+    DISCOVERY_DOWN = "discovery_down"  # discovery refuses connections
+    DISCOVERY_SILENT = "discovery_silent"  # discovery keeps connections open and sends nothing
+    RELOAD = "reload"  # a node gets a series of SIGHUP, with an invalid file or another discovery port
+    RESTART = "restart"  # a node gets SIGTERM, SIGKILL at the earliest time, and is started again
+    KILL = "kill"  # a node gets SIGKILL, and is started again
+    IDLE_CLIENTS = "crowd"  # idle clients use up a node's descriptors
+    MALFORMED_REQUESTS = "rude"  # clients send malformed or partial lines
+    DISK = "disk"  # file operations in a node's folder for temporary files fail
     DETACH = "detach"  # an operator detaches a host at a node, and attaches it again
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One fault. `target` is a node's or a host's name; the meaning of the other fields depends on the kind."""
+    """One fault.
+
+    `target` is the name of a node or a host, and empty for a fault of discovery. The meaning of `argument` and
+    `amount` depends on the kind.
+    """
 
     at_s: float
     kind: FaultKind
@@ -49,17 +56,17 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """All that defines a run."""
+    """The settings and faults that define a run."""
 
     seed: int
     seconds: float
     nodes: int = 3
     hosts: int = 6
     descriptor_limit: int = msgspec.field(default=256, name="sockets")
-    rate: float = 8.0  # requests a second at each node
-    quiet_s: float = USUAL_QUIET_S  # before the first fault
+    rate: float = 8.0  # requests per second at each node
+    quiet_s: float = DEFAULT_QUIET_S  # time before the first fault
     max_attempts: int = 3
-    deadlines_ms: tuple[int, int] = (1200, 2500)  # of the classes `chat` and `sync`
+    deadlines_ms: tuple[int, int] = (1200, 2500)  # deadlines of the classes `chat` and `sync`
     faults: tuple[Fault, ...] = ()
 
 
@@ -78,17 +85,20 @@
 
 
 def draw_schedule(seed: int, seconds: float, only: tuple[FaultKind, ...] = ()) -> Schedule:
-    """A run of so many seconds. With `only`, no other kinds of fault."""
+    """Draw the schedule of a run of `seconds`. With `only`, all faults are of these kinds.
+
+    The schedule of a seed stays the same only if the order and the number of the random draws don't change.
+    """
     random = Random(f"soak/{seed}")
     nodes = random.choice((3, 3, 4))
     hosts = random.choice((5, 6, 8))
     kinds = only or tuple(FaultKind)
-    quiet_s = seconds / 2 if random.random() < FULL_QUIET_CHANCE else USUAL_QUIET_S
+    quiet_s = seconds / 2 if random.random() < HALF_QUIET_CHANCE else DEFAULT_QUIET_S
     faults: list[Fault] = []
-    moment = quiet_s
-    while moment < seconds - 1.0:
-        faults.append(_draw_fault(random, moment, random.choice(kinds), nodes, hosts))
-        moment += random.expovariate(1.0) * MEAN_INTERVAL_S
+    at_s = quiet_s
+    while at_s < seconds - 1.0:
+        faults.append(_draw_fault(random, at_s, random.choice(kinds), nodes, hosts))
+        at_s += random.expovariate(1.0) * MEAN_INTERVAL_S
     return Schedule(
         seed=seed,
         seconds=seconds,
@@ -105,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Draw:
-    """What one fault is drawn from."""
+    """The random generator and the values that a fault is made from. Each kind of fault uses some of the values."""
 
     random: Random
     at_s: float
@@ -134,8 +144,8 @@
 
 
 def _short_io(draw: _Draw) -> Fault:
-    most_bytes = draw.random.choice((1, 3, 17))
-    return Fault(draw.at_s, draw.kind, draw.node, amount=most_bytes, duration_s=draw.duration_s)
+    max_bytes = draw.random.choice((1, 3, 17))
+    return Fault(draw.at_s, draw.kind, draw.node, amount=max_bytes, duration_s=draw.duration_s)
 
 
 def _write_pause(draw: _Draw) -> Fault:
@@ -157,8 +167,8 @@
 
 
 def _reload(draw: _Draw) -> Fault:
-    how = draw.random.choice(RELOADS)
-    return Fault(draw.at_s, draw.kind, draw.node, how, draw.random.randint(1, 5))
+    variant = draw.random.choice(RELOADS)
+    return Fault(draw.at_s, draw.kind, draw.node, variant, draw.random.randint(1, 5))
 
 
 def _disk(draw: _Draw) -> Fault:
@@ -183,7 +193,7 @@
     return Fault(draw.at_s, draw.kind, duration_s=draw.random.uniform(0.5, 5.0))
 
 
-def _at_node(draw: _Draw) -> Fault:
+def _node_restart(draw: _Draw) -> Fault:
     return Fault(draw.at_s, draw.kind, draw.node)
 
 
@@ -199,8 +209,8 @@
     FaultKind.DISCOVERY_DOWN: _discovery,
     FaultKind.DISCOVERY_SILENT: _discovery,
     FaultKind.RELOAD: _reload,
-    FaultKind.RESTART: _at_node,
-    FaultKind.KILL: _at_node,
+    FaultKind.RESTART: _node_restart,
+    FaultKind.KILL: _node_restart,
     FaultKind.IDLE_CLIENTS: _idle_clients,
     FaultKind.MALFORMED_REQUESTS: _malformed_requests,
     FaultKind.DISK: _disk,
--- a/packages/faults/src/puffindeck_faults/world.py
+++ b/packages/faults/src/puffindeck_faults/world.py
@@ -1,4 +1,4 @@
-"""Nodes, hosts, discovery and clients on loopback: the environment of the tests and of the soak."""
+"""The environment of the tests and of the soak test: nodes, hosts, discovery and clients on loopback."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class World:
-    """A run's processes and peers. Use it with `async with`, which ends them all."""
+    """An environment of node processes and their peers. `async with` starts them, and stops them at its end."""
 
     def __init__(
         self,
@@ -47,9 +47,9 @@
         }
 
     @property
-    def longest_s(self) -> float:
+    def longest_deadline_s(self) -> float:
         """The longest deadline of a class, in seconds."""
-        return max(c.deadline_ms for c in self.classes) / 1000
+        return max(request_class.deadline_ms for request_class in self.classes) / 1000
 
     async def __aenter__(self) -> World:
         for host in self.hosts.values():
@@ -70,12 +70,12 @@
         self.discovery.stop()
 
     def listed_endpoint(self, name: str, state: str = "SERVING", started: bool = False) -> ListedEndpoint:
-        """A host's row of the list; `started`: it has just started, and its boot time is now (Unix time)."""
+        """Return a host's entry in the list. With `started`, its boot time is the current Unix time in ms, else 0."""
         boot_ms = round(time.time() * 1000) if started else 0
         return ListedEndpoint(name, f"{self._address}:{self.hosts[name].port}", state=state, boot_ms=boot_ms)
 
     async def wait_until(self, condition: Callable[[], Any], description: str, timeout_s: float = 10.0) -> None:
-        """Poll a condition until it is true. Raises AssertionError, naming it, after the time-out."""
+        """Poll a condition until it is true. Raises AssertionError with the description after the timeout."""
         deadline = now() + timeout_s
         while not condition():
             if now() > deadline:
--- a/packages/faults/tests/conftest.py
+++ b/packages/faults/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Skip these tests, with the reason, on a machine that has no C compiler."""
+"""Skips these tests on a machine without a C compiler."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 @pytest.fixture(autouse=True, scope="session")
-def compiled() -> None:
-    """Build the library that is loaded into the processes."""
+def fault_library() -> None:
+    """Build the library that is loaded into the processes, or skip the tests if there is no compiler."""
     try:
         build_library()
     except NoCompilerError as error:
--- a/packages/faults/tests/test_checker.py
+++ b/packages/faults/tests/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker finds each rule's violation, inserted once into valid records, and only it."""
+"""The checker finds exactly the violation that is inserted into valid records, for each rule."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from puffindeck_faults.checker import RunLimits, check
 from puffindeck_faults.records import Attempt, ClientRecord, Detachment, HostChange, Outage, ProcessRecord, Records
 
-TERMS = RunLimits(host_capacity=2.0)
+LIMITS = RunLimits(host_capacity=2.0)
 
 
-def valid() -> Records:
-    """A node that served three clients well: one migrated, one rejected, one that left early."""
+def valid_records() -> Records:
+    """Return records without violations: a client was migrated, one rejected, one closed early, one never connected."""
     records = Records()
     records.processes = [
         ProcessRecord("n0", 0.0, ready=0.5, terminated=60.0, exited=63.0, exit_code=0, peak_descriptors=90)
@@ -34,7 +34,7 @@
         ),
         ClientRecord("b", "n0", "chat", 1.0, connected=9.9, sent=10.0, answer="BUSY 100", answered=10.9, ended=11.0),
         ClientRecord("c", "n0", "chat", 1.0, connected=9.9, sent=10.0, left=10.1),
-        ClientRecord("d", "n0", "chat", 1.0),  # no connection came up
+        ClientRecord("d", "n0", "chat", 1.0),  # could not connect
     ]
     for client in records.clients[:3]:
         client.first_line = f"OPEN {client.request} 1f c=chat,d=1000,g=5\r\n"
@@ -49,7 +49,7 @@
     return records
 
 
-def attempt(records: Records, request: str) -> Attempt:
+def attempt_of(records: Records, request: str) -> Attempt:
     return next(one for one in records.attempts if one.request == request)
 
 
@@ -57,56 +57,56 @@
     records.clients[1].answer, records.clients[1].ended, records.clients[1].left = None, None, 12.5
 
 
-def closed_unanswered(records: Records) -> None:
+def connection_closed_without_answer(records: Records) -> None:
     records.clients[1].answer, records.clients[1].ended = None, 10.4
 
 
-def answered_late(records: Records) -> None:
+def answer_after_deadline(records: Records) -> None:
     records.clients[1].answered = 11.6
 
 
-def another_receipt(records: Records) -> None:
-    attempt(records, "a").receipt = "h0-2"
+def answer_that_no_host_sent(records: Records) -> None:
+    attempt_of(records, "a").receipt = "h0-2"
 
 
-def strange_first_line(records: Records) -> None:
+def first_line_that_no_client_sent(records: Records) -> None:
     records.attempts.append(Attempt("h1", 12.0, "?", 12.0, 12.0))
 
 
-def closed_within_the_line_of_one_attempt_too_many(records: Records) -> None:
-    for place in range(2):
-        records.attempts.append(Attempt("h1", 10.81, "", 10.82 + place / 100, closed=10.85, partial_line="OPEN b 1"))
+def partial_line_of_an_attempt_over_the_limit(records: Records) -> None:
+    for i in range(2):
+        records.attempts.append(Attempt("h1", 10.81, "", 10.82 + i / 100, closed=10.85, partial_line="OPEN b 1"))
 
 
-def begun_for_nobody_and_closed_within_its_line(records: Records) -> None:
+def partial_line_of_an_attempt_after_client_closed(records: Records) -> None:
     records.attempts.append(Attempt("h1", 10.31, "", 10.32, closed=10.4, partial_line="OPEN c 1f"))
 
 
-def one_attempt_too_many(records: Records) -> None:
-    for place in range(2):
-        records.attempts.append(Attempt("h1", 10.81, "b", 10.82 + place / 100, None, None, "", 10.85))
+def attempt_over_the_limit(records: Records) -> None:
+    for i in range(2):
+        records.attempts.append(Attempt("h1", 10.81, "b", 10.82 + i / 100, None, None, "", 10.85))
 
 
-def second_copy(records: Records) -> None:
-    attempt(records, "b").closed = 10.6
+def concurrent_attempts(records: Records) -> None:
+    attempt_of(records, "b").closed = 10.6
 
 
-def begun_for_nobody(records: Records) -> None:
+def attempt_after_client_closed(records: Records) -> None:
     records.attempts.append(Attempt("h1", 10.31, "c", 10.32, 10.32, None, "", 10.4))
 
 
-def after_the_grace(records: Records) -> None:
+def attempt_at_draining_host_after_grace_period(records: Records) -> None:
     records.clients.append(ClientRecord("e", "n0", "chat", 1.0, connected=11.5, sent=11.6, answer="ERR", answered=11.8))
     records.attempts.append(Attempt("h0", 11.7, "e", 11.7, 11.7, None, "", 11.8))
 
 
-def at_a_host_that_staff_took_out(records: Records) -> None:
+def attempt_at_detached_host(records: Records) -> None:
     records.detachments.append(Detachment("n0", "h1", 11.0, confirmed=11.1, ended=20.0))
     records.clients.append(ClientRecord("e", "n0", "chat", 1.0, connected=11.5, sent=11.6, answer="ERR", answered=11.8))
     records.attempts.append(Attempt("h1", 11.7, "e", 11.7, 11.7, None, "", 11.8))
 
 
-def too_many_at_a_cold_host(records: Records) -> None:
+def too_many_requests_in_slow_start(records: Records) -> None:
     for number in range(9):
         name = f"f{number}"
         records.clients.append(
@@ -115,86 +115,86 @@
         records.attempts.append(Attempt("h2", 10.45, name, 10.45, 10.45, None, "", 10.5))
 
 
-def cut(records: Records) -> None:
+def connection_closed_without_move(records: Records) -> None:
     records.clients[0].migrated = False
 
 
-def silent(records: Records) -> None:
+def silent_connection(records: Records) -> None:
     records.clients[0].longest_silence_s, records.clients[0].unanswered_since = 7.3, 12.6
 
 
-def not_ended_with_its_host(records: Records) -> None:
-    attempt(records, "a").ended_by_host, attempt(records, "a").closed = True, 18.0
+def connection_not_closed_after_its_host(records: Records) -> None:
+    attempt_of(records, "a").ended_by_host, attempt_of(records, "a").closed = True, 18.0
 
 
-def crash(records: Records) -> None:
+def process_exited_on_its_own(records: Records) -> None:
     records.processes[0].terminated = None
 
 
-def slow_start_of_a_process(records: Records) -> None:
+def process_ready_too_late(records: Records) -> None:
     records.processes[0].ready = 11.0
 
 
-def too_many_descriptors(records: Records) -> None:
+def descriptor_limit_exceeded(records: Records) -> None:
     records.processes[0].peak_descriptors = 257
 
 
 VIOLATIONS: dict[Callable[[Records], None], str] = {
     no_answer: "lost",
-    closed_unanswered: "lost",
-    answered_late: "lost",
-    another_receipt: "lost",
-    strange_first_line: "lost",
-    closed_within_the_line_of_one_attempt_too_many: "attempts",
-    begun_for_nobody_and_closed_within_its_line: "lost",
-    one_attempt_too_many: "attempts",
-    second_copy: "duplicate",
-    begun_for_nobody: "lost",
-    after_the_grace: "drain",
-    at_a_host_that_staff_took_out: "drain",
-    too_many_at_a_cold_host: "failback",
-    cut: "lost",
-    silent: "lost",
-    not_ended_with_its_host: "lost",
-    crash: "crash",
-    slow_start_of_a_process: "ready",
-    too_many_descriptors: "limit",
+    connection_closed_without_answer: "lost",
+    answer_after_deadline: "lost",
+    answer_that_no_host_sent: "lost",
+    first_line_that_no_client_sent: "lost",
+    partial_line_of_an_attempt_over_the_limit: "attempts",
+    partial_line_of_an_attempt_after_client_closed: "lost",
+    attempt_over_the_limit: "attempts",
+    concurrent_attempts: "duplicate",
+    attempt_after_client_closed: "lost",
+    attempt_at_draining_host_after_grace_period: "drain",
+    attempt_at_detached_host: "drain",
+    too_many_requests_in_slow_start: "failback",
+    connection_closed_without_move: "lost",
+    silent_connection: "lost",
+    connection_not_closed_after_its_host: "lost",
+    process_exited_on_its_own: "crash",
+    process_ready_too_late: "ready",
+    descriptor_limit_exceeded: "limit",
 }
 
 
-def test_sound_records_break_nothing() -> None:
-    assert check(valid(), TERMS) == []
+def test_valid_records_have_no_violations() -> None:
+    assert check(valid_records(), LIMITS) == []
 
 
 @pytest.mark.parametrize("insert", VIOLATIONS, ids=lambda insert: insert.__name__)
-def test_a_planted_break_is_found_and_only_it(insert: Callable[[Records], None]) -> None:
-    records = valid()
+def test_inserted_violation_is_the_only_one_found(insert: Callable[[Records], None]) -> None:
+    records = valid_records()
     insert(records)
-    assert [one.rule for one in check(records, TERMS)] == [VIOLATIONS[insert]]
+    assert [violation.rule for violation in check(records, LIMITS)] == [VIOLATIONS[insert]]
 
 
-def test_a_request_at_a_node_that_was_killed_with_no_word_is_not_held_against_it() -> None:
-    records = valid()
-    closed_unanswered(records)
+def test_unanswered_request_at_a_node_killed_without_sigterm_is_no_violation() -> None:
+    records = valid_records()
+    connection_closed_without_answer(records)
     records.processes[0].terminated, records.processes[0].killed, records.processes[0].exit_code = None, 10.4, -9
-    assert check(records, TERMS) == []
+    assert check(records, LIMITS) == []
 
 
-def test_a_change_while_discovery_was_down_counts_as_told_six_seconds_after_its_return() -> None:
-    records = valid()
-    after_the_grace(records)
+def test_change_during_an_outage_of_discovery_counts_as_notified_six_seconds_after_its_end() -> None:
+    records = valid_records()
+    attempt_at_draining_host_after_grace_period(records)
     records.changes[0].sent_to_nodes.clear()
     records.changes[0].made = 4.0
-    assert [one.rule for one in check(records, TERMS)] == ["drain"]
+    assert [violation.rule for violation in check(records, LIMITS)] == ["drain"]
     records.outages = [Outage(3.0, 8.0)]
-    assert check(records, TERMS) == []
+    assert check(records, LIMITS) == []
 
 
-def closed_within(received: str) -> Records:
-    """Valid records, but that one attempt for `c` was closed when so much of its line had come."""
-    records = valid()
-    one = attempt(records, "c")
-    one.request, one.read, one.partial_line = "", None, received
+def records_with_partial_line(received: str) -> Records:
+    """Return valid records in which the attempt for `c` was closed after the host had received part of its line."""
+    records = valid_records()
+    attempt = attempt_of(records, "c")
+    attempt.request, attempt.read, attempt.partial_line = "", None, received
     return records
 
 
@@ -202,21 +202,21 @@
 
 
 @pytest.mark.parametrize("octets", range(1, len(LINE_TO_HOST)))
-def test_an_attempt_that_was_closed_within_a_clients_line_is_no_violation(octets: int) -> None:
-    assert check(closed_within(LINE_TO_HOST[:octets]), TERMS) == []
+def test_attempt_closed_within_the_line_of_a_client_is_no_violation(octets: int) -> None:
+    assert check(records_with_partial_line(LINE_TO_HOST[:octets]), LIMITS) == []
 
 
-OTHER_PARTS = (
+PARTIAL_LINES_OF_NO_CLIENT = (
     "",
     "X",
     "open",
     "OPEN  ",
     "OPEN z",
-    "OPEN d",  # which has sent no line
+    "OPEN d",  # client d has sent no line
     "OPEN cc",
     "OPEN c 2",
     "OPEN c 1f c=chat,d=0",
-    "OPEN c 1f c=chat,d=1001",  # more than the client has
+    "OPEN c 1f c=chat,d=1001",  # more than the client's deadline of 1000 ms
     "OPEN c 1f c=chat,d=x",
     "OPEN c 1f c=chat,d=,",
     "OPEN c 1f c=chat,d=987,g=6",
@@ -226,6 +226,6 @@
 )
 
 
-@pytest.mark.parametrize("received", OTHER_PARTS)
-def test_a_part_of_a_line_that_no_clients_line_begins_with_is_a_violation(received: str) -> None:
-    assert [one.rule for one in check(closed_within(received), TERMS)] == ["lost"]
+@pytest.mark.parametrize("received", PARTIAL_LINES_OF_NO_CLIENT)
+def test_partial_line_that_matches_no_clients_line_is_a_violation(received: str) -> None:
+    assert [violation.rule for violation in check(records_with_partial_line(received), LIMITS)] == ["lost"]
--- a/packages/faults/tests/test_node_process.py
+++ b/packages/faults/tests/test_node_process.py
@@ -1,4 +1,4 @@
-"""A node's process: its port between the choice and the listening, and its end before it is ready."""
+"""A node process starts despite outgoing connections on the same port numbers, and reports an early exit."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 from puffindeck_testing.ports import own_address
 
 
-def test_a_node_starts_though_an_outgoing_connection_has_got_the_number_of_its_port(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_node_starts_while_outgoing_connections_use_its_port_numbers(tmp_path: Path) -> None:
+    async def scenario() -> None:
         world = World(tmp_path)
         node = world.nodes["n0"]
         with (
@@ -28,11 +28,11 @@
                 assert node.process_record is not None
                 assert node.process_record.ready is not None
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
-def test_a_node_that_ends_before_it_is_ready_fails_at_once_with_the_last_lines_of_its_log(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_start_raises_with_the_end_of_the_log_if_the_node_exits_before_it_is_ready(tmp_path: Path) -> None:
+    async def scenario() -> None:
         world = World(tmp_path)
         node = world.nodes["n0"]
         with (
@@ -46,4 +46,4 @@
         assert node.process_record.ready is None
         await world.__aexit__()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/packages/faults/tests/test_partial_lines.py
+++ b/packages/faults/tests/test_partial_lines.py
@@ -1,4 +1,4 @@
-"""A real node that writes octet by octet, and clients that leave while it writes their first line to a host."""
+"""A node closes attempts within their first lines, because clients close while it writes octet by octet."""
 
 from __future__ import annotations
 
@@ -11,30 +11,30 @@
 from puffindeck_faults.world import CLASSES, World
 
 CLIENTS = 5
-SEND_FAILURE_CHANCE = 0.99  # an octet goes out in about a hundred turns of the node's reactor
+SEND_FAILURE_CHANCE = 0.99  # on average a hundred iterations of the node's reactor send one octet
 
 
-async def leave_within_the_line(world: World) -> None:
-    """A client that leaves once its host has an octet of its line, from when on nothing more goes out."""
+async def close_client_within_its_line(world: World) -> None:
+    """Start a client, block all sends of the node once a host has an octet of its line, and close the client."""
     node = world.nodes["n0"]
     attempts_before = len(world.records.attempts)
     node.fault_injector.fail(SystemCall.SEND, errno.EAGAIN, chance=SEND_FAILURE_CHANCE)
-    world.clients.begin("n0", node.port, CLASSES[1], 0.0)
+    world.clients.start("n0", node.port, CLASSES[1], 0.0)
     await world.wait_until(
         lambda: any(one.first_byte for one in world.records.attempts[attempts_before:]), "an octet of the line"
     )
     node.fault_injector.fail(SystemCall.SEND, errno.EAGAIN)
     await world.clients.finish(0)
-    await world.wait_until(lambda: all(one.closed for one in world.records.attempts), "the attempt's end")
+    await world.wait_until(lambda: all(one.closed for one in world.records.attempts), "the attempt to end")
 
 
-def test_a_node_that_closes_attempts_within_their_lines_violates_nothing(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_attempts_closed_within_their_lines_violate_no_rule(tmp_path: Path) -> None:
+    async def scenario() -> None:
         async with World(tmp_path) as world:
             world.nodes["n0"].fault_injector.limit_io_bytes(1)
             for _ in range(CLIENTS):
-                await leave_within_the_line(world)
+                await close_client_within_its_line(world)
             assert sum(bool(one.partial_line) for one in world.records.attempts) == CLIENTS
             assert check(world.records, RunLimits()) == []
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/packages/faults/tests/test_soak.py
+++ b/packages/faults/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak, seeded: many faults at once on real processes, judged by what clients and hosts saw."""
+"""Short seeded runs of the soak test: real processes violate no rule under many concurrent faults."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 SEEDS, SECONDS, JOBS = (1, 2, 3, 4), 12.0, 2
 
 
-def test_short_runs_of_all_faults_break_no_rule() -> None:
+def test_short_runs_of_all_faults_violate_no_rule() -> None:
     with ProcessPoolExecutor(JOBS) as pool:
         results = list(pool.map(run, (draw_schedule(seed, SECONDS) for seed in SEEDS), [None] * len(SEEDS)))
     assert [(result.seed, result.violations, result.error) for result in results] == [(seed, [], "") for seed in SEEDS]
     assert all(result.answered["UP"] > 0 for result in results)
 
 
-def test_a_schedule_hangs_on_its_seed_alone_and_is_read_back_as_it_was() -> None:
+def test_schedule_depends_only_on_its_seed_and_is_decoded_unchanged() -> None:
     schedule = draw_schedule(7, 30.0)
     assert schedule == draw_schedule(7, 30.0) != draw_schedule(8, 30.0)
     assert msgspec.json.decode(msgspec.json.encode(schedule), type=Schedule) == schedule
 
 
-def test_every_kind_of_fault_is_drawn_and_one_alone_where_it_is_named() -> None:
+def test_all_kinds_of_faults_are_drawn_unless_only_one_is_selected() -> None:
     drawn = {fault.kind for seed in range(20) for fault in draw_schedule(seed, 30.0).faults}
     assert drawn == set(FaultKind)
     assert {fault.kind for fault in draw_schedule(1, 30.0, (FaultKind.CLOCK_STEP,)).faults} == {FaultKind.CLOCK_STEP}
 
 
-def test_seeds_are_one_or_a_range_and_others_an_error_that_names_them() -> None:
+def test_seeds_are_parsed_from_a_number_or_range_and_other_text_is_rejected() -> None:
     assert parse_seeds("3") == [3]
     assert parse_seeds("1..3") == [1, 2, 3]
     with pytest.raises(click.BadParameter, match="'x' is not a seed"):
