--- a/packages/faults/src/puffindeck_faults/checker.py
+++ b/packages/faults/src/puffindeck_faults/checker.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Violation:
-    """A violation of a rule at a time on the monotonic clock (seconds). `request` is empty if none is concerned."""
+    """A violation of a rule. `at` is in seconds on the monotonic clock; `request` is empty if none is affected."""
 
     rule: str
     at: float
@@ -94,7 +94,7 @@
         return matches[0] if len(matches) == 1 else None
 
     def _killed(self, client: ClientRecord) -> bool:
-        """Whether the client's node was killed without SIGTERM while the client was connected."""
+        """Return whether the client's node was killed without SIGTERM while the client was connected."""
         closed = min(client.ended or math.inf, client.left or math.inf)
         return any(
             process_record.name == client.node
@@ -126,7 +126,7 @@
             attempt = self._receipts.get(client.answer.partition(" ")[2])
             if attempt is None or attempt.request != client.request:
                 yield Violation(
-                    "lost", client.answered, f"{client.answer!r} was not sent for any of its attempts", client.request
+                    "lost", client.answered, f"no host answered {client.answer!r} to this request", client.request
                 )
 
     # Attempts
@@ -251,7 +251,9 @@
             ended, left = client.ended, client.left
             closed = attempt.closed or math.inf
             if min(ended or math.inf, left or math.inf) > closed + HOST_ENDED_S + SLACK_S:
-                yield Violation("lost", closed + HOST_ENDED_S, "not closed after its host closed", client.request)
+                yield Violation(
+                    "lost", closed + HOST_ENDED_S, "connection not closed after its host closed it", client.request
+                )
         elif client.ended is not None and not client.migrated and client.longest_silence_s < 1.0:
             how = "reset" if client.reset else "closed"
             yield Violation("lost", client.ended, f"connection {how} without MOVE", client.request)
--- a/packages/faults/src/puffindeck_faults/fault_actions.py
+++ b/packages/faults/src/puffindeck_faults/fault_actions.py
@@ -32,7 +32,9 @@
         """`random` chooses the text that misbehaving clients send."""
         self._world = world
         self._random = random
-        self._busy: set[str] = set()  # restarting nodes, draining or killed hosts, NODE/HOST detached, discovery faults
+        # Names of restarting nodes and of draining or killed hosts, detachments as NODE/HOST, and kinds of the current
+        # faults of discovery.
+        self._busy: set[str] = set()
         self._node_actions: dict[FaultKind, Callable[[Fault, NodeProcess], Awaitable[None]]] = {
             FaultKind.CLOCK_STEP: self._step_clock,
             FaultKind.CALL: self._fail_calls,
--- a/packages/testing/src/puffindeck_testing/gateways.py
+++ b/packages/testing/src/puffindeck_testing/gateways.py
@@ -23,10 +23,11 @@
 SERVICE_MS = 15  # maximum time until the server serves an admitted request
 MIN_DELAY_MS = 1  # minimum delay of a message
 DELAY_MS = 30  # maximum random addition to the delay of a message
-DUPLICATE_DELAY_FACTOR = 20  # maximum growth of the random delay, times the probability of duplication
+# The random addition to the delay is multiplied by up to 1 plus this factor times the probability of duplication.
+DUPLICATE_DELAY_FACTOR = 20
 SETTLE_S = 16  # time after which the gateways have their first permits
 AFTER_WINDOW_START_MS = 200  # minimum time since the start of the window when `settle` returns
-AFTER_WINDOW_START_MAX_MS = 250  # exclusive maximum of the same time
+AFTER_WINDOW_START_MAX_MS = 250  # maximum of that time, exclusive
 
 
 class InFlight(NamedTuple):
@@ -182,7 +183,7 @@
         return max(self.admitted.values(), default=0)
 
     def _request_count(self, rate: float) -> int:
-        """Return the number of requests in one step, with the fraction rounded randomly."""
+        """Return the number of requests in one step. A fraction is rounded up with a probability equal to it."""
         whole = int(rate / STEPS_PER_SECOND)
         return whole + (self.random.random() < rate / STEPS_PER_SECOND % 1)
 
--- a/packages/testing/src/puffindeck_testing/relay.py
+++ b/packages/testing/src/puffindeck_testing/relay.py
@@ -41,7 +41,7 @@
         self._relay = relay
 
     def error_received(self, exc: Exception) -> None:
-        """Report a refusal by the destination to the relay; other errors are ignored."""
+        """Report a refusal by the destination to the relay, and ignore other errors."""
         if isinstance(exc, ConnectionRefusedError):
             self._relay.on_refused()
 
@@ -73,7 +73,7 @@
         self._inbound, _ = await loop.create_datagram_endpoint(lambda: _Inbound(self), local_addr=self._address)
 
     def on_datagram(self, data: bytes) -> None:
-        """Apply the faults to a datagram, and forward it unless it is lost."""
+        """Apply the faults to a datagram, and schedule its forwarding unless it is lost."""
         faults = self.faults
         if faults.cut or self._random.random() < faults.loss:
             return
@@ -106,7 +106,7 @@
         await self._listen()
 
     def close(self) -> None:
-        """Close both sides."""
+        """Close both sockets of the relay."""
         if self._reopening is not None:
             self._reopening.cancel()
         for transport in (self._inbound, self._outbound):
--- a/packages/testing/src/puffindeck_testing/world.py
+++ b/packages/testing/src/puffindeck_testing/world.py
@@ -48,8 +48,8 @@
         self.seed = seed
         self.tables = tables
         self.address = own_address()
-        self.connections: list[HostConnection] = []  # of all hosts
-        self.last_states: dict[str, dict[str, str]] = {}  # at the last call of all_alive
+        self.connections: list[HostConnection] = []  # connections of all hosts
+        self.last_states: dict[str, dict[str, str]] = {}  # states by gateway and member, at the last all_alive call
         self.results: list[ClientResult] = []
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self.ports: dict[str, GatewayPorts] = {name: new_ports() for name in regions}
@@ -61,7 +61,7 @@
         ]
         for host in self.hosts:
             self._loop.run(host.start())
-        self.relays: dict[tuple[str, str], Relay] = {}  # by sender and receiver
+        self.relays: dict[tuple[str, str], Relay] = {}  # relays by sender and receiver
         self._relay_addresses: dict[tuple[str, str], str] = {}
         self._open_relays()
 
