--- a/puffindeck/net/admission.py
+++ b/puffindeck/net/admission.py
@@ -20,7 +20,7 @@
     """A client's connection that has no request yet, or has had its final answer."""
 
     def evict(self) -> None:
-        """Close the connection, as its descriptor is needed."""
+        """Close the connection to free its descriptor."""
 
 
 class AdmissionControl:
@@ -82,7 +82,7 @@
         self._evict_excess()
 
     def on_closed(self, client: WaitingClient) -> None:
-        """Remove a client from all tables, as its connection has closed or changes its table."""
+        """Remove a client from all tables, because its connection has closed or moves to another table."""
         for table in (self.waiting, self.idle, self.awaiting_close):
             table.pop(client, None)
         self._evicted.discard(client)
@@ -93,7 +93,10 @@
         self._evict_excess()
 
     def _evict_excess(self) -> None:
-        """Evict clients above the limit: idle ones first, then the oldest, which have had time to read."""
+        """Evict clients above the limit: idle ones first, then those of the larger of the other two tables.
+
+        In each table the oldest goes first; an answered client has then had time to read its answer.
+        """
         if self._is_evicting:  # eviction reads pending input, and a request in it leads here again
             return
         self._is_evicting = True
@@ -111,7 +114,7 @@
         oldest.evict()
 
     def evict_one(self) -> None:
-        """Evict one client, if any, as the system is out of descriptors despite the computed limit."""
+        """Evict one client, if any, because the system is out of descriptors despite the computed limit."""
         if self._count() and not self._is_evicting:
             self._evict_oldest()
 
--- a/puffindeck/net/attempt.py
+++ b/puffindeck/net/attempt.py
@@ -43,7 +43,7 @@
         """Relay data from the host."""
 
     def on_host_ended(self, is_clean: bool) -> None:
-        """End the client's side in the same way, cleanly or broken, as the host ended its own."""
+        """End the client's side as the host ended its own: cleanly if `is_clean`, else with a reset."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/puffindeck/net/client.py
+++ b/puffindeck/net/client.py
@@ -34,7 +34,7 @@
         """Register a new connection and start its time-out (Twisted's hook)."""
         self.transport.setTcpNoDelay(True)
         self.services.connections.clients.add(self)
-        self.services.wall_clock.check()  # a step may hold up the timers that check it too
+        self.services.wall_clock.check()  # the periodic check may be delayed
         self.set_timeout(FIRST_LINE_TIMEOUT)
         self.services.admission.on_accepted(self)
 
@@ -150,7 +150,7 @@
         self.relay.on_established(link)
 
     def migrate(self) -> bool:
-        """Send the client a MOVE between two lines. Always possible, so returns True."""
+        """Send the client a MOVE between two lines. Returns True, because this is always possible."""
         self.relay.migrate()
         return True
 
@@ -181,7 +181,7 @@
     def answer_before_stop(self, close_idle: bool) -> None:
         """Answer or move the client at the end of a shutdown.
 
-        `close_idle`: whether a client without a request is answered too, as the process is to end.
+        `close_idle` is true if the process ends; a client without a request is then answered too.
         """
         if self.state in WITHOUT_REQUEST and close_idle:
             drain_receive_buffer(self.transport)  # a request received by now gets a normal answer
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -67,12 +67,12 @@
         self.deadlines.cancel(self._timeout)
 
     def _on_timeout(self) -> None:
-        """Answer a client without a complete line in time, or evict one that has not closed in time."""
+        """Answer a client that has sent no complete line, or evict one that has not closed, in time."""
         self._timeout = None
         if self.state in WITHOUT_REQUEST:
             drain_receive_buffer(self.transport)
         if self._timeout is not None or self.state not in CAN_TIME_OUT:
-            return  # the drained input contained its line
+            return  # the drained input contained the client's line
         if self.state is ConnectionState.HALF_CLOSED:
             self.evict()
         elif self.clearLineBuffer():
@@ -83,7 +83,7 @@
     def is_waiting(self) -> bool:
         """Return whether the client waits for its answer.
 
-        False also if it has closed and the reactor has not processed the close yet.
+        Also False if the client has closed, but the reactor has not processed the close yet.
         """
         return self.state is ConnectionState.WAITING and not peer_has_closed(self.transport)
 
@@ -123,7 +123,8 @@
         end_sending(self.transport)
         self.transport.resumeProducing()  # flow control of the relay may have paused it
         self.set_timeout(LINGER_TIMEOUT)
-        self.services.admission.on_answered(self)  # last, as a shortage of descriptors evicts it at once
+        # The last step, because a shortage of descriptors may evict this client at once.
+        self.services.admission.on_answered(self)
 
     def log_close(self, why: Reason) -> None:
         """Log why an established connection ends."""
@@ -136,14 +137,14 @@
             self.services.connections.open_ids.discard(self.head.id)
 
     def evict(self) -> None:
-        """Close now, as the descriptor is needed or the client has not closed in time."""
+        """Close now, because the descriptor is needed or the client has not closed in time."""
         if self.state in WITHOUT_REQUEST:
             drain_receive_buffer(self.transport)
             if self.state in WITHOUT_REQUEST:
                 self.reply_busy()
         if self.state is ConnectionState.HALF_CLOSED:
             self.transport.loseConnection()
-            if self.state is ConnectionState.HALF_CLOSED:  # output is pending: the client doesn't read
+            if self.state is ConnectionState.HALF_CLOSED:  # the client doesn't read the pending output
                 self.transport.abortConnection()
 
     def discard(self, data: bytes) -> None:
--- a/puffindeck/net/client_listeners.py
+++ b/puffindeck/net/client_listeners.py
@@ -72,11 +72,11 @@
     def close_when_empty(self, is_overdue: bool) -> bool:
         """Accept all pending connections; close the ports if there were none, or if the shutdown is overdue.
 
-        Returns whether there were none. Connections pending at an inherited socket are left to the other
-        processes that share it.
+        Returns whether there were no pending connections. Those at an inherited socket don't count: they are
+        left to the other processes that share it.
         """
         accepted = 0 if self.is_inherited else sum(port.accept_all() for port in self._connected())
-        is_blocked = any(port.blocked for port in self._connected())  # connections are still pending there
+        is_blocked = any(port.blocked for port in self._connected())  # has pending connections
         if is_overdue or not (accepted or is_blocked):
             self.close()
         return not (accepted or is_blocked)
--- a/puffindeck/net/closing.py
+++ b/puffindeck/net/closing.py
@@ -28,7 +28,7 @@
 
 
 def drain_receive_buffer(transport: Any) -> None:
-    """Read the input received by now, as it must be answered even if the connection is about to be closed."""
+    """Read the input received by now. It must be answered even if the connection is about to be closed."""
     if transport.connected and not transport.disconnecting:
         transport.doRead()  # an end of file recurs in the reactor's next turn
 
@@ -77,13 +77,13 @@
             self._transport.startWriting()
 
     def stopProducing(self) -> None:
-        """Do nothing, as the transport is closed (Twisted's hook)."""
+        """Do nothing, because the transport is closed (Twisted's hook)."""
 
 
 def reset_after_flush(transport: Any, deadlines: TimerQueue, connected: Callable[[], bool]) -> None:
-    """Reset a connection once its pending output is sent, as that may contain the client's answer.
+    """Reset a connection once its pending output, which may contain the client's answer, is sent.
 
-    An immediate abort would discard it. The connection is aborted after LINGER_TIMEOUT in any case.
+    An immediate abort would discard that output. After LINGER_TIMEOUT the connection is aborted in any case.
     """
     transport.unregisterProducer()
     transport.registerProducer(_ResetWhenSent(transport), False)
--- a/puffindeck/net/config_reload.py
+++ b/puffindeck/net/config_reload.py
@@ -20,8 +20,9 @@
 
 
 class ConfigReload:
-    """Applies the configuration file again. An invalid file changes nothing; an unreadable one is retried.
+    """Rereads and applies the configuration file.
 
+    An invalid file changes nothing; an unreadable one is retried.
     `config` returns the settings in force, `apply` puts new ones into force.
     """
 
--- a/puffindeck/net/connection_state.py
+++ b/puffindeck/net/connection_state.py
@@ -15,12 +15,13 @@
     RELAYING = auto()  # served: bytes are relayed unchanged
     HOLDING_LINE = auto()  # served, MOVE follows soon: a partial line is buffered until it is complete
     MOVING = auto()  # served; MOVE is sent when the line that is being relayed has ended
-    HALF_CLOSED = auto()  # answered, and our side is closed; further input is discarded
-    RESETTING = auto()  # reset once all output is sent, as the host's connection was reset
-    CLOSED = auto()  # closed
+    HALF_CLOSED = auto()  # answered, and the node's side is closed; further input is discarded
+    RESETTING = auto()  # the host's connection broke; this one is reset once all output is sent
+    CLOSED = auto()  # the connection has ended
 
 
-# Of two concurrent events, the second can't reach its state from that of the first, and has no effect.
+# The states that can follow each state. If two events coincide, the first one changes the state. The second
+# has no effect if the state that it leads to can't follow.
 TRANSITIONS: dict[ConnectionState, frozenset[ConnectionState]] = {
     ConnectionState.NEW: frozenset(
         {
--- a/puffindeck/net/detachment.py
+++ b/puffindeck/net/detachment.py
@@ -100,7 +100,7 @@
             self._record(host)
 
     def _apply_records(self) -> None:
-        unrecorded = self._unrecorded.keys()  # their state here is newer than that in the folder
+        unrecorded = self._unrecorded.keys()  # this process's state of these hosts is newer than the folder's
         marked = (self.store.read() - unrecorded) | (self._hosts & unrecorded)
         for host in sorted(marked - self._hosts):
             self._detach_now(host)
--- a/puffindeck/net/discovery.py
+++ b/puffindeck/net/discovery.py
@@ -40,7 +40,7 @@
     If lists are pushed to an agent on this machine (`pushed`), the decision module schedules no polls, and a
     list counts as known as soon as the agent has it. The agent is therefore watched from the start, and its
     whole list is read again after each failure. A silent agent is called repeatedly, in parallel with the
-    calls still open, so that the list that it receives when it recovers is read at once.
+    calls still open. When the agent recovers, its new list is thus read at once.
 
     `on_answer` is called after each answer and after each failure.
     """
@@ -95,7 +95,7 @@
         self._call()
 
     def _call_in_parallel(self) -> None:
-        """Make another call, as the agent is silent or this process too busy to read. Any answer counts."""
+        """Make another call: the agent is silent, or this process too busy to read. Any answer counts."""
         if len(self._calls) == 1:
             self._report_failure("no answer")
         while len(self._calls) >= MAX_PARALLEL_CALLS:
@@ -185,7 +185,7 @@
         self._list_timeout = None
 
     def on_failure(self, why: str) -> None:
-        """Cancel the calls or the watch, and report the failure."""
+        """Cancel the calls or the watch, and report the failure; an agent is polled again after a delay."""
         self._drop()
         if not self._stopped:
             if self._pushed:
--- a/puffindeck/net/discovery_responses.py
+++ b/puffindeck/net/discovery_responses.py
@@ -15,7 +15,7 @@
 
 @implementer(IAgentEndpointFactory)
 class AddressEndpoints:
-    """Connects to the IP address in a URL without name resolution."""
+    """Connects to the IP address in a URL without name resolution, with a time-out of 2 s."""
 
     def __init__(self, reactor: Any) -> None:
         self._reactor = reactor
@@ -87,7 +87,7 @@
 
 
 class ListResponse(WatchResponse):
-    """Collects a whole list. Received bytes extend no time-out, as they report no heartbeat."""
+    """Collects a whole list. Received bytes are not reported as heartbeats, so they extend no time-out."""
 
     def __init__(self, handler: ResponseHandler | None) -> None:
         super().__init__(handler)
--- a/puffindeck/net/fleet_member.py
+++ b/puffindeck/net/fleet_member.py
@@ -48,7 +48,10 @@
         self._engine: Engine | None = None
 
     def wrap(self, balancer: Any) -> Decisions:
-        """Return the decision module, wrapped in a request filter if there are quotas or residency rules."""
+        """Create the fleet if one is configured, and return the decision module.
+
+        The module is wrapped in a request filter if there are quotas or residency rules.
+        """
         config = self._config()
         member_config = config.fleet_member
         if member_config is None:
@@ -153,7 +156,7 @@
         return RequestView(event.connection_info or ConnectionInfo(), cls, lambda pool: 0, event.group)
 
     def _tenant(self, view: Any) -> str:
-        """Return the first tenant whose conditions hold, or `default` if there is none."""
+        """Return the name of the first tenant whose conditions hold, or `default` if there is none."""
         member_config = self._config().fleet_member
         assert member_config is not None
         assert member_config.quota is not None
@@ -163,7 +166,7 @@
         return "default"
 
     def _end_after_takeover(self, error: Exception) -> None:
-        """End this process, as another one has taken over this instance's name."""
+        """End this process, because another one has taken over this instance's name."""
         if not self.failure:
             from puffindeck_errors import OperatorError, describe
 
--- a/puffindeck/net/graceful_shutdown.py
+++ b/puffindeck/net/graceful_shutdown.py
@@ -25,13 +25,14 @@
 class DrainSchedule(NamedTuple):
     """The times of a shutdown's steps, counted from its start."""
 
-    accept_duration: timedelta  # new requests are accepted this long, as the front still routes clients here
+    # New requests are accepted for this time, because the front still routes clients here.
+    accept_duration: timedelta
     first_move: timedelta  # time of the first MOVE
     move_spread: timedelta  # MOVEs are spread over this time, so that clients don't all reconnect at once
     end: timedelta  # time by which all requests are answered and all connections closed
 
     def before_kill(self, longest: timedelta) -> DrainSchedule:
-        """Return the schedule, shortened if a short longest deadline makes the kill come earlier."""
+        """Return the schedule, shortened to end before the kill after the `longest` request deadline."""
         end = min(self.end, min(longest, MAX_DEADLINE) + KILL_DELAY - KILL_MARGIN)
         scale = end / self.end
         return DrainSchedule(
@@ -101,7 +102,7 @@
             client.relay.release_lines()
 
     def _plan_moves(self) -> None:
-        """Schedule each client's MOVE, and MAX_LINE_HOLD before it the buffering of partial lines."""
+        """Schedule each client's MOVE, and the buffering of partial lines from MAX_LINE_HOLD before it."""
         established = self._engine.established_requests()
         now = self._deadlines.clock.now()
         moves_begin = self._start + self._schedule.first_move
@@ -129,7 +130,7 @@
             self._pending.append(self._deadlines.after(CHECK_INTERVAL, self._check))
 
     def _answer_all(self) -> None:
-        """Answer or move all clients at the end; if the process ends, also those not accepted yet."""
+        """Answer or move all clients at the end, including pending connections if the process ends."""
         if self.ends_process:
             self._listeners.close_when_empty(self.is_overdue)
         for client in list(self._connections.clients):
--- a/puffindeck/net/lifecycle.py
+++ b/puffindeck/net/lifecycle.py
@@ -53,7 +53,7 @@
         return "stopping" if self.shutdown.ends_process else "draining"
 
     def when_ready(self, callback: ReadinessCallback) -> None:
-        """Call with True once the node serves, or with False once it drains or stops."""
+        """Call `callback` with True once the node serves, or with False once it drains or stops."""
         if self.is_ready or self.shutdown is not None:
             callback(self.shutdown is None)
         else:
@@ -64,7 +64,7 @@
         self._waiting.pop(callback, None)
 
     def notify_waiting(self) -> None:
-        """Call all waiting callbacks with whether this node serves."""
+        """Call all waiting callbacks: with True if this node serves, with False if it drains or stops."""
         waiting, self._waiting = self._waiting, {}
         for callback in waiting:
             callback(self.shutdown is None)
@@ -111,8 +111,8 @@
     def stop_accepting(self, for_good: bool) -> None:
         """Accept no further requests. The port stays open until the end, and new clients are answered BUSY.
 
-        `for_good`: whether the process is going to end. An inherited socket is then closed at once, and the
-        connections pending there are left to the other processes that share it.
+        `for_good` is true if the process is going to end. It then closes an inherited socket at once, and
+        leaves the connections pending there to the other processes that share it.
         """
         self.is_accepting = False
         if for_good and self._listeners.is_inherited:
--- a/puffindeck/net/listening.py
+++ b/puffindeck/net/listening.py
@@ -1,4 +1,4 @@
-"""Listening sockets that are opened or inherited, and that lose no connection to a local shortage.
+"""Listening sockets, opened or inherited, that lose no connection if this machine is short of resources.
 
 Twisted's own port closes connections unread when descriptors run out, and retries in each turn without a
 delay when memory or buffers run out. A connection may already contain a complete request that must be
@@ -37,7 +37,8 @@
     transport = ClientTransport
     factory: Any
     blocked = False  # whether the last accept failed for a local shortage
-    on_blocked: Callable[[], None] = staticmethod(lambda: None)  # may free a descriptor
+    # Called after an accept that failed for a local shortage; may free a descriptor.
+    on_blocked: Callable[[], None] = staticmethod(lambda: None)
     _reserved: int | None = None  # spare descriptor, released to accept one connection when none is left
 
     @property
@@ -47,7 +48,7 @@
 
     @numberAccepts.setter
     def numberAccepts(self, count: int) -> None:
-        """Ignore the value (Twisted's attribute), as the library would raise it without a bound."""
+        """Ignore the value, because Twisted would raise it without a bound (Twisted's attribute)."""
 
     def startListening(self) -> None:
         """Open the socket and reserve a spare descriptor."""
@@ -98,7 +99,7 @@
         return True
 
     def _pause(self, error: OSError) -> None:
-        """Stop accepting for ACCEPT_RETRY_S, as immediate retries would take all the process's time."""
+        """Stop accepting for ACCEPT_RETRY_S, because immediate retries would take all the process's time."""
         if not self.blocked:
             log.warn("clients: can't accept: {error}, tried again", error=error.strerror)
         self.blocked = True
@@ -139,7 +140,7 @@
 def adopt(reactor: Any, descriptor: int, factory: Any) -> Port:
     """Listen on a socket shared with other processes, like the reactor's adoptStreamPort, but with `Port`.
 
-    The socket becomes non-blocking. It is never shut down, as that would end it for all processes.
+    The socket becomes non-blocking. It is never shut down, because that would end it for all processes.
     """
     os.set_blocking(descriptor, False)
     with socket.socket(fileno=os.dup(descriptor)) as shared:
@@ -162,7 +163,7 @@
         except CannotListenError as error:
             if not attempts_left or errno_of(error.socketError) not in NO_RESOURCE:
                 raise
-            time.sleep(LISTEN_RETRY_S)  # blocking is acceptable, as nothing is served yet
+            time.sleep(LISTEN_RETRY_S)  # blocking is acceptable: nothing is served yet
         else:
             return opened
     raise AssertionError("unreachable")
--- a/puffindeck/net/node.py
+++ b/puffindeck/net/node.py
@@ -288,7 +288,7 @@
             self._shut_down(RESTART)
 
     def _hand_over(self) -> None:
-        """Stop accepting connections and end, as a newer process is ready."""
+        """Stop accepting connections and end, because a newer process is ready."""
         log.info("upgrade: a newer process is ready")
         self.listeners.close()
         self._shut_down(UPGRADE)
--- a/puffindeck/net/process_registry.py
+++ b/puffindeck/net/process_registry.py
@@ -1,4 +1,4 @@
-"""The processes of one node during an upgrade; each holds a lock on a file of its own while it lives."""
+"""The processes of one node during an upgrade; each holds a lock on a file of its own while it runs."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
     # in milliseconds of the machine's monotonic clock, which all processes share
     written_at_ms: float = msgspec.field(name="at")
-    # None means that no limit is known, as JSON has no infinity
+    # None if no limit is known: it stands for infinity, which JSON lacks
     load_limits: dict[str, float | None] = msgspec.field(name="ceilings")
 
 
@@ -39,7 +39,7 @@
 class ProcessRegistry:
     """Registers this process, and finds the other processes of its node.
 
-    The system releases a process's lock however it ends, so stale files are recognized as such.
+    The system releases a process's lock however the process ends. A file without a lock is therefore stale.
     """
 
     def __init__(self, folder: Path) -> None:
--- a/puffindeck/net/relay.py
+++ b/puffindeck/net/relay.py
@@ -16,7 +16,7 @@
 
 log = Logger("puffindeck")
 
-# Time before a MOVE from which partial lines are buffered. A line delayed by over a second counts as lost.
+# Partial lines are buffered from this long before a MOVE. A line delayed by over a second counts as lost.
 MAX_LINE_HOLD = milliseconds(700)
 
 
@@ -70,6 +70,7 @@
             self._client.transport.write(data)
 
     def _write_whole_lines(self, data: bytes) -> None:
+        """Write complete lines, and buffer the rest unless over 2 * MAX_LINE bytes have accumulated."""
         if self._line_open:
             end = data.find(b"\n") + 1
             self._write(data[:end] if end else data)
@@ -80,11 +81,11 @@
         self._write(text[:end])
 
     def hold_lines(self) -> None:
-        """Buffer partial lines from now on, as the client is moved after MAX_LINE_HOLD."""
+        """Buffer partial lines from now on, because the client is moved after MAX_LINE_HOLD."""
         self._client.transition_to(ConnectionState.HOLDING_LINE)
 
     def release_lines(self) -> None:
-        """Write the buffered data, as the MOVE is cancelled or the host has closed."""
+        """Write the buffered data, because the MOVE is cancelled or the host has closed."""
         is_holding = self._client.state is ConnectionState.HOLDING_LINE
         if is_holding and self._client.transition_to(ConnectionState.RELAYING):
             start, self._buffered_start = self._buffered_start, b""
@@ -93,7 +94,10 @@
     # End of the connection
 
     def on_host_ended(self, is_clean: bool) -> None:
-        """End the client's side in the same way, cleanly or broken, as the host ended its own."""
+        """End the client's side as the host ended its own: cleanly if `is_clean`, else with a reset.
+
+        A client that waits for its MOVE is moved instead.
+        """
         client = self._client
         self.release_lines()
         if client.state in SERVED:
@@ -131,7 +135,7 @@
             self.link.abandon()
 
     def on_host_silent(self) -> None:
-        """Close a connection whose host has fallen silent: the module gets a reset, the client a MOVE.
+        """Close a connection whose host is silent: the client gets a MOVE, the decision module a reset.
 
         In the middle of a line MOVE can't be sent, so the connection is only closed.
         """
--- a/puffindeck/net/request_log.py
+++ b/puffindeck/net/request_log.py
@@ -13,7 +13,9 @@
 from puffindeck.interface import Outcome
 from puffindeck.net.logs import RateLimitedLog
 
-MAX_LINES = 100  # per kind and period of `RateLimitedLog`; a burst beyond it is only counted
+# Lines of one kind per period of `RateLimitedLog`. Further ones are only counted, so that logging a burst of
+# requests takes little time.
+MAX_LINES = 100
 
 
 class RequestLog:
--- a/puffindeck/net/served_classes.py
+++ b/puffindeck/net/served_classes.py
@@ -8,7 +8,8 @@
 from puffindeck.core.timer_queue import TimerQueue
 from puffindeck.interface import ClassSettings
 
-DROP_DELAY = milliseconds(5000)  # time that a dropped class is still served, as clients are updated later
+# A dropped class is served for this time, because clients learn of the drop later.
+DROP_DELAY = milliseconds(5000)
 
 
 class ServedClasses:
@@ -20,7 +21,7 @@
         self._deadlines = deadlines
 
     def apply(self, named: Iterable[ClassSettings], numbered: Sequence[ClassSettings]) -> set[str]:
-        """Serve the classes `named`; `numbered` has each at its number. Returns the dropped names."""
+        """Serve the classes `named`, which `numbered` lists by number. Returns the dropped classes' names."""
         numbers = {rules.name: number for number, rules in enumerate(numbered)}
         self._configured = {rules.name for rules in named}
         dropped = self.numbers.keys() - self._configured
--- a/puffindeck/net/silence_monitor.py
+++ b/puffindeck/net/silence_monitor.py
@@ -7,9 +7,9 @@
 from puffindeck.net.connection_table import ConnectionTable
 from puffindeck.net.wall_clock import WallClock
 
-# A silent connection must be ended within 7 s. Clients send a line every 2 s, so the first unanswered one may
-# be sent 2 s after the host fell silent. Within this limit the client has sent another one, so that a single
-# lost line doesn't count as silence.
+# Time for which a client's line may go without an answer. A silent connection must be ended within 7 s.
+# Clients send a line every 2 s, so the first unanswered line may be sent 2 s after the host fell silent. The
+# limit exceeds 2 s: the client has then sent another line, and a single lost line doesn't count as silence.
 SILENCE_LIMIT = milliseconds(3250)
 SWEEP_INTERVAL = milliseconds(250)  # time between two checks of all open connections
 
--- a/puffindeck/net/transports.py
+++ b/puffindeck/net/transports.py
@@ -41,7 +41,7 @@
 
 
 class Connector(tcp.Connector):
-    """A connector without a time-out of its own, as its owner limits the time."""
+    """A connector without a time-out of its own, because its owner limits the time."""
 
     def __init__(self, reactor: Any, address: tuple[str, int], factory: Any) -> None:
         no_timeout: Any = None
--- a/puffindeck/net/upstream_attempts.py
+++ b/puffindeck/net/upstream_attempts.py
@@ -48,7 +48,7 @@
         self._try_restore()
 
     def _try_restore(self) -> None:
-        """Try once; a failed try is repeated after RESTORE_INTERVAL until RESTORE_TIMEOUT."""
+        """Try once; a failed try is repeated after RESTORE_INTERVAL until RESTORE_TIMEOUT has passed."""
         head = self._client.head
         if self._client.state is not ConnectionState.WAITING or self._restored is None or head is None:
             return
--- a/puffindeck/net/upstream_connection.py
+++ b/puffindeck/net/upstream_connection.py
@@ -106,7 +106,7 @@
             self._engine.client_disconnected(self.attempt_id.request)
             self.abandon()
             return
-        # The attempt's deadline has passed, or the time within which the request may be repeated.
+        # Too late if the attempt's deadline or the time within which the request may be repeated has passed.
         if self._deadlines.clock.now() >= self._start_deadline:
             self.finish(Outcome.CONNECT_FAILED)
             return
@@ -200,7 +200,7 @@
         """Close the connection, or cancel the connect, and report nothing.
 
         The close is sent in this turn, before another attempt can start. A head that is not sent completely
-        is discarded, as it would start an attempt for a client that no longer waits.
+        is discarded, because it would start an attempt for a client that no longer waits.
         """
         if self.is_finished:
             return
@@ -218,12 +218,12 @@
             drain_receive_buffer(self.host_protocol.transport)
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Reset the connection, and report nothing."""
         if not self.is_finished:
             self._end()
             if self.host_protocol is not None:
                 self.host_protocol.transport.abortConnection()
 
     def silent_for(self, now: timedelta) -> timedelta:
-        """Return how long a client's line has gone without an answer; zero if none has."""
+        """Return how long the oldest unanswered client line has waited; zero if there is none."""
         return ZERO if self._unanswered_since is None else now - self._unanswered_since
--- a/puffindeck/net/upstream_protocol.py
+++ b/puffindeck/net/upstream_protocol.py
@@ -28,7 +28,7 @@
         """Return the request's line as sent to the host, for one gathered write."""
 
     def on_head_sent(self) -> None:
-        """Handle that every byte of the head has been passed to the system."""
+        """Handle the end of sending the head: every byte of it has been passed to the system."""
 
     def on_answer(self, line: bytes) -> None:
         """Handle the host's first line."""
@@ -65,7 +65,7 @@
     # connect; after that, as a reset.
 
     def send_head(self) -> None:
-        """Write the head in this reactor turn, as the client may have left by the next one."""
+        """Write the head in this reactor turn, because the client may have left by the next one."""
         self.transport.registerProducer(self, False)
         flush(self.transport)
 
@@ -79,7 +79,7 @@
             self.transport.writeSequence(self.link.head_parts())
 
     def stopProducing(self) -> None:
-        """Do nothing, as the transport is closed (Twisted's hook)."""
+        """Do nothing, because the transport is closed (Twisted's hook)."""
 
     def lineReceived(self, line: bytes) -> None:
         """Pass on the host's answer (Twisted's hook)."""
