--- a/tests/net/test_admin_api.py
+++ b/tests/net/test_admin_api.py
@@ -87,7 +87,8 @@
         stalled[-1].write(b"GET /_ready HT")
         self.assertEqual(await self.call("GET /_ready"), 200)
         await self.wait_until(
-            lambda: sum(p.end is not None for p in stalled) >= admin_api.MAX_CALLERS, "their eviction"
+            lambda: sum(p.end is not None for p in stalled) >= admin_api.MAX_CALLERS,
+            "the eviction of stalled callers",
         )
         self.assertLessEqual(len(self.node.admin_api.callers), admin_api.MAX_CALLERS)
         with patch.object(admin_api, "CALL_TIMEOUT", milliseconds(50)):
@@ -111,7 +112,7 @@
         self.assertEqual(
             (len(self.recorded_events(EndpointDetached)), len(self.recorded_events(EndpointAttached))), (1, 1)
         )
-        await self.wait_until(lambda: self.is_reattached(uid), "its use")
+        await self.wait_until(lambda: self.is_reattached(uid), "the host to be in use again")
 
     def is_reattached(self, uid: str) -> bool:
         endpoint = self.node.engine.balancer.endpoints[self.node.directory.number(uid)]
@@ -151,12 +152,13 @@
         self.assertIn(number, self.node.engine.reachability.detached_since)
         records.unlink()
         await self.wait_until(
-            lambda: records.is_dir() and marker.exists(), "its record, once there is a folder"
+            lambda: records.is_dir() and marker.exists(),
+            "the record to be written once its folder can be created",
         )
         self.assertEqual(await self.call("PUT /_hosts/attach?member=h0"), 200)
         self.assertFalse(marker.exists())
 
-    async def test_a_call_is_answered_yes_only_after_a_transient_write_failure_has_passed(self) -> None:
+    async def test_a_call_is_answered_200_only_after_a_transient_write_failure_has_passed(self) -> None:
         self.build()
         await self.make_ready()
         errors = [OSError(errno.ENOSPC, "No space left on device")] * 4
@@ -172,7 +174,7 @@
         marker = records / b"h0".hex()
         marker.unlink()
         records.rmdir()
-        await self.wait_until(marker.exists, "its record")
+        await self.wait_until(marker.exists, "the record to be written again")
         self.assertFalse(self.recorded_events(EndpointAttached))
 
     async def test_a_drain_rejects_pings_serves_briefly_moves_all_clients_and_can_be_cancelled(self) -> None:
@@ -196,7 +198,7 @@
         self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
         self.assertIs(self.node.lifecycle.shutdown, first_shutdown)  # its schedule is not restarted
         self.assertEqual(await first.line(), b"MOVE")
-        await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
+        await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting requests")
         refused = await self.client(REQUEST)
         self.assertRegex(await refused.line(), rb"^BUSY \d+$")
         self.assertEqual([await late.ended(), await unanswered.ended()], ["ConnectionDone", "ConnectionDone"])
@@ -221,9 +223,9 @@
             DrainSchedule(milliseconds(50), milliseconds(150), milliseconds(100), milliseconds(300)),
         ):
             self.assertEqual(await self.call("PUT /_lameduck/on"), 200)
-        await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "its end of serving")
+        await self.wait_until(lambda: not self.node.lifecycle.is_accepting, "the end of accepting requests")
         self.assertEqual(await self.call("PUT /_lameduck/off"), 200)
         with self.assertRaises(AssertionError):
-            await self.wait_until(lambda: client.end, "no end")
+            await self.wait_until(lambda: client.end, "the client's end, which must not come")
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
--- a/tests/net/test_admission.py
+++ b/tests/net/test_admission.py
@@ -25,7 +25,7 @@
         slow = await self.client()  # sends its request later
         limit = 256 - admission.RESERVED_FOR_NODE - admission.RESERVED_FOR_REQUESTS
         silent = [await self.client() for _ in range(limit - 1)]
-        await self.wait_until(lambda: all(client.end for client in idle), "the eviction of the idle ones")
+        await self.wait_until(lambda: all(client.end for client in idle), "the eviction of the idle clients")
         self.assertEqual(sum(peer.end is not None for peer in (slow, *silent)), 0)
         slow.write(REQUEST.encode() + b"\r\n")
         _, host = await self.accept_attempt()
@@ -34,14 +34,17 @@
         self.assertEqual(await slow.line(), b"UP r1")
         more = [await self.client() for _ in range(40)]
         await self.wait_until(
-            lambda: sum(peer.end is not None for peer in silent) >= 40, "the eviction of the oldest"
+            lambda: sum(peer.end is not None for peer in silent) >= 40,
+            "the eviction of the 40 oldest silent clients",
         )
         self.assertEqual(len(self.node.admission.waiting), limit - 2)  # a served client and its host use two
         self.assertIsNone(more[-1].end)  # the newest may still send a request
         with patch.object(self.node.admission, "_descriptors_in_use", lambda: 300):
             await self.client()
             control = self.node.admission
-            await self.wait_until(lambda: len(control.waiting) == control.min_waiting, "the evictions")
+            await self.wait_until(
+                lambda: len(control.waiting) == control.min_waiting, "evictions down to the minimum"
+            )
 
     async def test_a_request_is_rejected_when_descriptors_run_out(self) -> None:
         self.build()
--- a/tests/net/test_client.py
+++ b/tests/net/test_client.py
@@ -22,11 +22,13 @@
                 client = await self.client()
                 client.write(line[:cut])
                 (protocol,) = self.node.admission.waiting
-                await self.wait_until(partial(self.has_buffered, protocol, line[:cut]), "its first part")
+                await self.wait_until(
+                    partial(self.has_buffered, protocol, line[:cut]), "the first part of the line"
+                )
                 client.write(line[cut:])
                 self.assertEqual(await client.line(), answer)
                 client.transport.abortConnection()
-                await self.wait_until(lambda: not self.node.connections.clients, "its end")
+                await self.wait_until(lambda: not self.node.connections.clients, "the client to close")
 
     @staticmethod
     def has_buffered(protocol: Any, part: bytes) -> bool:
@@ -83,4 +85,4 @@
         first.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         first.transport.abortConnection()
-        await self.wait_until(lambda: not self.node.connections.open_ids, "its end")
+        await self.wait_until(lambda: not self.node.connections.open_ids, "the id to be released")
--- a/tests/net/test_client_connection.py
+++ b/tests/net/test_client_connection.py
@@ -36,7 +36,7 @@
         text = await self.read_to_end(sock)
         self.assertRegex(text, rb"^PONG\r\nBUSY \d+\r\n$")
         sock.close()
-        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the client's close")
         self.assertFalse(self.is_host_reached())
 
     async def test_an_evicted_client_is_served_if_its_request_has_arrived_and_else_answered_busy(
@@ -106,14 +106,14 @@
         self.assertIn(protocol, self.node.admission.waiting)
         protocol.evict()
         self.assertRegex(await self.read_to_end(sock), rb"^BUSY \d+\r\n$")
-        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the client's close")
         self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_a_client_closed_before_readiness_is_removed(self) -> None:
         self.build()
         sock, protocol = await self.connect_with_ping()
         sock.close()
-        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the client's close")
         self.assertFalse(self.node.lifecycle._waiting)
 
     async def test_a_request_before_readiness_replaces_the_unanswered_ping(self) -> None:
--- a/tests/net/test_config_reload.py
+++ b/tests/net/test_config_reload.py
@@ -42,7 +42,7 @@
         return str(path)
 
     def start_program_discovery(self) -> Listener:
-        """Start a discovery service for a program only, as the node keeps calling `self.discovery`."""
+        """Start a discovery service for a program only, because the node calls `self.discovery`."""
         listener = Listener()
         self.addCleanup(self.close_listener, listener)
         return listener
@@ -52,7 +52,9 @@
         for peer in listener.peers:
             peer.transport.abortConnection()
         await maybeDeferred(listener.port.stopListening)
-        await self.wait_until(lambda: all(peer.end for peer in listener.peers), "its connections to close")
+        await self.wait_until(
+            lambda: all(peer.end for peer in listener.peers), "the listener's connections to close"
+        )
 
     @staticmethod
     def has_logged_reload(log: Path, after: int) -> bool:
@@ -96,7 +98,7 @@
             [(e.kind, len(e.entries)) for e in self.recorded_events(EndpointListUpdated)][-1],
             (ListUpdateKind.FULL, 2),
         )
-        self.assertEqual(len(replaced.peers), 1)  # the old one is not called again
+        self.assertEqual(len(replaced.peers), 1)  # the old discovery is not called again
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         endpoint = self.node.engine.balancer.endpoints[self.node.directory.number(uid)]
@@ -115,7 +117,7 @@
                 current, {"EDGE_CONFIG": path, "EDGE_DISCOVERY": "127.0.0.1:9"}
             )
             self.assertEqual(restart_keys, ["listen"])
-            # The environment's value stays, as the file's is unchanged.
+            # The environment's value stays, because the file's value is unchanged.
             self.assertEqual(current.discovery, ("127.0.0.1", 9))
         self.assertEqual(current.listen, ("127.0.0.1", 0))
 
@@ -155,7 +157,7 @@
         client.write(b"still here\r\n")
         self.assertEqual(await host.line(), b"still here")
         client.transport.abortConnection()
-        await self.wait_until(lambda: not len(self.node.engine.requests), "its end")
+        await self.wait_until(lambda: not len(self.node.engine.requests), "the request's end")
 
     def test_a_file_with_a_missing_key_or_an_invalid_number_changes_nothing(self) -> None:
         self.discovery = Listener()
@@ -210,5 +212,5 @@
             program.send_signal(signal.SIGHUP)
             await self.wait_until(partial(self.has_logged_reload, log, before), "the reload")
         program.send_signal(signal.SIGTERM)
-        await self.wait_until(lambda: program.poll() is not None, "its end")
+        await self.wait_until(lambda: program.poll() is not None, "the program to exit")
         self.assertEqual(program.returncode, 0)
--- a/tests/net/test_discovery.py
+++ b/tests/net/test_discovery.py
@@ -61,11 +61,11 @@
     async def pause(self, seconds: float) -> None:
         waiting: list[int] = []
         reactor.callLater(seconds, waiting.append, 1)
-        await self.wait_until(lambda: waiting, "a turn")
+        await self.wait_until(lambda: waiting, "the end of the pause")
 
 
 class DiscoveryAgentTests(DiscoveryTestCase):
-    """Lists pushed to an agent on the node's machine, which the node watches unprompted by the module."""
+    """Lists pushed to an agent on the node's machine. The decision module doesn't request them."""
 
     async def test_the_agents_whole_list_is_read_at_the_start_and_after_each_silence(self) -> None:
         with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
@@ -73,7 +73,7 @@
             ping = await self.client("PING")
             await self.answer_list_call(41, *self.all_targets())
             self.assertEqual(await ping.line(), b"PONG")  # not before the agent's list is known
-            await (await self.accept_watch_after(41)).ended()  # closed by the node, as it is silent
+            await (await self.accept_watch_after(41)).ended()  # closed by the node because it is silent
             unanswered = await self.discovery.next()  # the agent accepts the call and doesn't answer
             self.assertEqual(await unanswered.line(), WHOLE_LIST_CALL)
             await self.answer_list_call(44, self.target("h1"))  # answers the parallel call
@@ -85,11 +85,12 @@
         self.assertFalse(self.node.engine.is_listed(self.node.directory.number("h0")))
 
     async def test_an_empty_line_of_the_watch_makes_the_node_ready(self) -> None:
-        self.build(must_watch_endpoints=True)  # watches from the version of `known`, so no list is sent
+        self.build(must_watch_endpoints=True)  # the watch starts at the known version, so no list is sent
         watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
         await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness")
-        self.assertEqual([kind for kind, _ in self.received_lists()], [ListUpdateKind.CACHED])  # no failure
+        # The node has reported no failure to the decision module.
+        self.assertEqual([kind for kind, _ in self.received_lists()], [ListUpdateKind.CACHED])
 
     async def test_silence_counts_from_the_last_received_byte(self) -> None:
         with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(150)):
@@ -129,7 +130,7 @@
             await self.answer_list_call(43, *self.all_targets())
             await self.accept_watch_after(43)
 
-    async def test_a_second_process_reads_the_agent_beside_the_first(self) -> None:
+    async def test_a_second_process_reads_the_agents_list_independently_of_the_first(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
@@ -139,7 +140,7 @@
             self.build(must_watch_endpoints=False)
             await self.answer_list_call(41, *self.all_targets())
             await self.accept_watch_after(41)
-            await self.wait_until(lambda: self.node.listeners.main, "readiness of the first")
+            await self.wait_until(lambda: self.node.listeners.main, "readiness of the first process")
             await (await self.discovery.next()).ended()  # the agent is silent
             second = Node(reactor, self.node.config, Clock())
             self.addCleanup(self.close_second, second)
@@ -241,7 +242,7 @@
             self.assertTrue(may_reach.called)
         self.assertEqual(self.recorded_events(AttemptEnded)[0].outcome, Outcome.CONNECT_FAILED)
 
-    async def test_a_watch_that_fails_or_falls_silent_or_is_invalid_is_requested_again(self) -> None:
+    async def test_a_watch_that_fails_or_falls_silent_or_sends_invalid_data_is_requested_again(self) -> None:
         with patch.object(discovery, "SILENCE_TIMEOUT", milliseconds(100)):
             self.build()
             self.node.engine.balancer.random.seed(1)
@@ -249,7 +250,7 @@
             watch.write(b"HTTP/1.1 503 no\r\nContent-Length: 0\r\n\r\n")
             await self.wait_until(
                 lambda: self.recorded_events(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED,
-                "its failure",
+                "the failure of the watch",
             )
             await watch.ended()
             self.assertEqual(
@@ -266,7 +267,7 @@
                 watch.write(invalid)
                 await self.wait_until(
                     lambda: self.recorded_events(EndpointListUpdated)[-1].kind == ListUpdateKind.FAILED,
-                    "its failure",
+                    "the failure of the watch",
                 )
             next_call = await self.discovery.next()
             self.assertIn(b"after=5", await next_call.line())
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -1,7 +1,7 @@
 """Timing of discovery: a change must be known 6 s after a reachable discovery service has it.
 
-This holds whatever failed before. If lists are pushed, the agent's list counts at once. The tests use a
-scripted discovery service on loopback, and seeded decision modules.
+The limit holds whatever has failed before. If lists are pushed to an agent, a change counts as known as soon
+as the agent has it. The tests use a scripted discovery service on loopback, and seeded decision modules.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
         self.build(watch_deadline_ms=60000)
 
     async def answer_with_drain(self, since: Any) -> None:
-        """Answer the next call with a drain, and check that it is known in time."""
+        """Answer the next call with a drain, and check that it is known in time, counted from `since`."""
         call = await self.discovery.next()
         self.assertIn(b"watch=1&after=", await call.line())
         call.write(
@@ -102,7 +102,7 @@
         self.build_with_short_times()
         watch = await self.accept_watch()
         watch.write(chunk(b"\n"))
-        await self.wait_until(lambda: self.node.lifecycle.is_ready, "the empty line")
+        await self.wait_until(lambda: self.node.lifecycle.is_ready, "readiness after the empty line")
         await self.answer_with_drain(self.node.deadlines.clock.now())
 
     async def test_a_list_sent_byte_by_byte_times_out(self) -> None:
@@ -175,7 +175,7 @@
 
 
 class PushedListTests(DiscoveryTestCase):
-    """Lists pushed to an agent: what it receives when it recovers counts at once."""
+    """Lists pushed to an agent: a list that it receives when it recovers counts as known at once."""
 
     async def accept_without_answer(self) -> Peer:
         """Accept a call for the whole list without an answer."""
@@ -193,7 +193,7 @@
         body = encode_list(50, True, self.target("h1"))
         parallel.write(STATUS_OK + b"Content-Length: %d\r\n\r\n%s" % (len(body), body))
         await self.wait_until(lambda: (ListUpdateKind.FULL, 50) in self.received_lists(), "the list")
-        await lost.ended()  # closed by the node, as it has a list
+        await lost.ended()  # closed by the node because it has a list
         await self.accept_watch_after(50)
 
     async def test_a_late_answer_of_the_agent_is_used(self) -> None:
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -53,7 +53,7 @@
         for sock in pending:
             self.assertRegex(await self.read_to_end(sock), rb"^BUSY \d+\r\n$")
             sock.close()
-        await self.wait_until(lambda: not self.node.connections.clients, "their closes")
+        await self.wait_until(lambda: not self.node.connections.clients, "all clients to close")
         self.assertTrue(self.node.listeners.close_when_empty(False))
         self.assertFalse(self.main_port.connected)
 
@@ -202,7 +202,7 @@
             self.assertFalse(self.node.lifecycle.undrain())  # a stop can't be cancelled
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
-            await self.wait_until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "the reactor to be stopped")
         self.assertTrue(all(deadline.callback is None for deadline in drain._pending))
 
     async def test_a_reload_during_the_shutdown_switches_discovery(self) -> None:
@@ -253,7 +253,7 @@
             call = await other.next()
             self.assertEqual(await client.line(), b"MOVE")
             await host.ended()
-            await self.wait_until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "the reactor to be stopped")
         await call.ended()  # the watch is stopped
 
     async def test_a_stop_before_the_start_ends_the_node(self) -> None:
@@ -269,7 +269,7 @@
             ),
         ):
             fresh.stop()
-            await self.wait_until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "the reactor to be stopped")
         self.assertIsNone(fresh.listeners.main)
 
 
@@ -292,7 +292,7 @@
             patch.object(program, "stop") as stop,
         ):
             self.node.stop()
-            # Requests are still accepted, as other nodes may be stopping too, or not be running again yet.
+            # Requests are still accepted: other nodes may be stopping too, or not be running again yet.
             late, _, _ = await self.establish(ROUTED_REQUEST)
             client.write(b"still here\r\n")
             self.assertEqual(await host.line(), b"still here")
@@ -304,7 +304,7 @@
             host.write(b"line\r\nand more\r\n")
             self.assertEqual([await client.line(), await client.line()], [b"half a line", b"MOVE"])
             self.assertEqual(await host.ended(), "ConnectionDone")
-            await self.wait_until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "the reactor to be stopped")
 
 
 def test_all_clients_are_moved_before_the_kill_whatever_the_longest_deadline() -> None:
@@ -334,5 +334,5 @@
             self.assertEqual(await client.line(), b"MOVE")
             self.assertEqual(await host.ended(), "ConnectionDone")
             client.transport.loseConnection()
-            await self.wait_until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "the reactor to be stopped")
             self.assertLess(self.node.deadlines.clock.now() - start, milliseconds(500 + 700))
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -45,7 +45,7 @@
 
     async def make_ready(self, started: Node) -> None:
         watch = await self.accept_watch()
-        self.assertIsNone(started.listeners.main)  # it accepts no client before it is ready
+        self.assertIsNone(started.listeners.main)  # no client is accepted before readiness
         self.send_update(watch, 2, False)
         await self.wait_until(lambda: started.listeners.main, "readiness")
 
@@ -55,7 +55,9 @@
         self.second.watch.stop()
         for client in list(self.second.connections.clients):
             client.transport.abortConnection()
-        await self.wait_until(lambda: not self.second.connections.clients, "its clients to close")
+        await self.wait_until(
+            lambda: not self.second.connections.clients, "the second process's clients to close"
+        )
         if self.second.listeners.main is not None:
             await maybeDeferred(self.second.listeners.main.stopListening)
         self.second.hot_restart.registry.unregister()
@@ -111,7 +113,7 @@
             later = await self.connect_client("PING")
             self.assertEqual(await later.line(), b"PONG")
             self.assertEqual(len(self.second.connections.clients), 1)
-            await self.wait_until(lambda: stop.called, "its end")
+            await self.wait_until(lambda: stop.called, "the older process to stop")
         self.assertEqual(
             {path.name for path in (self.folder / "processes").iterdir()},
             {self.second.hot_restart.registry.name, "word"},
@@ -123,12 +125,15 @@
         await self.build_both()
         controls = self.node.admission, self.second.admission
         await self.wait_until(
-            lambda: all(control.sibling_descriptors for control in controls), "each to know the other"
+            lambda: all(control.sibling_descriptors for control in controls),
+            "each process to count the other's descriptors",
         )
         self.assertEqual(self.node.admission.descriptors, 1024 - self.node.admission.sibling_descriptors)
         self.assertLess(abs(self.second.admission.sibling_descriptors - count_open_descriptors()), 8)
         self.second.hot_restart.registry.unregister()
-        await self.wait_until(lambda: self.node.admission.descriptors == 1024, "the release of its share")
+        await self.wait_until(
+            lambda: self.node.admission.descriptors == 1024, "the second process's descriptors to be released"
+        )
 
     def test_files_of_ended_processes_and_foreign_files_are_ignored(self) -> None:
         with tempfile.TemporaryDirectory() as name:
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -14,7 +14,7 @@
 
     async def test_accepts_per_turn_and_log_lines_per_period_are_bounded(self) -> None:
         self.build()
-        self.main_port.numberAccepts = 500  # as the library sets it
+        self.main_port.numberAccepts = 500  # as Twisted does; the port ignores it
         self.assertEqual(self.main_port.numberAccepts, listening.ACCEPTS_PER_TURN)
         with (
             patch.object(self.node.client_services.rejected_lines, "_log") as written,
@@ -23,6 +23,6 @@
             for _ in range(logs.MAX_LINES + 5):
                 await (await self.client("HI")).line()
             await self.wait_until(
-                lambda: written.warn.call_count > logs.MAX_LINES, "the line with the count of the others"
+                lambda: written.warn.call_count > logs.MAX_LINES, "the line with the count of unwritten lines"
             )
         self.assertEqual(written.warn.call_args.kwargs["more"], 5)
--- a/tests/net/test_relay.py
+++ b/tests/net/test_relay.py
@@ -31,7 +31,9 @@
         for part in (b"LO", b"AD 7.5\r\nno LOAD 9\r\n" + b"x" * 100 + b"\r", b"\nLOAD x\r\nBYE\r", b"\n"):
             # LOAD lines are relayed too; with these settings they report a message's latency.
             host.write(part)
-            await self.wait_until(partial(client.has_partial_line, part.rsplit(b"\n", 1)[-1]), "the part")
+            await self.wait_until(
+                partial(client.has_partial_line, part.rsplit(b"\n", 1)[-1]), "the last line of the part"
+            )
         host.transport.loseConnection()
         self.assertEqual([await client.line() for _ in range(5)][::2], [b"LOAD 7.5", b"x" * 100, b"BYE"])
         self.assertEqual([e.latency_ms for e in self.recorded_events(LatencyReported)], [7.5])
--- a/tests/net/test_request_log.py
+++ b/tests/net/test_request_log.py
@@ -46,7 +46,9 @@
         await client.line()
         host.transport.loseConnection()
         await client.ended()
-        await self.wait_until(lambda: len(seen) == 5, f"five lines: {seen}")
+        await self.wait_until(
+            lambda: len(seen) == 5, f"five lines about the request; before the wait: {seen}"
+        )
         seen[1] = seen[1].rpartition(" after")[0]
         name = f"{1:016x}"
         self.assertEqual(
--- a/tests/net/test_silence_monitor.py
+++ b/tests/net/test_silence_monitor.py
@@ -43,7 +43,7 @@
     """A host that falls silent within a line."""
 
     async def test_a_partial_line_of_the_host_does_not_end_the_silence(self) -> None:
-        # If a partial line counted as an answer, silence would be detected two client lines later.
+        # If a partial line counted as an answer, silence would be detected only after two more client lines.
         with (
             patch.object(silence_monitor, "SILENCE_LIMIT", milliseconds(150)),
             patch.object(silence_monitor, "SWEEP_INTERVAL", milliseconds(20)),
--- a/tests/net/test_upstream_attempts.py
+++ b/tests/net/test_upstream_attempts.py
@@ -37,7 +37,7 @@
         sock, protocol = await self.connect_accepted()
         sock.sendall(REQUEST.encode() + b"\r\n")
         sock.close()
-        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the client's close")
         self.assertFalse(self.node.connections.upstreams)
         self.assertFalse(self.is_host_reached())
         self.assertEqual(len(self.recorded_events(ClientDisconnected)), 1)
@@ -49,7 +49,7 @@
             sock.sendall(REQUEST.encode() + b"\r\n")
             _, host = await self.accept_attempt()
             await host.ended()
-        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the client's close")
         self.assertEqual(host.received, b"")
         self.assertEqual([e.outcome for e in self.recorded_events(AttemptEnded)], [Outcome.CANCELLED])
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
@@ -77,7 +77,7 @@
         (link,) = self.node.connections.upstreams
         sock.close()
         link.finish(Outcome.ERROR)  # the host's answer, in the turn in which the client closes
-        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "its end")
+        await self.wait_until(lambda: protocol.state is ConnectionState.CLOSED, "the client's close")
         self.assertEqual(sum(len(h.peers) for h in self.hosts.values()), 1)
 
     async def test_an_attempt_past_its_start_deadline_when_connected_is_not_started(self) -> None:
@@ -113,7 +113,7 @@
             await second.line()
         self.assertLess(times_to_start[0], milliseconds(400))
         second.transport.abortConnection()
-        # The answer comes at once, as no further attempt is allowed.
+        # The answer comes at once, because no further attempt is allowed.
         self.assertRegex(await client.line(), rb"^BUSY \d+$|^ERR$")
 
 
@@ -188,7 +188,7 @@
         client = await self.client(f"{ROUTED_REQUEST},at=h1".replace("d=1100", "d=4294967"))
         host = await self.hosts["h1"].next()
         await host.line()
-        host.transport.abortConnection()  # retried at the same host, as no other host has the connection
+        host.transport.abortConnection()  # retried at the same host: no other one has the connection
         host = await self.hosts["h1"].next()
         await host.line()
         host.write(b"UP r\r\n")
--- a/tests/support/node_test_case.py
+++ b/tests/support/node_test_case.py
@@ -55,11 +55,11 @@
         self.end: Any = None
         self._lines: DeferredQueue[bytes] = DeferredQueue()
         self._ended: list[Deferred[Any]] = []
-        self.made: Callable[[Peer], None] = lambda peer: None
+        self.on_connected: Callable[[Peer], None] = lambda peer: None
 
     def connectionMade(self) -> None:
-        """Report a new connection to `made` (Twisted's hook)."""
-        self.made(self)
+        """Report a new connection to `on_connected` (Twisted's hook)."""
+        self.on_connected(self)
 
     def dataReceived(self, data: bytes) -> None:
         """Record received data, and queue its complete lines (Twisted's hook)."""
@@ -110,10 +110,10 @@
     def buildProtocol(self, addr: object) -> Peer:
         """Build an accepted connection's protocol (Twisted's hook)."""
         peer = Peer()
-        peer.made = self.made
+        peer.on_connected = self.on_connected
         return peer
 
-    def made(self, peer: Peer) -> None:
+    def on_connected(self, peer: Peer) -> None:
         """Queue an accepted connection."""
         self.peers.append(peer)
         self.accepted.put(peer)
@@ -124,13 +124,13 @@
 
 
 class PeerFactory(ClientFactory):
-    """Builds the protocol of a client's connection, and reports it as connected by `up`."""
+    """Builds the protocol of a client's connection; `up` fires with it once it is connected."""
 
     noisy = False
 
     def __init__(self) -> None:
         self.peer = Peer()
-        self.up = deferred_with_timeout("no connection")
+        self.up = deferred_with_timeout("the connection was not established")
 
     def buildProtocol(self, addr: object) -> Peer:
         """Build the connection's protocol (Twisted's hook)."""
@@ -198,7 +198,8 @@
                 await maybeDeferred(port.stopListening)
         self.node.hot_restart.registry.unregister()
         await self.wait_until(
-            lambda: not self.node.connections.clients and all(p.end for p in peers), "all to close"
+            lambda: not self.node.connections.clients and all(p.end for p in peers),
+            "all connections to close",
         )
         self.node.deadlines.clear()
 
@@ -213,7 +214,7 @@
         raise AssertionError(f"timed out waiting for {description}")
 
     async def client(self, line: str = "", port: int = 0) -> Peer:
-        """Connect a client, and send its line, with a new request id, if there is one."""
+        """Connect a client, and send its line, if there is one, with a new request id."""
         factory = PeerFactory()
         reactor.connectTCP("127.0.0.1", port or self.main_port.getHost().port, factory)
         peer: Peer = await factory.up
@@ -233,7 +234,7 @@
         return uid, await self.hosts[uid].next()
 
     async def establish(self, line: str) -> tuple[Peer, str, Peer]:
-        """Connect a client that is served; return it, its host's name, and the host's side."""
+        """Connect a client that is served; return it, its host's name, and the host's connection."""
         client = await self.client(line)
         uid, host = await self.accept_attempt()
         await host.line()
@@ -250,7 +251,7 @@
         return watch
 
     def send_update(self, watch: Peer, version: int, full: bool, *targets: Target) -> None:
-        """Send a list, or changes of it if it is not `full`, over a watch."""
+        """Send a discovery list over a watch: the whole list if `full`, else only its changes."""
         rows = [{f: getattr(t, f) for f in t.__struct_fields__} for t in targets]
         body = json.dumps({"rev": version, "all": full, "targets": rows}).encode() + b"\n"
         watch.write(b"%x\r\n%s\r\n" % (len(body), body))
