--- a/puffindeck/net/attempt.py
+++ b/puffindeck/net/attempt.py
@@ -53,6 +53,6 @@
     id: AttemptId
     endpoint: int
     host: str  # the endpoint's name
-    head: RequestLine
+    head: RequestLine  # the request's line, which is written to the host
     answer_deadline: timedelta  # time by which the host must answer
     start_deadline: timedelta  # time before which the first byte must be sent; later, nothing is sent
--- a/puffindeck/net/client_connection.py
+++ b/puffindeck/net/client_connection.py
@@ -46,7 +46,7 @@
         self.deadlines = services.deadlines
         self.state = ConnectionState.NEW
         self.request = 0  # number of the request in the engine; 0 before there is one
-        self.head: RequestLine | None = None
+        self.head: RequestLine | None = None  # the request's line; None before there is one
         self._discarded = 0  # bytes discarded since the last pause
         self._timeout: Deadline | None = None
 
--- a/puffindeck/net/upstream_connection.py
+++ b/puffindeck/net/upstream_connection.py
@@ -53,7 +53,7 @@
         self._client = client
         self._engine = engine
         self._deadlines = deadlines
-        self.head_sent = False  # every byte of the head has been passed to the system
+        self.head_sent = False  # every byte of the request's line has been passed to the system
         self.is_established = False  # the host has answered UP
         self.is_finished = False  # ended; nothing more is reported
         self.answer_line = b""  # the host's UP line
@@ -92,7 +92,7 @@
             self.finish(Outcome.CONNECT_FAILED)
 
     def on_connected(self, protocol: UpstreamProtocol) -> None:
-        """Write the head, unless the attempt may no longer start."""
+        """Write the head, which is the request's line, unless the attempt may no longer start."""
         self.host_protocol = protocol
         self._deadlines.cancel(self._connect_timeout)
         if self.is_finished:
--- a/puffindeck/net/upstream_protocol.py
+++ b/puffindeck/net/upstream_protocol.py
@@ -60,9 +60,9 @@
         self.transport.setTcpNoDelay(True)
         self.link.on_connected(self)
 
-    # The protocol registers as the pull producer of its own head, so the transport calls resumeProducing()
-    # once every byte of the head is written. If the connection breaks before that, it counts as a failed
-    # connect; after that, as a reset.
+    # The protocol registers as the pull producer of its own head, which is the request's line. The transport
+    # therefore calls resumeProducing() once every byte of the head is written. A connection that breaks
+    # before that counts as a failed connect; one that breaks later counts as a reset.
 
     def send_head(self) -> None:
         """Write the head in this reactor turn, because the client may have left by the next one."""
