--- a/puffindeck/net/attempt.py
+++ b/puffindeck/net/attempt.py
@@ -43,7 +43,7 @@
         """Relay data from the host."""
 
     def on_host_ended(self, is_clean: bool) -> None:
-        """End the client's side in the same way, cleanly or broken, as the host ended its own."""
+        """End the client's side as the host ended its own: cleanly if `is_clean`, else with a reset."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,6 +53,6 @@
     id: AttemptId
     endpoint: int
     host: str  # the endpoint's name
-    head: RequestLine
+    head: RequestLine  # the request's line, which is written to the host
     answer_deadline: timedelta  # time by which the host must answer
     start_deadline: timedelta  # time before which the first byte must be sent; later, nothing is sent
--- a/puffindeck/net/upstream_connection.py
+++ b/puffindeck/net/upstream_connection.py
@@ -53,7 +53,7 @@
         self._client = client
         self._engine = engine
         self._deadlines = deadlines
-        self.head_sent = False  # every byte of the head has been passed to the system
+        self.head_sent = False  # every byte of the request's line has been passed to the system
         self.is_established = False  # the host has answered UP
         self.is_finished = False  # ended; nothing more is reported
         self.answer_line = b""  # the host's UP line
@@ -92,7 +92,7 @@
             self.finish(Outcome.CONNECT_FAILED)
 
     def on_connected(self, protocol: UpstreamProtocol) -> None:
-        """Write the head, unless the attempt may no longer start."""
+        """Write the head, which is the request's line, unless the attempt may no longer start."""
         self.host_protocol = protocol
         self._deadlines.cancel(self._connect_timeout)
         if self.is_finished:
@@ -106,7 +106,7 @@
             self._engine.client_disconnected(self.attempt_id.request)
             self.abandon()
             return
-        # The attempt's deadline has passed, or the time within which the request may be repeated.
+        # Too late if the attempt's deadline or the time within which the request may be repeated has passed.
         if self._deadlines.clock.now() >= self._start_deadline:
             self.finish(Outcome.CONNECT_FAILED)
             return
@@ -200,7 +200,7 @@
         """Close the connection, or cancel the connect, and report nothing.
 
         The close is sent in this turn, before another attempt can start. A head that is not sent completely
-        is discarded, as it would start an attempt for a client that no longer waits.
+        is discarded, because it would start an attempt for a client that no longer waits.
         """
         if self.is_finished:
             return
@@ -218,12 +218,12 @@
             drain_receive_buffer(self.host_protocol.transport)
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Reset the connection, and report nothing."""
         if not self.is_finished:
             self._end()
             if self.host_protocol is not None:
                 self.host_protocol.transport.abortConnection()
 
     def silent_for(self, now: timedelta) -> timedelta:
-        """Return how long a client's line has gone without an answer; zero if none has."""
+        """Return how long the oldest unanswered client line has waited; zero if there is none."""
         return ZERO if self._unanswered_since is None else now - self._unanswered_since
--- a/puffindeck/net/upstream_protocol.py
+++ b/puffindeck/net/upstream_protocol.py
@@ -28,7 +28,7 @@
         """Return the request's line as sent to the host, for one gathered write."""
 
     def on_head_sent(self) -> None:
-        """Handle that every byte of the head has been passed to the system."""
+        """Handle the end of sending the head: every byte of it has been passed to the system."""
 
     def on_answer(self, line: bytes) -> None:
         """Handle the host's first line."""
@@ -60,12 +60,12 @@
         self.transport.setTcpNoDelay(True)
         self.link.on_connected(self)
 
-    # The protocol registers as the pull producer of its own head, so the transport calls resumeProducing()
-    # once every byte of the head is written. If the connection breaks before that, it counts as a failed
-    # connect; after that, as a reset.
+    # The protocol registers as the pull producer of its own head, which is the request's line. The transport
+    # therefore calls resumeProducing() once every byte of the head is written. A connection that breaks
+    # before that counts as a failed connect; one that breaks later counts as a reset.
 
     def send_head(self) -> None:
-        """Write the head in this reactor turn, as the client may have left by the next one."""
+        """Write the head in this reactor turn, because the client may have left by the next one."""
         self.transport.registerProducer(self, False)
         flush(self.transport)
 
@@ -79,7 +79,7 @@
             self.transport.writeSequence(self.link.head_parts())
 
     def stopProducing(self) -> None:
-        """Do nothing, as the transport is closed (Twisted's hook)."""
+        """Do nothing, because the transport is closed (Twisted's hook)."""
 
     def lineReceived(self, line: bytes) -> None:
         """Pass on the host's answer (Twisted's hook)."""
