--- a/puffindeck/client_side/admission.py
+++ b/puffindeck/client_side/admission.py
@@ -6,10 +6,10 @@
 Therefore each client admits a request with a probability. The probabilities sum to the budget over all
 clients, however many there are:
 
-- With steady arrivals, an endpoint's usual share of the arrivals is at most its full capacity. At warmth w
-  it may get `multiple x w` of that share, if these are short calls. Connections that stay open must not
-  arrive faster than an endpoint fills up during its slow start. That limits them to (the client's open
-  connections) / (the other connections that it began within the length of a slow start) of their usual rate.
+- With steady arrivals, an endpoint's usual share of the arrivals is at most its full capacity. At warmth w,
+  it may get `multiple x w` of that share if the arrivals are short calls. Long connections must not arrive
+  faster than an endpoint fills up during its slow start. Their share is therefore multiplied by (the client's
+  open connections) / (the other connections that it began within the length of a slow start).
 - In a burst, all connections arrive within one window, and an endpoint's usual share is all the connections
   that it will have. The budget is `multiple x w x window / slow start` of that.
 
@@ -38,7 +38,7 @@
 MAX_REMEMBERED_ARRIVALS = 64
 MAX_REMEMBERED_LOSSES = 64  # connections
 LIFETIME_SMOOTHING = 0.2  # weight of the newest connection in the moving average of lifetimes
-# Arrivals within the length of a slow start from which a client can assume that arrivals are steady.
+# Minimum number of arrivals within the length of a slow start. With fewer, a client assumes a burst.
 MINIMUM_STEADY_ARRIVALS = 2
 
 
@@ -78,10 +78,10 @@
         """
         if now - self._lost_ms >= settings.slow_start_ms:
             self._lost = 0
-        recent = sum(now - at < settings.slow_start_ms for at in self._arrivals_ms)
+        recent_arrivals = sum(now - at < settings.slow_start_ms for at in self._arrivals_ms)
         return (
             returning
-            or recent < MINIMUM_STEADY_ARRIVALS
+            or recent_arrivals < MINIMUM_STEADY_ARRIVALS
             or self._lost > 0
             or now - self._replaced_ms < settings.slow_start_window_ms
         )
@@ -105,8 +105,8 @@
             )
         if self._mean_lifetime_ms < settings.slow_start_window_ms and not connections:
             return min(1.0, STEADY_BUDGET_FRACTION * budget)
-        others = sum(now - at < settings.slow_start_ms for at in self._arrivals_ms) - 1
-        return min(1.0, STEADY_BUDGET_FRACTION * budget * max(connections, 1) / others)
+        other_arrivals = sum(now - at < settings.slow_start_ms for at in self._arrivals_ms) - 1
+        return min(1.0, STEADY_BUDGET_FRACTION * budget * max(connections, 1) / other_arrivals)
 
     def admits(
         self,
--- a/puffindeck/client_side/client_strategies.py
+++ b/puffindeck/client_side/client_strategies.py
@@ -164,7 +164,10 @@
         return self._fallback.choose(request)
 
     def _is_first_choice(self, request: Request, home: Endpoint) -> bool:
-        """Return whether the fallback's search would end at the home, its first step. Saves that search."""
+        """Return whether the fallback would choose the home in the first step of its search.
+
+        The check saves that search.
+        """
         if self._filter is not None and not self._filter.allows(request, home):
             return False
         return (
@@ -244,9 +247,9 @@
 
     def batch_started(self) -> None:
         """Remove the deadlines of completed calls, which would cause needless timers."""
-        self._timers.drop_first_while(self._is_over)
+        self._timers.drop_first_while(self._is_obsolete)
 
-    def _is_over(self, timer_argument: object) -> bool:
+    def _is_obsolete(self, timer_argument: object) -> bool:
         return isinstance(timer_argument, Request) and timer_argument.id not in self._requests
 
     def request_arrived(self) -> None:
@@ -265,9 +268,9 @@
         self._freshness.confirm_list(self._context.now_ms)
 
     def endpoint_reattached(self, endpoint: int) -> None:
-        """Disable trials of the reattached endpoint. It fills by random admission, as others in slow start.
+        """Disable trials of the reattached endpoint, because hundreds of clients at once would overload it.
 
-        Trials by hundreds of clients at once would overload it.
+        The endpoint gets requests by random admission instead, like all endpoints in slow start.
         """
         self._slow_start.reattached_ms.clear()
 
--- a/puffindeck/client_side/pool_router.py
+++ b/puffindeck/client_side/pool_router.py
@@ -21,19 +21,19 @@
         self,
         settings: Settings,
         seed: int,
-        should_leave: Callable[[Request], bool],
+        should_fail_over: Callable[[Request], bool],
         pool_connections: Callable[[], int],
     ) -> None:
         self.client = ClientStrategies()
         client_settings = replace(settings, must_watch_endpoints=True)
-        super().__init__(client_settings, seed, should_leave, pool_connections, self.client.build)
+        super().__init__(client_settings, seed, should_fail_over, pool_connections, self.client.build)
 
 
 class ClientPoolRouter(PoolRouter):
     """Makes the decisions of one client over all pools. Reports the state of the endpoint list as a whole."""
 
     def _tier_balancer(self, settings: Settings, seed: int, pool: PoolState) -> TierBalancer:
-        return ClientTier(settings, seed, self._should_leave, pool.connection_count)
+        return ClientTier(settings, seed, self._should_fail_over, pool.connection_count)
 
     def _client_tiers(self) -> list[ClientTier]:
         return [cast(ClientTier, tier.balancer) for tier in self.tiers]
--- a/puffindeck/client_side/ring_smoothing.py
+++ b/puffindeck/client_side/ring_smoothing.py
@@ -1,8 +1,8 @@
 """Smoothing of a hash ring: all endpoints get about their fair share, computed from the endpoint list alone.
 
 A gateway with many connections balances the ring by counting: it skips an endpoint whose load is above c
-times the mean. A client with one connection has nothing to count, so that the random positions of the points
-decide. With 16 points per endpoint, the largest of 15 shares is about 1.5 times the mean.
+times the mean. A client with one connection has nothing to count, and the random positions of the points
+determine the shares. With 16 points per endpoint, the largest of 15 shares is about 1.5 times the mean.
 
 Here the same rule is applied to the ring itself, in advance. Each endpoint retains its own arcs up to c times
 its fair share. The excess goes clockwise to the first endpoint with free capacity, as a connection would.
--- a/puffindeck/quic/connection_ids.py
+++ b/puffindeck/quic/connection_ids.py
@@ -35,7 +35,8 @@
         self.server_id_octets = server_id_octets
         self.nonce_octets = nonce_octets
         self.length = 1 + server_id_octets + nonce_octets
-        cipher = Cipher(algorithms.AES(key), modes.ECB()) if key else None  # the draft encrypts single blocks
+        # The mode is ECB, because the draft encrypts each block on its own.
+        cipher = Cipher(algorithms.AES(key), modes.ECB()) if key else None
         self._encryptor = cipher.encryptor() if cipher else None
         self._decryptor = cipher.decryptor() if cipher else None
 
--- a/puffindeck/quic/flow.py
+++ b/puffindeck/quic/flow.py
@@ -24,11 +24,12 @@
 
 # A flow that was taken over ends if its client is silent for this time before the endpoint's first datagram.
 UNCONFIRMED_TIMEOUT = milliseconds(3000)
-# Datagrams of the client's first flight that are stored, to be sent again in a further attempt.
+# Maximum number of datagrams of the client's first flight that are stored, to be sent again in each attempt.
 FIRST_FLIGHT_DATAGRAMS = 4
-# Fewer unanswered datagrams may all be acknowledgements, which the endpoint need not answer.
+# Minimum number of unanswered datagrams after which an endpoint can count as silent. Fewer may all be
+# acknowledgements, which the endpoint need not answer.
 MIN_UNANSWERED_DATAGRAMS = 4
-# Before an address is validated, it is sent at most so many times the octets received from it (RFC 9000, 8).
+# An address that is not validated is sent at most this multiple of the octets received from it (RFC 9000, 8).
 AMPLIFICATION_LIMIT = 3
 
 
@@ -63,7 +64,7 @@
         self._context = context
         self._initial = initial
         self._ended = False
-        self._address_validated = False  # the client has proved that it receives datagrams there
+        self._address_validated = False  # whether the client has proved that it receives at `address`
         self._octets_received = 0  # from the client's address
         self._octets_sent = 0  # to the client's address
         self._first_flight: list[bytes] = []
@@ -119,7 +120,7 @@
         self._close(packets.CONNECTION_REFUSED, reason)
 
     def fail(self) -> None:
-        """Close the connection with an internal error, as every attempt has failed."""
+        """Close the connection with an internal error, because every attempt has failed."""
         self._close(packets.INTERNAL_ERROR, "failed")
 
     def migrate(self) -> bool:
--- a/puffindeck/quic/flow_table.py
+++ b/puffindeck/quic/flow_table.py
@@ -10,7 +10,7 @@
 
 Address = tuple[str, int]  # host and port
 
-# Connection ids indexed per flow at once: the client's first one, then those that the endpoint issues later.
+# Maximum number of connection ids that index a flow: the client's first one, and later ones of the endpoint.
 IDS_PER_FLOW = 8
 UNCONFIRMED_DIVISOR = 4  # unconfirmed flows may use a quarter of the table
 
@@ -72,7 +72,7 @@
         return self._entries.add(_Entry(flow, confirmed))
 
     def confirm(self, flow: FlowType) -> None:
-        """Mark a flow as confirmed, as its endpoint has answered."""
+        """Mark a flow as confirmed, because its endpoint has answered."""
         entry = self._entries.get(flow.slot)
         if entry is not None and not entry.confirmed:
             entry.confirmed = True
--- a/puffindeck/quic/front.py
+++ b/puffindeck/quic/front.py
@@ -172,9 +172,9 @@
     def _take_over(self, address: Address, packet: Packet, datagram: bytes) -> None:
         """Create a flow for a connection established from another address or through another node.
 
-        Its connection id encodes its endpoint, which is used even if it drains, as the connection is not new.
-        An endpoint that does not know the connection answers with a reset or not at all, and the flow ends
-        soon. As anybody can send such ids, these flows may use only a part of the table.
+        Its connection id encodes its endpoint, which is used even if it drains, because the connection is not
+        new. An endpoint that does not know the connection answers with a reset or not at all, and the flow
+        ends soon. Any sender can forge such ids, so these flows may use only a part of the table.
         """
         endpoint = self._endpoint_of(packet.destination_id)
         if endpoint is None:
--- a/puffindeck/quic/packets.py
+++ b/puffindeck/quic/packets.py
@@ -17,7 +17,8 @@
 MIN_FIRST_ID_OCTETS = 8  # the shortest destination id that a client may choose for its first packets
 MIN_INITIAL_OCTETS = 1200  # the shortest datagram that may carry a client's Initial
 MIN_PACKET_OCTETS = 7
-# Minimum after the connection id of a short packet: fewer octets cannot hold the header protection's sample.
+# Minimum number of octets after the connection id of a short packet. Fewer cannot hold the sample that header
+# protection needs.
 SHORT_PACKET_REST_OCTETS = 20
 
 # Error codes of CONNECTION_CLOSE (RFC 9000, 20.1)
@@ -32,7 +33,7 @@
 MAX_REASON_OCTETS = 63
 SOURCE_ID_OCTETS = 8
 PACKET_NUMBER_OCTETS = 2
-PACKET_NUMBERS = 1 << 14
+PACKET_NUMBER_LIMIT = 1 << 14  # exclusive upper bound of the random packet numbers
 
 
 class PacketKind(Enum):
@@ -108,7 +109,8 @@
     crypto = CryptoPair()
     crypto.setup_initial(cid=initial.destination_id, is_client=False, version=initial.version)
     frame = _close_frame(error, reason)
-    packet_number = secrets.randbelow(PACKET_NUMBERS)  # random, as an endpoint's own packets start at 0
+    # The number is random, because an endpoint's own packet numbers start at 0.
+    packet_number = secrets.randbelow(PACKET_NUMBER_LIMIT)
     source_id = secrets.token_bytes(SOURCE_ID_OCTETS)
     header = Buffer(capacity=128)
     version_bits = 0x10 if initial.version == V2 else 0
--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -13,7 +13,8 @@
 from puffindeck.interface import ConnectionInfo
 
 TEXT_COMPARISONS = ("exact", "prefix", "suffix", "contains", "regex")
-# The attributes that a condition may test, each with its allowed comparisons. The first one is the default.
+# The attributes that a condition may test, and the comparisons that each allows. The first comparison is the
+# attribute's default.
 COMPARISONS = {
     "source": ("network",),
     "source_port": ("range",),
--- a/puffindeck/routing/pool_router.py
+++ b/puffindeck/routing/pool_router.py
@@ -36,22 +36,22 @@
 )
 from puffindeck.policy.records import Request
 from puffindeck.routing.conditions import RequestView
-from puffindeck.routing.pool_state import PoolState, Tier, choose_tier, other_tier
+from puffindeck.routing.pool_state import PoolState, Tier, choose_tier, failover_tier
 from puffindeck.routing.pools import Pool, Routing, matches_any
 from puffindeck.routing.tier import TierBalancer
 
 UNKNOWN_CONNECTION = ConnectionInfo()
-# Mean retry delay of rejected clients. Each gets a random one within 50% of it, so that they do not all retry
-# at once.
+# Mean retry delay of rejected clients. Each client gets a random delay within 50% of the mean, so that the
+# clients do not all retry at once.
 RETRY_AFTER_MS = 1000.0
 
 
 @dataclass(slots=True)
 class RequestLocation:
-    """The tier that has a request."""
+    """The tier that a request is in, and the number of attempts that other tiers have made."""
 
     tier: Tier
-    arrival: RequestArrived | None  # None: its connection was already open when this instance started
+    arrival: RequestArrived | None  # None: a connection that was already open when this instance started
     earlier_attempts: int = 0  # number of attempts in other tiers
 
 
@@ -107,7 +107,7 @@
             self.tiers.append(tier)
 
     def _tier_balancer(self, settings: Settings, seed: int, pool: PoolState) -> TierBalancer:
-        return TierBalancer(settings, seed, self._should_leave, pool.connection_count)
+        return TierBalancer(settings, seed, self._should_fail_over, pool.connection_count)
 
     def _event_handlers(self) -> dict[type[Any], Callable[[Any], None]]:
         return {
@@ -179,10 +179,10 @@
         else:
             self._actions.append(action)
             if isinstance(action, (Reject, Fail)):
-                self._remove_if_over(action.request)
+                self._remove_if_completed(action.request)
 
-    def _remove_if_over(self, request: int) -> None:
-        """Remove the location of a request that its tier has removed."""
+    def _remove_if_completed(self, request: int) -> None:
+        """Remove the location of a request that its tier no longer has."""
         location = self.locations.get(request)
         if location is not None and request not in location.tier.balancer.requests:
             del self.locations[request]
@@ -241,7 +241,7 @@
         self._actions += log_lines
         self.locations[event.request] = RequestLocation(tier, event)
         self._dispatch(tier, event)
-        self._remove_if_over(event.request)
+        self._remove_if_completed(event.request)
 
     def _reject(self, request: int) -> None:
         wait_ms = RETRY_AFTER_MS * (0.5 + self.random.random())
@@ -249,20 +249,20 @@
 
     # Failover between tiers
 
-    def _should_leave(self, request: Request) -> bool:
+    def _should_fail_over(self, request: Request) -> bool:
         """Return whether a request that waits in its tier should fail over to another tier."""
         location = self.locations.get(request.id)
-        return location is not None and other_tier(location.tier, request, self.now) is not None
+        return location is not None and failover_tier(location.tier, request, self.now) is not None
 
     def _fail_over(self, request: Request) -> None:
         """Pass a request that its tier has released to another tier.
 
-        Gives it its final answer if no tier can place it or its deadline has passed.
+        Rejects or fails the request if no tier can place it or its deadline has passed.
         """
         location = self.locations[request.id]
         assert location.arrival is not None  # a restored connection is never waiting for a tier
         remaining_ms = request.deadline_ms - self.now
-        tier = other_tier(location.tier, request, self.now)
+        tier = failover_tier(location.tier, request, self.now)
         if tier is None or remaining_ms <= 0:
             del self.locations[request.id]
             if request.is_safe_to_retry():
@@ -275,7 +275,7 @@
         request.attempts = location.earlier_attempts
         tier.balancer.receive(request)
         self._dispatch(tier, replace(location.arrival, remaining_ms=remaining_ms))
-        self._remove_if_over(request.id)
+        self._remove_if_completed(request.id)
 
     # Events of requests whose tier is known
 
@@ -291,7 +291,7 @@
             return
         attempt = event.attempt - location.earlier_attempts
         self._dispatch(location.tier, replace(event, attempt=attempt))
-        self._remove_if_over(event.request)
+        self._remove_if_completed(event.request)
 
     def _on_request_event(
         self, event: LoadReported | LatencyReported | ClientDisconnected | RequestAborted
@@ -299,4 +299,4 @@
         location = self.locations.get(event.request)
         if location is not None:
             self._dispatch(location.tier, event)
-            self._remove_if_over(event.request)
+            self._remove_if_completed(event.request)
--- a/puffindeck/routing/pool_state.py
+++ b/puffindeck/routing/pool_state.py
@@ -26,7 +26,7 @@
     def set_down(self, is_down: bool) -> list[Log]:
         """Record that the tier has gone down, or that it is up again and recovering.
 
-        Returns log lines, which are empty for a pool with a single tier.
+        Returns the log lines of the change: none for a pool with a single tier, or before the first list.
         """
         if is_down and self.balancer.registry.list_version < 0:
             return []  # without an endpoint list, it is unknown whether a tier is down
@@ -57,14 +57,14 @@
 def choose_tier(pool: PoolState, key: int, now_ms: float) -> tuple[Tier, list[Log]]:
     """Return the tier that serves a request, and log lines about tiers that have gone down or come up.
 
-    This is the first healthy tier, with two exceptions:
+    The first healthy tier serves the request, with two exceptions:
 
     - A recovering tier gets a fraction of the requests equal to its warmth, selected by the hash of the key.
       The rest goes to its backup.
     - A tier whose endpoints have all failed gets a single request once an ejection is over, to test whether
       the endpoint serves again.
 
-    Without a healthy tier, it is the first tier that has a ready endpoint, or else the first tier.
+    Without a healthy tier, the first tier with a ready endpoint serves the request, or else the first tier.
     """
     log_lines: list[Log] = []
     for tier in pool.tiers:
@@ -96,7 +96,7 @@
     return has_backup and hash_fraction(key, tier.number) >= warmth
 
 
-def other_tier(tier: Tier, request: Request, now_ms: float) -> Tier | None:
+def failover_tier(tier: Tier, request: Request, now_ms: float) -> Tier | None:
     """Return the tier that a request waiting in `tier` should fail over to; None if it should not.
 
     A tier that can't place the request now is never returned, because it would release the request again.
@@ -105,7 +105,7 @@
     if tier.balancer.health.healthy():
         if not tier.is_recovering or tier.balancer.can_place(request):
             return None
-        candidates = candidates[tier.number + 1 :]  # the backups get what a recovering tier can't take
+        candidates = candidates[tier.number + 1 :]  # the backups get what a recovering tier can't place
     elif tier.balancer.health.can_try_failed():
         return None  # this request tests whether a failed endpoint serves again
     for candidate in candidates:
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -14,8 +14,8 @@
 from puffindeck.policy.records import INF, Endpoint, Request
 from puffindeck.policy.strategies import GatewayState, LifecycleListener, Strategies, StrategyFactory, Verdict
 
-# Fraction of the pool's connections that the slow start budget of a tier is computed from. The random choice
-# of endpoints gives some of them more than their part, so that 1.0 exceeds the budget in
+# Fraction of the pool's connections that the slow start budget of a tier is computed from. Endpoints are
+# chosen at random, and some get more than their share. With a fraction of 1.0, they exceed the budget in
 # benchmarks/pool_return.py.
 POOL_CONNECTIONS_FRACTION = 0.7
 # Consecutive connect failures after which an endpoint that can be reached again was most likely restarted.
@@ -38,7 +38,11 @@
 
 
 class FailoverRequests(LifecycleListener):
-    """Copies the history of requests that fail over: attempts, tried endpoints, and a possible first run."""
+    """Copies the history of requests that fail over to this tier.
+
+    The history has the arrival time, the number of attempts, the tried endpoints, and the first attempt that
+    an endpoint may have processed.
+    """
 
     def __init__(self) -> None:
         self.incoming: dict[int, Request] = {}  # the other tier's records, by request number
@@ -73,7 +77,7 @@
         return any(e.consecutive_failures and not e.is_avoided(now_ms) for e in self._registry.ready.values())
 
     def warmth(self) -> float:
-        """Return the part of its full capacity, from 0 to 1, that the tier has reached at least."""
+        """Return the mean warmth of the healthy endpoints, from 0 to 1 (full capacity); 0 without any."""
         endpoints = self.healthy()
         if not endpoints:
             return 0.0
@@ -92,20 +96,23 @@
 class FailoverGate:
     """Releases requests that fail over to another tier. A PlacementGate."""
 
-    def __init__(self, health: TierHealth, should_leave: Callable[[Request], bool]) -> None:
+    def __init__(self, health: TierHealth, should_fail_over: Callable[[Request], bool]) -> None:
         self._health = health
-        self._should_leave = should_leave
+        self._should_fail_over = should_fail_over
         self.released: list[Request] = []
 
     def review(self, request: Request) -> Verdict:
-        """Release a request that fails over. Answer one if the tier has no endpoint or is full."""
+        """Release a request that should fail over.
+
+        Otherwise answer the request if the tier has no endpoint or is full, or else place it.
+        """
         may_have_taken_effect = (
             request.first_run_endpoint is not None and request.rules.effect == Effect.NOT_IDEMPOTENT
         )
         if (
             not may_have_taken_effect
             and request.attempts < request.max_attempts
-            and self._should_leave(request)
+            and self._should_fail_over(request)
         ):
             return Verdict.RELEASE
         if self._health.has_no_endpoint() or self._health.is_full():
@@ -132,20 +139,20 @@
         self,
         settings: Settings,
         seed: int,
-        should_leave: Callable[[Request], bool],
+        should_fail_over: Callable[[Request], bool],
         pool_connections: Callable[[], int],
         base: StrategyFactory = default_strategies,
     ) -> None:
         """Create the balancer of a tier.
 
-        `should_leave` returns whether a request that waits here should fail over to another tier.
+        `should_fail_over` returns whether a request that waits here should fail over to another tier.
         `pool_connections` returns the number of connections of all tiers. `base` creates the strategies that
         this class extends.
         """
         self._base = base
         self._limits = ConnectionLimits()
         self._incoming = FailoverRequests()
-        self._should_leave = should_leave
+        self._should_fail_over = should_fail_over
         super().__init__(
             settings,
             seed,
@@ -158,7 +165,7 @@
     def _strategies(self, state: GatewayState) -> Strategies:
         base = self._base(state)
         self.health = TierHealth(state, self._limits)
-        self._gate = FailoverGate(self.health, self._should_leave)
+        self._gate = FailoverGate(self.health, self._should_fail_over)
         return replace(
             base,
             endpoint_filter=self._limits,
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -23,7 +23,7 @@
 # How long to wait for the status after empty initial metadata. grpc.aio reports a Trailers-Only response as
 # empty initial metadata that is followed at once by the status.
 TRAILERS_ONLY_WAIT_S = 0.003
-# Event loop iterations that pass between the status and the task that awaits the library's call.
+# Event loop iterations from the end of the library's call until a task that awaits it has resumed.
 CONSUMER_LOOP_ITERATIONS = 3
 NO_RESPONSE: Final[Any] = object()  # marks that no response has been received yet
 
@@ -180,7 +180,10 @@
             self._abort_call(error)
 
     def _abort_call(self, error: Exception) -> None:
-        """End the call if a serializer of the application, or this code, raises: it must not stay open."""
+        """End the call with an error of the application's serializer or of this code.
+
+        Without this, the call would stay open.
+        """
         if not self._abandoned:
             self._call.abort(error)
 
@@ -220,7 +223,7 @@
                 buffer.mark_sent()
             await library_call.done_writing()
         except (AioRpcError, asyncio.InvalidStateError, grpc.aio.UsageError):
-            pass  # the library's call has ended; its status tells the cause
+            pass  # the library's call has ended, and its status has the cause
         except Exception as error:
             self._abort_call(error)
 
@@ -245,7 +248,7 @@
         if self.response is not NO_RESPONSE or self._abandoned:
             return
         self.response = response
-        if self._call.is_served_by(self):  # it was committed early: the replay buffer was full
+        if self._call.is_served_by(self):  # the call was committed early, because the replay buffer was full
             self._call.on_response()
         elif not self._engine.attempt_established(self._attempt_id):
             return
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -54,7 +54,7 @@
         self._options = options
         self._request = request
         self._on_finished = on_finished
-        self._last_status: FinalStatus | None = None  # of the server of the latest failed attempt
+        self._last_status: FinalStatus | None = None  # the status that ended the latest failed attempt
         self._number = 0  # the engine's number of this request; 0: none
         self._attempts = 0
         self._deadline = CallDeadline(shared.clock, options.timeout)
@@ -85,7 +85,7 @@
                 self._number = number
 
     def _time_to_answer(self) -> timedelta:
-        """The time left until the response, or the start of the response stream, must have arrived."""
+        """Return the time left for the response, or for the start of the response stream, to arrive."""
         limit = milliseconds(self.shared.engine.settings.classes[self.method.class_number].deadline_ms)
         remaining = self._deadline.remaining()
         if remaining is None:
@@ -233,7 +233,10 @@
             self.release()
 
     def end(self, status: FinalStatus) -> bool:
-        """End the call because it was cancelled or the channel was closed. False if it had already ended."""
+        """End the call because it was cancelled or the channel was closed.
+
+        Returns False if the call had already ended.
+        """
         if self.completion.status is not None:
             return False
         self.finish(status)
--- a/puffindeck/rpc/call_completion.py
+++ b/puffindeck/rpc/call_completion.py
@@ -45,8 +45,8 @@
     def raise_unless_ok(self) -> None:
         """Raise the error of a call that has ended, unless its status is OK.
 
-        The error is the application's own one if it raised one, CancelledError for the status CANCELLED, and
-        AioRpcError otherwise.
+        The error is the one that the application's own code raised, if any, CancelledError for the status
+        CANCELLED, and AioRpcError otherwise.
         """
         if self.application_error is not None:
             raise self.application_error
--- a/puffindeck/rpc/call_deadline.py
+++ b/puffindeck/rpc/call_deadline.py
@@ -6,8 +6,9 @@
 
 from puffindeck.core.clock import Clock, milliseconds
 
-TOLERANCE = milliseconds(1)  # a call that ends this shortly before its deadline counts as ended by it
-MAX_TIMEOUT_S = 1e9
+# A call that ends at most this long before its deadline counts as ended by the deadline.
+TOLERANCE = milliseconds(1)
+MAX_TIMEOUT_S = 1e9  # replaces longer and infinite timeouts, which may exceed the range of a timedelta
 
 
 class CallDeadline:
--- a/puffindeck/rpc/calls.py
+++ b/puffindeck/rpc/calls.py
@@ -73,13 +73,13 @@
 
 
 async def write_request(call: BalancedCall, message: Any) -> None:
-    """Send a message of a request stream, after earlier ones. Raises as RequestStream.write."""
+    """Send a message of a request stream, after earlier ones. Raises the errors of RequestStream.write."""
     assert call.request_stream is not None
     await call.request_stream.write(message)
 
 
 async def end_requests(call: BalancedCall) -> None:
-    """End a request stream. Raises as RequestStream.done_writing."""
+    """End a request stream. Raises the errors of RequestStream.done_writing."""
     assert call.request_stream is not None
     call.request_stream.done_writing()
 
@@ -98,7 +98,7 @@
         return iterate_responses(self)
 
     async def read(self) -> Any:
-        """Wait for the next response; EOF after a stream that ended with OK. Raises as `read_response`."""
+        """Wait for the next response; EOF after status OK. Raises the errors of `read_response`."""
         return await read_response(self)
 
 
@@ -109,11 +109,11 @@
         return await_response(self).__await__()
 
     async def write(self, message: Any) -> None:
-        """Send a message, after waiting for earlier messages. Raises as RequestStream.write."""
+        """Send a message, after waiting for earlier messages. Raises the errors of RequestStream.write."""
         await write_request(self, message)
 
     async def done_writing(self) -> None:
-        """End the request stream. Raises as RequestStream.done_writing."""
+        """End the request stream. Raises the errors of RequestStream.done_writing."""
         await end_requests(self)
 
 
@@ -124,15 +124,15 @@
         return iterate_responses(self)
 
     async def read(self) -> Any:
-        """Wait for the next response; EOF after a stream that ended with OK. Raises as `read_response`."""
+        """Wait for the next response; EOF after status OK. Raises the errors of `read_response`."""
         return await read_response(self)
 
     async def write(self, message: Any) -> None:
-        """Send a message, after waiting for earlier messages. Raises as RequestStream.write."""
+        """Send a message, after waiting for earlier messages. Raises the errors of RequestStream.write."""
         await write_request(self, message)
 
     async def done_writing(self) -> None:
-        """End the request stream. Raises as RequestStream.done_writing."""
+        """End the request stream. Raises the errors of RequestStream.done_writing."""
         await end_requests(self)
 
 
--- a/puffindeck/rpc/endpoint_connection.py
+++ b/puffindeck/rpc/endpoint_connection.py
@@ -81,7 +81,7 @@
     def migrate(self) -> bool:
         """Call the protocol's `moveRequested` if it has one. Only the protocol knows when its calls are done.
 
-        Returns False, as the connection is not ended here.
+        Returns False, because this method does not end the connection.
         """
         move_requested = getattr(self._protocol.wrappedProtocol, "moveRequested", None)
         if move_requested is not None:
--- a/puffindeck/rpc/grpc.py
+++ b/puffindeck/rpc/grpc.py
@@ -104,7 +104,7 @@
         """
         return cls(load_client_config(path), **keywords)
 
-    # The parts are created on first use, as the event loop is not known before.
+    # The parts are created on first use, because the event loop is not known before.
 
     def _security(self) -> ChannelSecurity:
         tls = self._config.rpc.tls
@@ -171,7 +171,8 @@
         except TimeoutError:
             pass
 
-    # The connectivity state is that of the endpoint list, as no single connection represents all servers.
+    # The connectivity state is that of the endpoint list, because no single connection represents all
+    # servers.
 
     def get_state(self, try_to_connect: bool = False) -> grpc.ChannelConnectivity:
         """Return the connectivity state: READY while the endpoint list has a server that accepts calls."""
--- a/puffindeck/rpc/intercepted_calls.py
+++ b/puffindeck/rpc/intercepted_calls.py
@@ -171,7 +171,10 @@
         return self._responses
 
     async def read(self) -> Any:
-        """Wait for the next response; EOF after a stream that ended with OK. Raises any other end's error."""
+        """Wait for the next response; EOF after status OK.
+
+        Raises the error of a stream that ended with another status, or of an interceptor that failed.
+        """
         return await anext(aiter(self), EOF)
 
     # Requests
--- a/puffindeck/rpc/interceptor_chain.py
+++ b/puffindeck/rpc/interceptor_chain.py
@@ -1,4 +1,4 @@
-"""Runs grpc.aio interceptors around a balanced call. They see one call, however many attempts it makes."""
+"""Runs grpc.aio interceptors around a balanced call. Interceptors see one call, not its attempts."""
 
 from __future__ import annotations
 
--- a/puffindeck/rpc/request_stream.py
+++ b/puffindeck/rpc/request_stream.py
@@ -82,7 +82,7 @@
         self.buffer.close()
 
     def stop(self) -> None:
-        """Stop reading the application's iterator, as the call has ended."""
+        """Stop reading the application's iterator, because the call has ended."""
         if self._feed_task is not None:
             self._feed_task.cancel()
 
--- a/puffindeck/rpc/resuming.py
+++ b/puffindeck/rpc/resuming.py
@@ -14,7 +14,8 @@
 
 FIRST_BACKOFF_S = 0.2  # delay after the first broken stream; doubles with each consecutive failure
 MAX_BACKOFF_S = 5.0
-# Migrated streams are requested again after a random delay up to this, as many may migrate at the same time.
+# Maximum of the random delay after which a migrated stream is requested again. The delays spread the requests
+# of streams that are migrated at the same time.
 MIGRATION_SPREAD_S = 0.2
 MAX_RETRY_AFTER_S = 3600.0  # a longer time counts as gRFC A6's "do not retry"
 
--- a/puffindeck/rpc/status_outcomes.py
+++ b/puffindeck/rpc/status_outcomes.py
@@ -1,8 +1,8 @@
-"""Maps the gRPC status of an attempt to its outcome. Does no I/O; status codes are numbers.
+"""Maps the gRPC status of an attempt to the outcome of the attempt. Does no I/O; status codes are numbers.
 
-Based on gRPC's "Status codes and their use in gRPC" and gRFC A6 (client retries). A status does not tell
+Based on gRPC's "Status codes and their use in gRPC" and gRFC A6 (client retries). A status does not show
 whether the server sent it or the local library created it because the connection broke. Where the difference
-matters, it is taken from the library's status text.
+matters, the text of the status decides.
 
 | end of the attempt | outcome | call may have run |
 | --- | --- | --- |
--- a/puffindeck/rpc/subchannel_pool.py
+++ b/puffindeck/rpc/subchannel_pool.py
@@ -14,16 +14,16 @@
 from puffindeck.core.timer_queue import Deadline, TimerQueue
 from puffindeck.rpc.method import Method
 
-# The decision module alone retries calls, so that each attempt is counted once: the library must not resend
-# anything. Channels don't share subchannels, so that they don't share a backoff either, and a broken channel
-# can be replaced at once.
+# Only the decision module retries calls, so that each attempt is counted once. The library must not resend
+# anything. Channels don't share subchannels and therefore share no backoff, so that a broken channel can be
+# replaced at once.
 CHANNEL_OPTIONS: tuple[tuple[str, Any], ...] = (
     ("grpc.enable_retries", 0),
     ("grpc.service_config_disable_resolution", 1),
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.lb_policy_name", "pick_first"),
     ("grpc.enable_http_proxy", 0),
-    # The decision module decides when to try a server, so the library's backoff must not outlast its own.
+    # The decision module decides when to try a server. The library's backoff must not outlast the module's.
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 1000),
@@ -31,7 +31,7 @@
 
 
 class ChannelSecurity(NamedTuple):
-    """How the channels of a pool are opened. Without credentials, they use plain text."""
+    """Credentials and options of a pool's channels. Without credentials, the channels use plain text."""
 
     credentials: grpc.ChannelCredentials | None
     options: Sequence[tuple[str, Any]]
@@ -70,7 +70,7 @@
     async def connect(self, timeout: timedelta) -> bool:
         """Wait for the connection. Return False if it fails or takes longer than `timeout`.
 
-        A channel that failed before is replaced, as it may wait for seconds before its next connect.
+        A channel that failed before is replaced, because it may wait for seconds before its next connect.
         """
         if self.channel.get_state() in (State.TRANSIENT_FAILURE, State.SHUTDOWN):
             if self.active_calls > 1:  # another call is connecting or has just failed to connect
--- a/puffindeck/service_discovery/directory.py
+++ b/puffindeck/service_discovery/directory.py
@@ -36,7 +36,8 @@
         """Return a host's number, a hash of its name.
 
         All nodes compute the same number, and therefore place the host alike on the hash ring. If the numbers
-        of two hosts collide, the host that was seen second gets its next hash. Raises OverflowError.
+        of two hosts collide, the host that was seen second gets its next hash. Raises OverflowError if all
+        256 hashes of the name are taken.
         """
         for collisions in range(256):
             digest = blake2b(uid.encode(), digest_size=4, salt=collisions.to_bytes(1, "little")).digest()
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -208,8 +208,8 @@
     ]
 
 
-def test_request_fails_over_to_backup_when_a_listed_primary_fails_and_attempts_are_counted_on() -> None:
-    """Attempts of all tiers count, and a request that has used all its attempts gets a final answer."""
+def test_request_fails_over_when_a_listed_primary_fails_and_is_rejected_after_its_last_attempt() -> None:
+    """The attempts of all tiers together count against the limit of a request."""
     gateway = make_gateway(Pool("main", (endpoint_names(1), endpoint_names(2))), endpoints=2)
     assert gateway.submit(1, key=1) == 1
     gateway.end_attempt(1, Outcome.CONNECT_FAILED)
@@ -314,7 +314,7 @@
     assert [type(a) for a in gateway.actions[before:]].count(WatchEndpoints) == 1
 
 
-def test_attempts_of_a_pool_apply_before_and_after_changed_settings() -> None:
+def test_attempt_limit_of_a_pool_applies_before_and_after_changed_settings() -> None:
     gateway = make_gateway(Pool("main", (endpoint_names(1, 2, 3),), attempts=1))
     gateway.submit(1, key=1)
     assert [type(a) for a in gateway.end_attempt(1, Outcome.ERROR) if isinstance(a, (Reject, Fail))] == [
--- a/tests/rpc/test_routing.py
+++ b/tests/rpc/test_routing.py
@@ -1,4 +1,4 @@
-"""Tests of pools in a client, which uses a daemon's routing table and decides for itself."""
+"""Tests of pools in a client, which has a routing table as a daemon does and makes its own decisions."""
 
 from __future__ import annotations
 
