--- a/puffindeck/quic/flow.py
+++ b/puffindeck/quic/flow.py
@@ -70,8 +70,8 @@
         self._first_flight: list[bytes] = []
         self._first_response = b""
         now = context.clock.now()
-        self._endpoint_heard_at = now
-        self._client_heard_at = now
+        self._endpoint_last_seen_at = now
+        self._client_last_seen_at = now
         self._unanswered_since = now
         self._unanswered = 0  # the client's datagrams since the endpoint's last one
         self.slot = context.table.add(self, confirmed=initial is not None)
@@ -149,9 +149,9 @@
             link.send(datagram)
 
     def _record_client_datagram(self, packet: Packet, octets: int) -> None:
-        self._client_heard_at = self._context.clock.now()
+        self._client_last_seen_at = self._context.clock.now()
         if not self._unanswered:
-            self._unanswered_since = self._client_heard_at
+            self._unanswered_since = self._client_last_seen_at
         self._unanswered += 1
         self._octets_received += octets
         initial = self._initial
@@ -163,7 +163,7 @@
 
     def on_endpoint_datagram(self, link: EndpointLink, datagram: bytes) -> None:
         """Forward a datagram of the endpoint. Its first valid response establishes the connection."""
-        self._endpoint_heard_at = self._context.clock.now()
+        self._endpoint_last_seen_at = self._context.clock.now()
         self._unanswered = 0
         if self.established:
             self._send_to_client(datagram)
@@ -213,9 +213,9 @@
         """End the flow if it is idle or unconfirmed for too long, or if its endpoint is silent."""
         context = self._context
         if not self.established:
-            if self._initial is None and now - self._client_heard_at > UNCONFIRMED_TIMEOUT:
+            if self._initial is None and now - self._client_last_seen_at > UNCONFIRMED_TIMEOUT:
                 self._finish(Outcome.RESET)
-        elif now - max(self._endpoint_heard_at, self._client_heard_at) > context.idle_timeout:
+        elif now - max(self._endpoint_last_seen_at, self._client_last_seen_at) > context.idle_timeout:
             self._finish(Outcome.OK)
         elif self._endpoint_is_silent():
             host = context.directory.name(self.link.endpoint) if self.link is not None else "?"
@@ -223,7 +223,7 @@
             self._finish(Outcome.RESET)
 
     def _endpoint_is_silent(self) -> bool:
-        unanswered_for = self._client_heard_at - self._unanswered_since
+        unanswered_for = self._client_last_seen_at - self._unanswered_since
         return self._unanswered >= MIN_UNANSWERED_DATAGRAMS and unanswered_for > self._context.silent_timeout
 
     def _finish(self, outcome: Outcome) -> None:
--- a/puffindeck/routing/tier.py
+++ b/puffindeck/routing/tier.py
@@ -33,7 +33,7 @@
         return self.is_below_limit(endpoint)
 
     def is_below_limit(self, endpoint: Endpoint) -> bool:
-        """Return whether the endpoint may get another connection."""
+        """Return whether the endpoint has fewer connections and attempts than its limit."""
         return len(endpoint.connections) < self.limits.get(endpoint.id, INF)
 
 
@@ -151,7 +151,7 @@
         """
         self._base = base
         self._limits = ConnectionLimits()
-        self._incoming = FailoverRequests()
+        self._failover_requests = FailoverRequests()
         self._should_fail_over = should_fail_over
         super().__init__(
             settings,
@@ -171,7 +171,7 @@
             endpoint_filter=self._limits,
             restarts=base.restarts or RestartAfterTwoFailures(),
             gates=(self._gate, *base.gates),
-            listeners=(self._incoming, *base.listeners),
+            listeners=(self._failover_requests, *base.listeners),
         )
 
     def set_limits(self, limits: dict[int, int]) -> None:
@@ -192,7 +192,7 @@
 
     def receive(self, request: Request) -> None:
         """Store the record of a request that another tier has released, before the request arrives here."""
-        self._incoming.incoming[request.id] = request
+        self._failover_requests.incoming[request.id] = request
 
     def take_released(self) -> Request | None:
         """Remove and return the next request that this tier has released; None if there is none."""
--- a/puffindeck/rpc/endpoint_connection.py
+++ b/puffindeck/rpc/endpoint_connection.py
@@ -41,10 +41,10 @@
         self.context = context
         self.factory: Any = factory
         self.request = 0  # the engine's number of this request
-        self.result: Deferred[Any] = Deferred(self._cancelled)
+        self.result: Deferred[Any] = Deferred(self._on_cancelled)
         self._protocol: Any = None
 
-    def _cancelled(self, _: Deferred[Any]) -> None:
+    def _on_cancelled(self, _: Deferred[Any]) -> None:
         self.context.engine.client_disconnected(self.request)
 
     def is_waiting(self) -> bool:
--- a/puffindeck/rpc/status_outcomes.py
+++ b/puffindeck/rpc/status_outcomes.py
@@ -29,7 +29,8 @@
 UNAVAILABLE = 14
 
 STREAM_RESET = ("RST_STREAM", "Stream removed")  # texts of gRPC core for a stream that the transport ended
-TOO_LARGE = "message larger than max"  # text of gRPC core for a message over the size limit
+# Text of gRPC core for a message over the size limit. Such a message fails alike at every server.
+TOO_LARGE = "message larger than max"
 
 
 def outcome_of_status(
--- a/puffindeck/service_discovery/start_times.py
+++ b/puffindeck/service_discovery/start_times.py
@@ -27,8 +27,9 @@
     ) -> float:
         """Return an endpoint's start time as a Unix time in milliseconds; 0 for a start long ago.
 
-        `last_contact_ms` is the time of discovery's last answer before this list, None for the first list. A
-        start that is new in this list can't be older than that answer by more than the delay of a list.
+        `last_contact_ms` is the time of discovery's last answer before this list, None for the first list. If
+        it is known, a start time that is new in this list is plausible only if its age is at most the maximum
+        notification delay, plus the time by which the last answer is older than a heartbeat interval.
         """
         if reported_ms <= 0.0:
             self.forget((endpoint,))
