--- a/puffindeck/quic/flow.py
+++ b/puffindeck/quic/flow.py
@@ -24,11 +24,12 @@
 
 # A flow that was taken over ends if its client is silent for this time before the endpoint's first datagram.
 UNCONFIRMED_TIMEOUT = milliseconds(3000)
-# Datagrams of the client's first flight that are stored, to be sent again in a further attempt.
+# Maximum number of datagrams of the client's first flight that are stored, to be sent again in each attempt.
 FIRST_FLIGHT_DATAGRAMS = 4
-# Fewer unanswered datagrams may all be acknowledgements, which the endpoint need not answer.
+# Minimum number of unanswered datagrams after which an endpoint can count as silent. Fewer may all be
+# acknowledgements, which the endpoint need not answer.
 MIN_UNANSWERED_DATAGRAMS = 4
-# Before an address is validated, it is sent at most so many times the octets received from it (RFC 9000, 8).
+# An address that is not validated is sent at most this multiple of the octets received from it (RFC 9000, 8).
 AMPLIFICATION_LIMIT = 3
 
 
@@ -63,14 +64,14 @@
         self._context = context
         self._initial = initial
         self._ended = False
-        self._address_validated = False  # the client has proved that it receives datagrams there
+        self._address_validated = False  # whether the client has proved that it receives at `address`
         self._octets_received = 0  # from the client's address
         self._octets_sent = 0  # to the client's address
         self._first_flight: list[bytes] = []
         self._first_response = b""
         now = context.clock.now()
-        self._endpoint_heard_at = now
-        self._client_heard_at = now
+        self._endpoint_last_seen_at = now
+        self._client_last_seen_at = now
         self._unanswered_since = now
         self._unanswered = 0  # the client's datagrams since the endpoint's last one
         self.slot = context.table.add(self, confirmed=initial is not None)
@@ -119,7 +120,7 @@
         self._close(packets.CONNECTION_REFUSED, reason)
 
     def fail(self) -> None:
-        """Close the connection with an internal error, as every attempt has failed."""
+        """Close the connection with an internal error, because every attempt has failed."""
         self._close(packets.INTERNAL_ERROR, "failed")
 
     def migrate(self) -> bool:
@@ -148,9 +149,9 @@
             link.send(datagram)
 
     def _record_client_datagram(self, packet: Packet, octets: int) -> None:
-        self._client_heard_at = self._context.clock.now()
+        self._client_last_seen_at = self._context.clock.now()
         if not self._unanswered:
-            self._unanswered_since = self._client_heard_at
+            self._unanswered_since = self._client_last_seen_at
         self._unanswered += 1
         self._octets_received += octets
         initial = self._initial
@@ -162,7 +163,7 @@
 
     def on_endpoint_datagram(self, link: EndpointLink, datagram: bytes) -> None:
         """Forward a datagram of the endpoint. Its first valid response establishes the connection."""
-        self._endpoint_heard_at = self._context.clock.now()
+        self._endpoint_last_seen_at = self._context.clock.now()
         self._unanswered = 0
         if self.established:
             self._send_to_client(datagram)
@@ -212,9 +213,9 @@
         """End the flow if it is idle or unconfirmed for too long, or if its endpoint is silent."""
         context = self._context
         if not self.established:
-            if self._initial is None and now - self._client_heard_at > UNCONFIRMED_TIMEOUT:
+            if self._initial is None and now - self._client_last_seen_at > UNCONFIRMED_TIMEOUT:
                 self._finish(Outcome.RESET)
-        elif now - max(self._endpoint_heard_at, self._client_heard_at) > context.idle_timeout:
+        elif now - max(self._endpoint_last_seen_at, self._client_last_seen_at) > context.idle_timeout:
             self._finish(Outcome.OK)
         elif self._endpoint_is_silent():
             host = context.directory.name(self.link.endpoint) if self.link is not None else "?"
@@ -222,7 +223,7 @@
             self._finish(Outcome.RESET)
 
     def _endpoint_is_silent(self) -> bool:
-        unanswered_for = self._client_heard_at - self._unanswered_since
+        unanswered_for = self._client_last_seen_at - self._unanswered_since
         return self._unanswered >= MIN_UNANSWERED_DATAGRAMS and unanswered_for > self._context.silent_timeout
 
     def _finish(self, outcome: Outcome) -> None:
--- a/puffindeck/rpc/endpoint_connection.py
+++ b/puffindeck/rpc/endpoint_connection.py
@@ -41,10 +41,10 @@
         self.context = context
         self.factory: Any = factory
         self.request = 0  # the engine's number of this request
-        self.result: Deferred[Any] = Deferred(self._cancelled)
+        self.result: Deferred[Any] = Deferred(self._on_cancelled)
         self._protocol: Any = None
 
-    def _cancelled(self, _: Deferred[Any]) -> None:
+    def _on_cancelled(self, _: Deferred[Any]) -> None:
         self.context.engine.client_disconnected(self.request)
 
     def is_waiting(self) -> bool:
@@ -81,7 +81,7 @@
     def migrate(self) -> bool:
         """Call the protocol's `moveRequested` if it has one. Only the protocol knows when its calls are done.
 
-        Returns False, as the connection is not ended here.
+        Returns False, because this method does not end the connection.
         """
         move_requested = getattr(self._protocol.wrappedProtocol, "moveRequested", None)
         if move_requested is not None:
