--- a/packages/faults/src/puffindeck_faults/checker.py
+++ b/packages/faults/src/puffindeck_faults/checker.py
@@ -67,7 +67,7 @@
 
 
 class _Checker:
-    """Checks one run's records; holds indexes on them."""
+    """Checks the records of one run, which it indexes by request and by receipt."""
 
     def __init__(self, records: Records, limits: RunLimits) -> None:
         self._records = records
@@ -234,7 +234,7 @@
     # Open connections
 
     def connections(self) -> Iterator[Violation]:
-        """Find open connections that were closed without MOVE, remained open after their host, or remained silent."""
+        """Find connections that were closed without MOVE, outlived their host's close, or were silent for too long."""
         for client in self._records.clients:
             if client.answer is None or not client.answer.startswith("UP") or self._killed(client):
                 continue
--- a/packages/faults/src/puffindeck_faults/clients.py
+++ b/packages/faults/src/puffindeck_faults/clients.py
@@ -119,15 +119,15 @@
     async def _exchange_lines(
         self, record: ClientRecord, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, hold_s: float
     ) -> None:
-        ends = now() + hold_s
-        next_line = now() + LINE_INTERVAL_S
-        while (moment := now()) < ends:
-            if moment >= next_line:
+        end_time = now() + hold_s
+        next_send_time = now() + LINE_INTERVAL_S
+        while (current_time := now()) < end_time:
+            if current_time >= next_send_time:
                 writer.write(b"ping\r\n")
-                next_line = moment + LINE_INTERVAL_S
-                record.unanswered_since = record.unanswered_since or moment
+                next_send_time = current_time + LINE_INTERVAL_S
+                record.unanswered_since = record.unanswered_since or current_time
             try:
-                line = await asyncio.wait_for(reader.readline(), max(0.01, min(next_line, ends) - now()))
+                line = await asyncio.wait_for(reader.readline(), max(0.01, min(next_send_time, end_time) - now()))
             except TimeoutError:
                 self._record_silence(record)
                 continue
--- a/packages/faults/src/puffindeck_faults/fault_injector.py
+++ b/packages/faults/src/puffindeck_faults/fault_injector.py
@@ -20,7 +20,7 @@
 SOURCE = Path(__file__).with_name("fault_injector.c")
 MILLIONTHS = 1_000_000
 NANOSECONDS_PER_SECOND = 1_000_000_000
-ALWAYS = -1  # number of failures that stands for no limit
+ALWAYS = -1  # value of `times` for an unlimited number of failures
 
 
 class SystemCall(IntEnum):
@@ -87,7 +87,7 @@
     def __init__(self, folder: Path, seed: int = 0, files: Path | None = None) -> None:
         """Create the control file in `folder`, with all faults off.
 
-        `seed` determines the random decisions. Calls on files fail only in the folder `files`; None means on no file.
+        `seed` determines the random decisions. Calls on files fail only in the folder `files`, and never if it is None.
         """
         self.path = folder / "faults"
         self._files = files
@@ -140,7 +140,7 @@
         self._write_number(ControlField.SHORT_BYTES, max_bytes)
 
     def set_write_pause(self, pause_s: float, chance: float = 1.0) -> None:
-        """Pause the process before sends, at most once per second, with a probability from 0 to 1. 0 s: no pauses."""
+        """Pause the process before sends, at most once per second, with a probability from 0 to 1. 0 s disables it."""
         self._write_number(ControlField.PAUSE_CHANCE, round(chance * MILLIONTHS))
         self._write_number(ControlField.PAUSE_NS, round(pause_s * NANOSECONDS_PER_SECOND))
 
--- a/packages/faults/src/puffindeck_faults/scenario_runner.py
+++ b/packages/faults/src/puffindeck_faults/scenario_runner.py
@@ -73,7 +73,7 @@
     def _on_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            raise RuntimeError("a fault could not be applied") from task.exception()
+            raise RuntimeError("a task of the run failed") from task.exception()
 
     async def _end(self) -> None:
         """Send SIGTERM to all nodes at once. New clients start until all nodes have ended."""
--- a/packages/faults/src/puffindeck_faults/schedule.py
+++ b/packages/faults/src/puffindeck_faults/schedule.py
@@ -31,7 +31,7 @@
     DRAIN = "drain"  # a host drains, is killed, and restarts in slow start
     DISCOVERY_DOWN = "discovery_down"  # discovery refuses connections
     DISCOVERY_SILENT = "discovery_silent"  # discovery keeps connections open and sends nothing
-    RELOAD = "reload"  # a node gets a series of SIGHUP, for some with an invalid file or a new discovery port
+    RELOAD = "reload"  # a node gets a series of SIGHUP, sometimes with an invalid file or a new discovery port
     RESTART = "restart"  # a node gets SIGTERM, SIGKILL at the earliest time, and is started again
     KILL = "kill"  # a node gets SIGKILL, and is started again
     IDLE_CLIENTS = "crowd"  # idle clients use up a node's descriptors
--- a/packages/faults/tests/test_partial_lines.py
+++ b/packages/faults/tests/test_partial_lines.py
@@ -11,11 +11,11 @@
 from puffindeck_faults.world import CLASSES, World
 
 CLIENTS = 5
-SEND_FAILURE_CHANCE = 0.99  # on average a hundred iterations of the node's reactor send one octet
+SEND_FAILURE_CHANCE = 0.99  # on average, the node sends one octet per hundred iterations of its reactor
 
 
 async def close_client_within_its_line(world: World) -> None:
-    """Start a client, block all sends of the node once a host has an octet of its line, and close the client."""
+    """Start a client, block all sends of the node once a host has read an octet of the line, and close the client."""
     node = world.nodes["n0"]
     attempts_before = len(world.records.attempts)
     node.fault_injector.fail(SystemCall.SEND, errno.EAGAIN, chance=SEND_FAILURE_CHANCE)
--- a/packages/fleet/src/puffindeck_fleet/datagram_codec.py
+++ b/packages/fleet/src/puffindeck_fleet/datagram_codec.py
@@ -21,14 +21,14 @@
 class DropReason(StrEnum):
     """The reason for which a datagram was dropped. `GET /_fleet` counts drops under these names."""
 
-    SHORT = "short"
-    GARBAGE = "garbage"
+    SHORT = "short"  # the datagram is shorter than a frame
+    GARBAGE = "garbage"  # the datagram does not begin with `MAGIC`
     NEWER = "newer"  # the frame has a later version
     FOREIGN = "foreign"  # the datagram belongs to another fleet
-    DAMAGED = "damaged"
-    UNREADABLE = "unreadable"
-    TOO_LONG = "too long"  # the datagram was not sent
-    UNKNOWN_CHANNEL = "channel"
+    DAMAGED = "damaged"  # the checksum does not match
+    UNREADABLE = "unreadable"  # the payload is not a valid envelope
+    TOO_LONG = "too long"  # the envelope exceeds the size limit, and was not sent
+    UNKNOWN_CHANNEL = "channel"  # no module of this member handles the payload's channel
 
 
 class InvalidDatagram(Exception):
--- a/packages/fleet/src/puffindeck_fleet/datagram_sockets.py
+++ b/packages/fleet/src/puffindeck_fleet/datagram_sockets.py
@@ -90,7 +90,7 @@
         self._on_refused = on_refused
         self._main = MainSocket(on_datagram)
         self._main_port: DatagramPort | None = None
-        self._probe_sockets: dict[str, ProbeSocket] = {}  # by address, in order of use with the latest last
+        self._probe_sockets: dict[str, ProbeSocket] = {}  # by address, least recently used first
 
     def open(self) -> str:
         """Bind the main socket and return its address. Raise BindFailed if the address can't be bound."""
--- a/packages/fleet/src/puffindeck_fleet/gateway.py
+++ b/packages/fleet/src/puffindeck_fleet/gateway.py
@@ -130,7 +130,7 @@
             self._quota.handle(self._now_ms(), members_changed, QuotaTick())
 
     def _flush(self) -> None:
-        """Make the request filter return the actions that are pending outside the handling of an event."""
+        """Dispatch `FLUSH`, which makes the request filter return its pending actions without another event."""
         if self._engine is not None:
             self._engine.dispatch(FLUSH)
 
--- a/packages/fleet/src/puffindeck_fleet/region_enforcement.py
+++ b/packages/fleet/src/puffindeck_fleet/region_enforcement.py
@@ -59,10 +59,10 @@
         if self._generation == self._ruleset_store.generation:
             return
         self._generation = self._ruleset_store.generation
-        for number, request in requests.items():
+        for request_id, request in requests.items():
             constraint = evaluate(self._ruleset_store.active(), request.view, self._region)
             if constraint is None or not (request.is_established and constraint.allow_existing):
-                self._set_regions(number, constraint)
+                self._set_regions(request_id, constraint)
 
     def due_migrations(self, now_ms: float) -> list[int]:
         """Return the requests that have to migrate now.
@@ -85,8 +85,8 @@
     def violations_by_service(self, requests: Mapping[int, FilteredRequest]) -> dict[str, int]:
         """Return the number of connections in regions that are not allowed, by service."""
         counts: dict[str, int] = {}
-        for number in self._module.connections_outside_regions():
-            constraint = evaluate(self._ruleset_store.active(), requests[number].view, self._region)
+        for request_id in self._module.connections_outside_regions():
+            constraint = evaluate(self._ruleset_store.active(), requests[request_id].view, self._region)
             for name in constraint.service_names if constraint is not None else ():
                 counts[name] = counts.get(name, 0) + 1
         return counts
--- a/packages/fleet/src/puffindeck_fleet/request_filter.py
+++ b/packages/fleet/src/puffindeck_fleet/request_filter.py
@@ -182,11 +182,11 @@
         if request is not None:
             request.may_have_been_served = True  # an attempt may still be established
 
-    def _on_final_answer(self, now_ms: float, number: int) -> None:
-        request = self._requests.get(number)
+    def _on_final_answer(self, now_ms: float, request_id: int) -> None:
+        request = self._requests.get(request_id)
         if request is not None and not request.is_established:
-            self._close(now_ms, number, request)
+            self._close(now_ms, request_id, request)
 
-    def _close(self, now_ms: float, number: int, request: FilteredRequest) -> None:
-        del self._requests[number]
+    def _close(self, now_ms: float, request_id: int, request: FilteredRequest) -> None:
+        del self._requests[request_id]
         self._admission.on_closed(request, now_ms)
--- a/packages/fleet/tests/test_datagram_codec.py
+++ b/packages/fleet/tests/test_datagram_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams that are corrupt, belong to another fleet or have another version are dropped, and why."""
+"""Datagrams that are corrupt, belong to another fleet or have a later version are dropped with a reason."""
 
 from __future__ import annotations
 
--- a/packages/membership/src/puffindeck_membership/anti_entropy.py
+++ b/packages/membership/src/puffindeck_membership/anti_entropy.py
@@ -30,7 +30,7 @@
         self._tables_differ = not table.living
 
     def run(self) -> None:
-        """Send a digest to a random member, schedule the next run, and remove long departed members."""
+        """Send a digest to a random member, schedule the next run, and remove old departed members."""
         for name in self._table.random_members(self._runtime.random, 1):
             self._sender.send(name, StateDigest(self._bucket_hashes()), updates=[self._local.update()])
         timing = self._runtime.timing
--- a/packages/membership/src/puffindeck_membership/contact.py
+++ b/packages/membership/src/puffindeck_membership/contact.py
@@ -44,7 +44,10 @@
         return self._runtime.now_ms - member.last_direct_contact_ms < self._recent_ms
 
     def silence_ms(self, member: Member) -> float:
-        """Return the milliseconds without contact, since monitoring began and this process last resumed."""
+        """Return the milliseconds since the latest contact.
+
+        Time before monitoring of the member began, or before this process last resumed, does not count.
+        """
         listening_since_ms = max(member.last_contact_ms, member.monitored_since_ms, self._health.resumed_ms)
         return self._runtime.now_ms - listening_since_ms
 
@@ -58,7 +61,7 @@
     def record_clock(self, member: Member, sent_ms: float, answered_at_ms: float) -> None:
         """Estimate the offset of the member's clock in milliseconds from an Ack.
 
-        The estimate is taken from the Ack with the shortest recent round trip, as it is the most accurate.
+        The estimate is taken from the Ack with the shortest recent round trip, because that one is the most accurate.
         """
         now_ms = self._runtime.now_ms
         round_trip_ms = now_ms - sent_ms
--- a/packages/membership/src/puffindeck_membership/datagram_receiver.py
+++ b/packages/membership/src/puffindeck_membership/datagram_receiver.py
@@ -30,7 +30,7 @@
 
 
 class DatagramReceiver:
-    """Receives the datagrams of other members. `dropped` counts the datagrams dropped, by reason."""
+    """Receives the datagrams of other members. `dropped` is the number of dropped datagrams by reason."""
 
     def __init__(
         self,
--- a/packages/membership/src/puffindeck_membership/dissemination.py
+++ b/packages/membership/src/puffindeck_membership/dissemination.py
@@ -121,7 +121,7 @@
             local.incarnation = max(local.incarnation, update.incarnation)
             return
         if update.phase == Phase.DEAD and is_this_process:
-            local.excluded_by_peers = True  # reset when a ping is answered, as the refutation may be lost
+            local.excluded_by_peers = True  # until a ping is answered, because the refutation may be lost
         if update.phase == Phase.ALIVE and update.process_incarnation > local.process_incarnation:
             conflict = NameConflict(local.process_incarnation, local.address)
             self._sender.send("", conflict, address=update.address)
--- a/packages/membership/src/puffindeck_membership/local_health.py
+++ b/packages/membership/src/puffindeck_membership/local_health.py
@@ -7,7 +7,7 @@
 
 MAX_HEALTH_COUNTER = 8  # upper bound of the local health counter
 HEALTH_COUNTS_PER_TIMEOUT_MULTIPLE = 4  # counter value at which all timeouts are doubled
-ISOLATION_PROBE_INTERVALS = 1.5  # probe intervals without any datagram that show that this member is isolated
+ISOLATION_PROBE_INTERVALS = 1.5  # a member that receives no datagram for this many probe intervals is isolated
 
 
 class LocalHealth:
@@ -44,7 +44,7 @@
     def is_isolated(self, now_ms: float, living_members: int) -> bool:
         """Return whether the local member receives no datagrams, or has resumed too recently to decide.
 
-        With a single other member, silence is not isolation, as it doesn't show which of the two is cut off.
+        Silence of a single other member is not isolation, because it doesn't show which of the two is cut off.
         """
         timing = self._timing
         if now_ms - self.resumed_ms < timing.suspect_after_ms:
--- a/packages/membership/src/puffindeck_membership/messages.py
+++ b/packages/membership/src/puffindeck_membership/messages.py
@@ -15,7 +15,7 @@
     """The state of a member. Of two updates with the same incarnation, the one with the higher phase wins."""
 
     ALIVE = 0
-    SUSPECT = 1  # never disseminated, as a suspicion is sent only to the suspect and its other observers
+    SUSPECT = 1  # never disseminated, because a suspicion is sent only to the suspect and its other observers
     DEAD = 2
     LEFT = 3
 
@@ -40,7 +40,8 @@
 class Ack(msgspec.Struct, array_like=True, frozen=True, tag=2):
     """The answer to a probe, which shows that `member` is alive.
 
-    `member` is the sender of the Ack, or the target of an indirect ping.
+    `member` is the sender of the Ack, the target of an indirect ping, or a suspect that the sender has had contact
+    with recently.
     """
 
     probe_number: int
--- a/packages/membership/src/puffindeck_membership/monitoring_topology.py
+++ b/packages/membership/src/puffindeck_membership/monitoring_topology.py
@@ -1,7 +1,8 @@
 """The monitoring topology: each member is observed by its predecessor on each of several hash rings.
 
 Members that know the same names compute the same rings without communication. A member has as many observers,
-and as many subjects, as there are rings, regardless of the fleet's size (Rapid: Suresh and others, 2018).
+and as many subjects, as there are rings, or all other members if there are fewer than rings. The number does not
+grow with the fleet (Rapid: Suresh and others, 2018).
 """
 
 from __future__ import annotations
--- a/packages/membership/src/puffindeck_membership/probes.py
+++ b/packages/membership/src/puffindeck_membership/probes.py
@@ -10,7 +10,7 @@
 from puffindeck_membership.messages import IndirectPingRequest, MemberUpdate, Ping
 from puffindeck_membership.runtime import Runtime
 
-MAX_OUTSTANDING_PROBES = 512  # unanswered pings that are stored at most; the oldest is discarded
+MAX_OUTSTANDING_PROBES = 512  # maximum number of stored unanswered pings; the oldest is discarded first
 FIRST_PROBE_NUMBER_BITS = 40  # size of the random first probe number
 
 
--- a/packages/membership/src/puffindeck_membership/replay_filter.py
+++ b/packages/membership/src/puffindeck_membership/replay_filter.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-SEQUENCE_WINDOW_SIZE = 256  # tracked sequence numbers up to the highest; older ones are treated as duplicates
+SEQUENCE_WINDOW_SIZE = 256  # number of sequence numbers tracked per process; lower ones count as duplicates
 MAX_TRACKED_PROCESSES = 4096  # tracked processes; the one that has been silent for longest is discarded first
 
 
--- a/packages/membership/src/puffindeck_membership/suspicion.py
+++ b/packages/membership/src/puffindeck_membership/suspicion.py
@@ -17,7 +17,7 @@
 from puffindeck_membership.runtime import Runtime
 
 UNSOLICITED_PROBE_NUMBER = 0  # probe number of an Ack that answers a suspicion
-SINGLE_OBSERVER_TIMEOUT_FACTOR = 1.5  # multiplies the confirmation timeout, after which one observer suffices
+SINGLE_OBSERVER_TIMEOUT_FACTOR = 1.5  # extends the confirmation timeout of an observer that decides alone
 
 
 class SuspicionProtocol:
@@ -84,7 +84,7 @@
             self._pinger.request_indirect_ping(intermediary, target)
 
     def _probe_after_suspicion(self, name: str) -> None:
-        """Ping a member that another observer suspects. Continue only if the local member suspects it too."""
+        """Ping a member that another observer suspects. Continue only if the local member suspects the member too."""
         if name in self._table.living:
             self._pinger.ping(name)
             delay_ms = self._runtime.timing.refusal_confirmation_ms
@@ -95,7 +95,8 @@
     def _announce(self, member: Member) -> None:
         """Notify the suspect's other observers, and the suspect itself, which may refute.
 
-        A suspect whose host refuses connections is not notified.
+        Notify no member while the suspect's silence is too short or the local member is isolated. A suspect whose
+        host refuses connections is announced immediately, but is not notified itself.
         """
         is_refusing = member.is_refusing
         if not is_refusing:
@@ -153,7 +154,7 @@
         return self._contacts.silence_ms(member) >= timeout_ms
 
     def _declare_dead_if_confirmed(self, member: Member) -> None:
-        """Declare a member dead if its suspicion is confirmed and another observer agrees or none can."""
+        """Declare a member dead if its suspicion is confirmed and another observer agrees, or none is reachable."""
         if not self._suspicion_confirmed(member):
             return
         if self._is_isolated() and not member.is_refusing:
@@ -171,9 +172,10 @@
         )
 
     def _may_declare_alone(self, member: Member) -> bool:
-        """Return whether this observer may declare a member dead alone.
+        """Return whether this observer may declare a member dead without the agreement of another observer.
 
-        That requires a longer timeout and no recent contact with the other observers.
+        That requires a longer timeout and no recent contact with the other observers. If the suspect is the only
+        other living member, the refusal of connections is sufficient without a longer timeout.
         """
         timing = self._runtime.timing
         living = self._table.living
--- a/packages/membership/tests/test_gossip_queue.py
+++ b/packages/membership/tests/test_gossip_queue.py
@@ -1,4 +1,4 @@
-"""Each update is sent a limited number of times, the least sent first, as many as fit into a datagram."""
+"""Each update is sent a limited number of times, and the updates that were sent least often go first."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def update(name: str, incarnation: int = 1) -> MemberUpdate:
-    """An update about a living member."""
+    """Return an update about a living member."""
     return MemberUpdate(name, Phase.ALIVE, incarnation, 1, "10.0.0.1:7000", "north")
 
 
--- a/packages/residency/src/puffindeck_residency/ruleset_chunks.py
+++ b/packages/residency/src/puffindeck_residency/ruleset_chunks.py
@@ -7,7 +7,7 @@
 from puffindeck_residency.messages import RulesetChunk
 from puffindeck_residency.ruleset import Ruleset
 
-CHUNK_BYTES = 900  # most bytes of a ruleset's text in one message
+CHUNK_BYTES = 900  # maximum number of bytes of a ruleset's text in one message
 
 
 def split_into_chunks(ruleset: Ruleset) -> Iterator[RulesetChunk]:
--- a/packages/testing/src/puffindeck_testing/gateway_config.py
+++ b/packages/testing/src/puffindeck_testing/gateway_config.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gateway:
-    """The values that are specific to one gateway's file. `peers` maps the other gateways' names to addresses."""
+    """The values that differ between the gateways' files. `peers` maps the other gateways' names to addresses."""
 
     name: str
     region: str
--- a/packages/testing/src/puffindeck_testing/gateways.py
+++ b/packages/testing/src/puffindeck_testing/gateways.py
@@ -23,7 +23,7 @@
 SERVICE_MS = 15  # maximum time until the server serves an admitted request
 MIN_DELAY_MS = 1  # minimum delay of a message
 DELAY_MS = 30  # maximum random addition to the delay of a message
-# The random addition to the delay is multiplied by up to 1 plus this factor times the probability of duplication.
+# The random addition is multiplied by a random factor from 1 to 1 + DUPLICATE_DELAY_FACTOR * `duplication`.
 DUPLICATE_DELAY_FACTOR = 20
 SETTLE_S = 16  # time after which the gateways have their first permits
 AFTER_WINDOW_START_MS = 200  # minimum time since the start of the window when `settle` returns
--- a/packages/testing/src/puffindeck_testing/ports.py
+++ b/packages/testing/src/puffindeck_testing/ports.py
@@ -48,7 +48,10 @@
         raise NoFreePortError(f"all ports of {self.address} are taken")
 
     def _is_free(self, port: int, kind: int) -> bool:
-        """Whether the port can be bound. A process that outlived an earlier owner of the address may use it."""
+        """Return whether the port can be bound.
+
+        A process that outlived an earlier owner of the address may still use it.
+        """
         with socket.socket(socket.AF_INET, kind) as probe:
             try:
                 probe.bind((self.address, port))
--- a/packages/testing/src/puffindeck_testing/virtual_network.py
+++ b/packages/testing/src/puffindeck_testing/virtual_network.py
@@ -54,7 +54,7 @@
 
     name: str
     address: str
-    member: Any  # a Member; not typed as one because tests read attributes of its class
+    member: Any  # a Member; typed as Any because tests read attributes of the concrete class
     up: bool = True  # whether the process is running
     machine_down: bool = False
     paused: bool = False
--- a/packages/testing/src/puffindeck_testing/world.py
+++ b/packages/testing/src/puffindeck_testing/world.py
@@ -166,7 +166,7 @@
             return ""
 
     def status(self, name: str, path: str = "/_fleet") -> dict[str, Any]:
-        """Return the JSON object that an operator's call answers, or {} if the answer is no JSON object."""
+        """Return the JSON object that answers an operator's call, or {} if the answer is no JSON object."""
         text = self.operator_call(name, path)
         return dict(json.loads(text)) if text.startswith("{") else {}
 
