--- a/packages/residency/src/puffindeck_residency/regional.py
+++ b/packages/residency/src/puffindeck_residency/regional.py
@@ -15,7 +15,7 @@
 
 
 class RegionConstraints(LifecycleListener):
-    """Holds the allowed regions of constrained requests, and restricts placement to one region at a time.
+    """Stores the allowed regions of constrained requests, and restricts placement to one region at a time.
 
     Implements EndpointFilter, PlacementScope and PlacementGate. While `region` is set, only endpoints in that region
     are eligible and count towards the mean load.
@@ -33,11 +33,12 @@
         return [e for e in self._registry.ready.values() if self.region_of(e.zone) == region]
 
     def candidates(self, allowed: tuple[str, ...]) -> list[str]:
-        """Return the regions to try, in order: those with a healthy endpoint, up to the first with a warm one.
+        """Return the regions to try, in order.
 
-        A region whose healthy endpoints are all in slow start is recovering. It does not end the list, so that requests
+        These are the regions with a healthy endpoint, up to the first in which one has completed its slow start. A
+        region whose healthy endpoints are all in slow start is recovering. It does not end the list, so that requests
         beyond its slow start budget can go to the next region. If no region has a healthy endpoint, return all regions
-        with a ready one.
+        with a ready endpoint.
         """
         regions = []
         for region in allowed:
--- a/packages/residency/src/puffindeck_residency/ruleset.py
+++ b/packages/residency/src/puffindeck_residency/ruleset.py
@@ -13,8 +13,8 @@
 class ServiceRule:
     """The regions of one service.
 
-    `matches` returns whether a request belongs to the service. Its argument is the front's description of the request
-    (`puffindeck.routing.RequestView`).
+    `matches` returns whether a request belongs to the service. Its argument is the front end's description of the
+    request (`puffindeck.routing.RequestView`).
     """
 
     name: str
