--- a/puffindeck/importer/sections.py
+++ b/puffindeck/importer/sections.py
@@ -17,14 +17,14 @@
 REFUSED_SECTIONS = {
     "userlist": "no HTTP here",
     "peers": "nodes share nothing here",
-    "resolvers": "no look-up of names here",
+    "resolvers": "names are not looked up here",
     "cache": "no HTTP here",
-    "mailers": "its alerts",
-    "program": "how its process runs",
-    "ring": "its logs",
+    "mailers": "concerns only HAProxy's alerts",
+    "program": "concerns only how HAProxy's process runs",
+    "ring": "concerns only HAProxy's logs",
     "http-errors": "no HTTP here",
     "fcgi-app": "no FastCGI here",
-    "log-forward": "its logs",
+    "log-forward": "concerns only HAProxy's logs",
 }
 
 
--- a/puffindeck/importer/server.py
+++ b/puffindeck/importer/server.py
@@ -90,7 +90,7 @@
             return
         self._options = replace(self._options, maxconn=number)
         self._record_changed(
-            "maxconn: a connection over the limit is refused with a time to retry, not queued"
+            "maxconn: a connection over the limit is rejected with a Retry-After time, not queued"
         )
 
     def _read_disabled(self, is_disabled: bool) -> None:
