--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements that CI does not run: `python -m benchmarks.NAME`, seeded, each prints a table."""
+"""Measurements that CI does not run. `python -m benchmarks.NAME` runs one, seeded, and prints a table."""
--- a/benchmarks/pool_return.py
+++ b/benchmarks/pool_return.py
@@ -10,8 +10,9 @@
 
 - the fraction of the clients that arrive while the primaries are down and are served within one second
 - the longest wait for a connection, the attempts per client, and the number of rejections
-- the highest rate of requests to a restarted primary, as a multiple of the allowed rate. That is 3 times the
-  rate that fills it over its slow start, times its present warmth. Above 1 the primary would fail again.
+- the highest rate of requests to a restarted primary, as a multiple of the allowed rate. The allowed rate is
+  3 times the rate that fills the primary over its slow start, multiplied by its warmth, which is its present
+  fraction of its full capacity. Above 1 the primary would fail again.
 - the time from the restart until the primaries get 95% of the new connections
 
 One way is the pool's own, by the warmth of the primaries. The other shifts everything back at once, as load
@@ -96,11 +97,10 @@
         self.open_connections: Counter[int] = Counter()  # by endpoint
         self.waits: list[tuple[float, float]] = []  # a client's first arrival, and how long it waited
         self.sends: dict[int, list[float]] = defaultdict(list)  # times of the attempts, by endpoint
-        self.late_sends: list[
-            tuple[float, bool]
-        ] = []  # time, and whether it is to a primary, after the return
+        # Attempts since the restart was listed: the time, and whether the endpoint is a primary.
+        self.late_sends: list[tuple[float, bool]] = []
         self.rejections = 0
-        self.full = 1.0  # mean connections of a primary at the failure
+        self.connections_at_failure = 1.0  # mean per primary; set when they fail
 
     def update_list(self, kind: ListUpdateKind, version: int, state: EndpointStatus, started: float) -> None:
         entries = [EndpointEntry(s, 0, 0, 0, state, 1.0, started) for s in PRIMARIES]
@@ -133,7 +133,7 @@
         return endpoint in BACKUPS or not FAILURE_MS <= self.time.now_ms < RESTART_MS
 
     def fail_primaries(self) -> None:
-        self.full = sum(self.open_connections[s] for s in PRIMARIES) / len(PRIMARIES)
+        self.connections_at_failure = sum(self.open_connections[s] for s in PRIMARIES) / len(PRIMARIES)
         for (gateway, request), endpoint in list(self._endpoints.items()):
             if endpoint in PRIMARIES:
                 self.end_connection(gateway, request, Outcome.RESET)
@@ -195,7 +195,7 @@
         return mean(wait <= 1000 for first_ms, wait in self.waits if FAILURE_MS <= first_ms < RESTART_MS)
 
     def overload(self) -> float:
-        """Return the most requests that a restarted primary got within a window, by the allowed number."""
+        """Return the most requests that a restarted primary got in a window, as a multiple of the limit."""
         worst = 0.0
         for endpoint in PRIMARIES:
             times = [t for t in self.sends[endpoint] if RESTART_MS <= t < RESTART_MS + SLOW_START_MS]
@@ -210,7 +210,11 @@
                     request_count
                     / max(
                         1.0,
-                        SLOW_START_LOAD_MULTIPLE * warmth * self.full * SLOW_START_WINDOW_MS / SLOW_START_MS,
+                        SLOW_START_LOAD_MULTIPLE
+                        * warmth
+                        * self.connections_at_failure
+                        * SLOW_START_WINDOW_MS
+                        / SLOW_START_MS,
                     ),
                 )
         return worst
@@ -220,8 +224,10 @@
         seconds: dict[int, list[bool]] = defaultdict(list)
         for time_ms, is_primary in self.late_sends:
             seconds[int((time_ms - RESTART_MS) / 1000)].append(is_primary)
-        short = [second for second, to_primaries in seconds.items() if mean(to_primaries) < 0.95]
-        return float(max(short, default=int((RESTART_LISTED_MS - RESTART_MS) / 1000) - 1) + 1)
+        seconds_below_target = [
+            second for second, to_primaries in seconds.items() if mean(to_primaries) < 0.95
+        ]
+        return float(max(seconds_below_target, default=int((RESTART_LISTED_MS - RESTART_MS) / 1000) - 1) + 1)
 
 
 def simulate(gateways: int, rate: float, lifetime_ms: float, seed: int, at_once: bool) -> Simulation:
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -68,7 +68,7 @@
 
 
 class CentralCounter(CounterBase):
-    """The first gateway counts the requests of all; a gateway that cannot reach it admits nothing.
+    """The first gateway counts the requests of all gateways. A gateway that cannot reach it admits nothing.
 
     Answers of the first gateway arrive without delay.
     """
--- a/benchmarks/rpc_side_by_side.py
+++ b/benchmarks/rpc_side_by_side.py
@@ -2,8 +2,8 @@
 
     python -m benchmarks.rpc_side_by_side [--clients 600] [--servers 15] [--seed 1]
 
-Each runs four scenarios over real sockets. In `short`, each key is used once, for 20 ms. In `steady`, all
-servers are up. In `slow_start`, three servers have just started when all clients connect within three
+Each front runs four scenarios over real sockets. In `short`, each key is used once, for 20 ms. In `steady`,
+all servers are up. In `slow_start`, three servers have just started when all clients connect within three
 seconds. In `recovery`, three servers with open connections stop and restart eight seconds later, in slow
 start, while each client reconnects every six seconds on average.
 
@@ -230,7 +230,7 @@
     def overloaded_seconds(self, arrivals: list[tuple[float, str]], since: float) -> int:
         """Return how many seconds break the rule for a server in slow start since `since`.
 
-        Each arrival begins a second. `since` is in seconds since 1970.
+        Each arrival begins an interval of one second that is checked. `since` is in seconds since 1970.
         """
         usual_connections, times = (
             self.options.clients / self.options.servers,
--- a/packages/fleet/tests/test_fleet_tables.py
+++ b/packages/fleet/tests/test_fleet_tables.py
@@ -86,7 +86,7 @@
             parse_fleet_member(None, quota, rules, "e1")
     file = tmp_path / "node.json"
     file.write_bytes(Path("examples/node.json").read_bytes().rstrip()[:-1] + b', "fleet": {"name": "x", "bind": "y"}}')
-    with pytest.raises(config.ConfigError, match="operator's file's only"):
+    with pytest.raises(config.ConfigError, match="allowed only in an operator's file"):
         config.load_node_config({"EDGE_CONFIG": str(file)})
 
 
--- a/puffindeck/__main__.py
+++ b/puffindeck/__main__.py
@@ -120,7 +120,10 @@
 
 
 def _on_signal(number: signal.Signals, handler: Callable[[], None]) -> None:
-    """Have the reactor call the handler on this signal, as soon as it runs."""
+    """Have the reactor call the handler on this signal.
+
+    A signal that arrives before the reactor runs is handled when the reactor starts.
+    """
     signal.signal(number, lambda signal_number, frame: reactor.callFromThread(handler))
 
 
--- a/puffindeck/cli/commands.py
+++ b/puffindeck/cli/commands.py
@@ -1,7 +1,7 @@
 """The commands, their options and exit codes.
 
-Exit codes: 0 for success; 2 if input or output cannot be read, written or used, and nothing was written; 3
-for `import --strict` if a statement is refused and traffic is affected.
+Exit codes: 0 for success; 2 if input or output cannot be read, written or used, and no operator's
+file was written; 3 for `import --strict` if a statement is refused and traffic is affected.
 """
 
 from __future__ import annotations
@@ -88,7 +88,10 @@
 
 
 def _check_servers_are_known(file: Path, node: config.NodeConfig, pool: Pool) -> None:
-    """Raise CommandError for a server of the pool that is not in `known`. Files without discovery only."""
+    """Raise CommandError for a server of the pool that is not in `known`.
+
+    Applies only to files without discovery, in which `known` lists all servers.
+    """
     known = {target.uid for target in node.file_endpoints.targets}
     for server in (server for tier in pool.tiers for server in tier):
         is_pattern = "*" in server or "?" in server
--- a/puffindeck/config/checks.py
+++ b/puffindeck/config/checks.py
@@ -77,7 +77,9 @@
 
 
 def parse_address(text: str, key: str) -> tuple[str, int]:
-    """Return host and port of HOST:PORT, with a port from 0 to 65535. An IPv6 address is put in brackets.
+    """Return host and port of HOST:PORT, with a port from 0 to 65535.
+
+    Brackets around an IPv6 address are removed.
 
     Raises InvalidValueError, which names the key.
     """
--- a/puffindeck/config/node_config.py
+++ b/puffindeck/config/node_config.py
@@ -135,7 +135,7 @@
     if file.fleet is None and file.quota is None and file.residency is None:
         return None
     if not is_operator_file:  # the platform forbids messages between instances
-        raise ConfigError("fleet, quota and residency are an operator's file's only")
+        raise ConfigError("fleet, quota and residency are allowed only in an operator's file")
     from puffindeck.config.fleet import parse_fleet_member  # loaded only by fleet members
 
     fleet_member = parse_fleet_member(file.fleet, file.quota, file.residency, name)
@@ -145,7 +145,7 @@
 
 
 def load_node_config(environment: Mapping[str, str], operator_file: str = "") -> NodeConfig:
-    """Read the JSON file that EDGE_CONFIG names, or an operator's TOML file where its path is given.
+    """Read the JSON file that EDGE_CONFIG names, or an operator's TOML file if its path is given.
 
     Raises ConfigError, which names the file or the invalid key, and ConfigUnreadable if the file cannot be
     read at this moment.
--- a/puffindeck/config/quic.py
+++ b/puffindeck/config/quic.py
@@ -47,7 +47,7 @@
     server_id_length: int  # octets
     nonce_length: int  # octets
     key: bytes
-    max_connections: int  # flows open at the same time
+    max_connections: int  # limit of flows that are open at the same time
     uid_by_server_id: dict[bytes, str]  # uids of endpoints by the server id in their connection ids
 
 
--- a/puffindeck/config/reload.py
+++ b/puffindeck/config/reload.py
@@ -12,11 +12,12 @@
 from puffindeck.config.errors import ConfigError
 from puffindeck.config.node_config import NodeConfig, NodeFile, load_node_config
 
-# A new file may lack entries below these keys that the running file has.
+# The new file may lack entries below these keys, even if the running file has them.
 FREE_FORM_KEYS = ("known", "quic.boxes", "fleet.peers", "quota", "residency")
 # Keys whose changes a running node applies; without discovery it also applies changes of `known`.
 RELOADED_KEYS = ("discovery", "limits", "settings", "quota", "residency")
-START_ONLY_KEYS = ("seed", "known")  # not reported as changed, since they are used at a start
+# Keys whose changes are not reported, because they are used only at a start (`known` only with discovery).
+START_ONLY_KEYS = ("seed", "known")
 
 
 class ReloadedConfig(NamedTuple):
--- a/puffindeck/importer/acl.py
+++ b/puffindeck/importer/acl.py
@@ -44,7 +44,10 @@
 
 
 def negate(groups: ConditionGroups) -> ConditionGroups:
-    """Return the negation of groups. Raises UnsupportedConditionError for over MAX_GROUPS groups."""
+    """Return the negation of groups.
+
+    Raises UnsupportedConditionError if the result has over MAX_GROUPS groups.
+    """
     negated = [
         [{**condition, "not": not condition.get("not", False)} for condition in group] for group in groups
     ]
@@ -52,7 +55,10 @@
 
 
 def conjunction(first: ConditionGroups, second: ConditionGroups) -> ConditionGroups:
-    """Return the conjunction of groups. Raises UnsupportedConditionError for over MAX_GROUPS groups."""
+    """Return the conjunction of groups.
+
+    Raises UnsupportedConditionError if the result has over MAX_GROUPS groups.
+    """
     return _bounded([[*left, *right] for left in first for right in second])
 
 
@@ -108,7 +114,7 @@
 
 
 def _check_flags(criterion: _Criterion, *supported: str) -> None:
-    """Raise UnsupportedConditionError for unsupported flags. -u is allowed, as it has no effect here."""
+    """Raise UnsupportedConditionError for unsupported flags. -u is allowed because it has no effect here."""
     if any(flag not in supported and not flag.startswith("-u") for flag in criterion.flags):
         raise UnsupportedConditionError(f"{criterion.name} compared by {', '.join(criterion.flags)}")
 
@@ -157,7 +163,7 @@
         return _parse_source(statement, criterion)
     if name.startswith(TLS_CRITERIA):
         raise UnsupportedConditionError(f"{name}: no TLS is read here")
-    raise UnsupportedConditionError(f"{name}: nothing that is known of a connection here")
+    raise UnsupportedConditionError(f"{name}: this property of a connection is not known here")
 
 
 class Acls:
@@ -194,7 +200,7 @@
         if name in PREDEFINED:
             return PREDEFINED[name]
         if re.fullmatch(r"[A-Z_0-9]+", name):
-            raise UnsupportedConditionError(f"{name}: nothing that is known of a connection here")
+            raise UnsupportedConditionError(f"{name}: this property of a connection is not known here")
         raise statement.error(f"there is no acl {name}")
 
     def parse_condition(self, statement: Statement, words: list[str]) -> ConditionGroups:
--- a/puffindeck/importer/backend.py
+++ b/puffindeck/importer/backend.py
@@ -45,7 +45,8 @@
         self.attempts = DEFAULT_RETRIES + 1
         self.slow_start_ms = UNSET_SLOW_START_MS
         self._report = report
-        self._unused_states = states  # of all servers; shared by backends, which remove the states they apply
+        # States by server, shared by all backends; each backend removes the states that it applies.
+        self._unused_states = states
         self._default_options = ServerOptions()
         self._server_names: set[str] = set()
         self._readers: dict[str, Callable[[Statement, list[str]], None]] = {
--- a/puffindeck/importer/import_report.py
+++ b/puffindeck/importer/import_report.py
@@ -11,9 +11,10 @@
 class Disposition(StrEnum):
     """How the import handled a statement, in ascending order of importance to an operator."""
 
-    HARMLESS = "harmless"  # concerns only HAProxy's own process, logs, alerts or checks
+    # Needs no equivalent: concerns only HAProxy's own process, logs, alerts or checks, or has no effect.
+    HARMLESS = "harmless"
     CARRIED = "carried"  # imported with the same meaning
-    CHANGED = "changed"  # the equivalent here works differently
+    CHANGED = "changed"  # the equivalent here works differently, or always applies
     REFUSED = "refused"  # no equivalent; traffic is not affected
     TRAFFIC = "traffic"  # no equivalent, and traffic is affected
 
--- a/puffindeck/importer/keywords.py
+++ b/puffindeck/importer/keywords.py
@@ -62,7 +62,7 @@
 def record_keyword(report: ImportReport, place: str, statement: Statement) -> None:
     """Record the table's disposition of a statement.
 
-    The prefix `no` disables the statement in HAProxy: a keyword without an equivalent then changes nothing.
+    The prefix `no` disables the statement in HAProxy. A disabled statement without an equivalent is harmless.
     """
     words = statement.words
     is_prefixed = words[0] in ("no", "default") and len(words) > 1
@@ -74,6 +74,8 @@
         note = f"{words[0]}: not a keyword that is known here"
         report.record(statement.location, Disposition.TRAFFIC, note)
     elif is_disabled and found.disposition in (Disposition.REFUSED, Disposition.TRAFFIC):
-        report.record(statement.location, Disposition.HARMLESS, "disabled there, and not here at all")
+        report.record(
+            statement.location, Disposition.HARMLESS, "disabled in HAProxy, and has no equivalent here"
+        )
     else:
         report.record(statement.location, found.disposition, found.note)
--- a/puffindeck/importer/lexer.py
+++ b/puffindeck/importer/lexer.py
@@ -110,7 +110,10 @@
             yield Word(text, "")
 
     def _read_piece(self) -> list[str]:
-        """Consume a plain character, an escape or a quoted part. A list of words returns several texts."""
+        """Consume a plain character, an escape or a quoted part, and return its text.
+
+        A variable that expands to a list yields several texts.
+        """
         character = self._text[self.position]
         self.position += 1
         if character == "\\":
@@ -133,7 +136,7 @@
             return ESCAPES.get(character, character)
         digits = self._text[self.position : self.position + 2]
         if not re.fullmatch("[0-9A-Fa-f]{2}", digits):
-            raise self._error(f"\\x wants two hexadecimal digits, not {digits!r}")
+            raise self._error(f"\\x requires two hexadecimal digits, not {digits!r}")
         self.position += 2
         return chr(int(digits, 16))
 
--- a/puffindeck/importer/operator_file.py
+++ b/puffindeck/importer/operator_file.py
@@ -192,7 +192,7 @@
 def build_operator_file(
     frontends: list[Frontend], backends: list[Backend], descriptor_limit: int, report: ImportReport
 ) -> dict[str, Any]:
-    """Return the content of the operator's file; a `descriptor_limit` of 0 keeps the default.
+    """Return the content of the operator's file; a `descriptor_limit` of 0 selects the default.
 
     Raises HaproxyImportError for a route to an unknown backend.
     """
--- a/puffindeck/importer/sections.py
+++ b/puffindeck/importer/sections.py
@@ -13,7 +13,7 @@
 
 PROXY_KINDS = ("frontend", "backend", "listen")
 SECTION_KINDS = ("global", "defaults", *PROXY_KINDS)
-# Kinds of sections without an equivalent, and the reason for the report.
+# Kinds of sections without an equivalent here, each with its note for the report.
 REFUSED_SECTIONS = {
     "userlist": "no HTTP here",
     "peers": "nodes share nothing here",
@@ -60,7 +60,10 @@
 
 
 def read_statements(file: SourceFile, environment: Mapping[str, str]) -> list[Statement]:
-    """Return the lines of a file that have words. Raises HaproxyImportError for an invalid line."""
+    """Return a statement for each line of a file that has words.
+
+    Raises HaproxyImportError for an invalid line.
+    """
     try:
         lines = lexer.read_lines(file.name, file.text, environment)
     except lexer.HaproxySyntaxError as error:
--- a/puffindeck/importer/server.py
+++ b/puffindeck/importer/server.py
@@ -10,13 +10,14 @@
 from puffindeck.importer.statement import Statement
 from puffindeck.importer.values import parse_integer, parse_time_ms
 
-NUMBER_LIMITS = {"weight": 256, "maxconn": 1 << 31}  # maximum of each option with a whole number
-OWN_OPTIONS = (*NUMBER_LIMITS, "backup", "disabled", "slowstart")
+NUMBER_LIMITS = {"weight": 256, "maxconn": 1 << 31}  # maximum value of each numeric option
+# Options that ServerOptionReader converts; the keyword table has the dispositions of others.
+CONVERTED_OPTIONS = (*NUMBER_LIMITS, "backup", "disabled", "slowstart")
 
 
 @dataclass(frozen=True, slots=True)
 class ServerOptions:
-    """The options of a `server` statement. `default-server` sets the defaults of options that it omits."""
+    """The options of a `server` statement. An omitted option has the value that `default-server` sets."""
 
     weight: int = 1
     is_backup: bool = False
@@ -121,4 +122,4 @@
 
     @staticmethod
     def _is_known(word: str) -> bool:
-        return word in OWN_OPTIONS or find_keyword("server", word) is not None
+        return word in CONVERTED_OPTIONS or find_keyword("server", word) is not None
--- a/puffindeck/importer/server_state_file.py
+++ b/puffindeck/importer/server_state_file.py
@@ -3,7 +3,7 @@
 HAProxy writes the file by `show servers state`, and reads it by `load-server-state-from-file`. The management
 manual (9.3, "show servers state") describes the format: a version, a line with the names of columns, and a
 line per server. Only the administrative state and the weight are imported. Results of HAProxy's checks are
-not, because this program determines the health of servers itself.
+not imported, because this program determines the health of servers itself.
 """
 
 from __future__ import annotations
--- a/tests/deploy/test_descriptor_limits.py
+++ b/tests/deploy/test_descriptor_limits.py
@@ -141,7 +141,7 @@
     def test_idle_clients_that_use_all_descriptors_block_neither_discovery_nor_requests(self) -> None:
         node = NodeProcess(self.folder, self.discovery, DESCRIPTORS)
         self.addCleanup(node.end)
-        node.wait_for_line("ready")  # without an endpoint list, as discovery is down
+        node.wait_for_line("ready")  # without an endpoint list, because discovery is down
         idle_clients = IdleClients(node.address)
         idle_clients.start()
         self.addCleanup(idle_clients.join)
--- a/tests/deploy/test_imports.py
+++ b/tests/deploy/test_imports.py
@@ -1,4 +1,4 @@
-"""Tests that a node imports no module that only other programs need, as it may have to run in 32 MB."""
+"""Tests that a node, which may have to run in 32 MB, imports no module that only other programs need."""
 
 from __future__ import annotations
 
--- a/tests/importer/test_acl.py
+++ b/tests/importer/test_acl.py
@@ -94,5 +94,7 @@
 
 
 def test_adding_an_unsupported_acl_raises_unsupported() -> None:
-    with pytest.raises(acl.UnsupportedConditionError, match=r"^hdr\(host\): nothing that is known"):
+    with pytest.raises(
+        acl.UnsupportedConditionError, match=r"^hdr\(host\): this property of a connection is not known"
+    ):
         acl.Acls().add(STATEMENT, ["odd", "hdr(host)", "a.example"])
--- a/tests/importer/test_backend.py
+++ b/tests/importer/test_backend.py
@@ -5,7 +5,7 @@
 from puffindeck.importer import haproxy
 
 
-def test_pools_of_duplicate_names_templates_and_only_backups() -> None:
+def test_duplicate_names_are_prefixed_templates_expanded_and_a_first_backup_promoted() -> None:
     table, _ = haproxy.convert(
         "h.cfg",
         "backend a\n server x 127.0.0.1:1 backup\n server z 127.0.0.1:3 backup\n"
--- a/tests/importer/test_haproxy_routes.py
+++ b/tests/importer/test_haproxy_routes.py
@@ -27,7 +27,7 @@
 
 
 class RoutingTests(NodeTestCase):
-    """A test per sample, with some of its servers down where that changes the routing."""
+    """Each test compares the routing of one sample with the model, with servers down where that matters."""
 
     async def start_node(self, name: str, **environment: str) -> Reference:
         """Start a node on an imported sample, with a scripted server at each server port."""
--- a/tests/importer/test_keywords.py
+++ b/tests/importer/test_keywords.py
@@ -48,7 +48,7 @@
     ("line", "verdict", "note"),
     [
         ("server x 127.0.0.1:2 backup", "carried", ""),
-        ("no option forwardfor", "harmless", "not here at all"),
+        ("no option forwardfor", "harmless", "disabled in HAProxy, and has no equivalent here"),
         ("option redispatch", "changed", "another server"),
         ("fly me-to-the-moon", "traffic", "not a keyword"),
         ("server x 127.0.0.1:2 check teleport on weight 3", "traffic", "teleport: not an option"),
--- a/tests/importer/test_lexer.py
+++ b/tests/importer/test_lexer.py
@@ -46,7 +46,7 @@
         ("a\nb 'open\n", "h.cfg:2: a ' is never closed"),
         ('"open', 'h.cfg:1: a " is never closed'),
         ("a \\", r"h.cfg:1: a \\ with nothing"),
-        (r"\xZZ", "h.cfg:1: .x wants two hexadecimal digits"),
+        (r"\xZZ", "h.cfg:1: .x requires two hexadecimal digits"),
         ("\n\na\0b", "h.cfg:3: a NUL byte"),
         ("a" * 3000, "h.cfg:1: over 2048"),
         ("a " * 65, "h.cfg:1: over 64 words"),
