--- a/packages/quota/src/puffindeck_quota/errors.py
+++ b/packages/quota/src/puffindeck_quota/errors.py
@@ -6,7 +6,7 @@
 class QuotaError(OperatorError):
     """Base class of this package's errors."""
 
-    message_template = "a quota can't be enforced"
+    message_template = "a quota cannot be enforced"
 
 
 class ClockTooFar(QuotaError):
@@ -16,17 +16,22 @@
     """
 
     message_template = (
-        "this machine's clock is {apart_ms:.0f} ms from most members' clocks, and {allowed_ms:.0f} ms are allowed."
+        "this machine's clock differs by {apart_ms:.0f} ms from the median of the members' clocks; at most "
+        "{allowed_ms:.0f} ms are allowed."
     )
-    remedy_template = "Set this machine's clock by its time service; until it agrees, strict quotas refuse here."
+    remedy_template = "Synchronize this machine's clock; until it agrees, strict quotas reject requests here."
 
 
 class NoMajority(QuotaError):
     """No allocation is known for the current epoch, because no majority of the voters can be reached."""
 
-    message_template = "no majority of the voters {voters} agreed on who is given permits since {since_ms:.0f} ms ago."
+    message_template = (
+        "no allocation of permits by a majority of the voters {voters} is known here {since_ms:.0f} ms after the start "
+        "of the current epoch."
+    )
     remedy_template = (
-        "Bring the missing voters back or mend the network; strict quotas refuse here once their permits are consumed."
+        "Restart the missing voters or repair the network; strict quotas reject requests here once their permits "
+        "are consumed."
     )
 
 
@@ -36,12 +41,14 @@
     Two majorities of different sets of voters need not have a voter in common, so an epoch could get two allocations.
     """
 
-    message_template = "{peer} counts the voters {theirs}, and this file {ours}."
-    remedy_template = "Give both files the same `quota.voters`; until then strict quotas refuse here."
+    message_template = "{peer} is configured with the voters {theirs}, this gateway with {ours}."
+    remedy_template = "Give both files the same `quota.voters`; until then strict quotas reject requests here."
 
 
 class LimitUnknown(QuotaError):
     """Another member is configured with a different amount for this limit."""
 
-    message_template = "{peer} has {theirs} for this limit, and this file {ours}: the lower one counts."
-    remedy_template = "Give all files the same limits, or reload those that are older."
+    message_template = (
+        "{peer} is configured with {theirs} for this limit, this gateway with {ours}; the lower one applies."
+    )
+    remedy_template = "Give all files the same limits, or reload the gateways whose settings are outdated."
