--- a/puffindeck/net/admin_api.py
+++ b/puffindeck/net/admin_api.py
@@ -168,7 +168,7 @@
         if route is None:
             return Response(http.NOT_FOUND, "no such call")
         if method != route.method:
-            return Response(http.NOT_ALLOWED, f"use {route.method.decode()}")
+            return Response(http.NOT_ALLOWED, f"{route.method.decode()} it")
         return route.handler(args)
 
     def _await_record(self, host: str, ends: timedelta) -> Answer:
@@ -177,7 +177,7 @@
         if not why:
             return YES
         if self.deadlines.clock.now() >= ends:
-            text = f"no: applied in this process, but can't be recorded yet: {why}"
+            text = f"no: it holds here, but can't be recorded yet: {why}"
             return Response(http.INSUFFICIENT_STORAGE_SPACE, text)
         later: Deferred[Response] = Deferred()
         self.deadlines.after(RECORD_CHECK_INTERVAL, later.callback, None)
@@ -191,19 +191,19 @@
     def _change_host(self, args: Arguments, change: Callable[[str], bool]) -> Answer:
         named = args.get(b"member", [])
         if len(named) != 1 or not named[0]:
-            return Response(http.BAD_REQUEST, "no: exactly one member=ID is required")
+            return Response(http.BAD_REQUEST, "no: one member=ID")
         try:
             host = named[0].decode()
         except UnicodeDecodeError:
             return Response(http.BAD_REQUEST, "no: member is not UTF-8")
         if not change(host):
-            return Response(http.NOT_FOUND, "no: the discovery list has never named this host")
+            return Response(http.NOT_FOUND, "no: the list has not named this host")
         return self._await_record(host, self.deadlines.clock.now() + RECORD_TIMEOUT)
 
     @staticmethod
     def _show(document: str) -> Answer:
         if not document:
-            return Response(http.NOT_FOUND, "no: this instance is not a member of a fleet")
+            return Response(http.NOT_FOUND, "no: this instance is no member of a fleet")
         return Response(http.OK, document)
 
     def _drain(self, _: Arguments) -> Answer:
@@ -211,4 +211,4 @@
         return YES
 
     def _undrain(self, _: Arguments) -> Answer:
-        return YES if self._lifecycle.undrain() else Response(http.CONFLICT, "no: the node is stopping")
+        return YES if self._lifecycle.undrain() else Response(http.CONFLICT, "no: it stops")
