--- a/puffindeck/service_discovery/asyncio_watch.py
+++ b/puffindeck/service_discovery/asyncio_watch.py
@@ -71,7 +71,7 @@
 
     async def _run(self) -> None:
         """Run a watch until it breaks, and report that to the engine."""
-        reason = "it ended"
+        reason = "the response ended"
         try:
             await self._fetch_and_watch()
         except TRANSPORT_ERRORS as error:
