--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -47,7 +47,7 @@
     if not colon:
         high = low
     if not re.fullmatch(r"\d*:?\d*", text) or text in ("", ":"):
-        raise ConditionError(f"{text!r} is no number or range LOW:HIGH")
+        raise ConditionError(f"{text!r} is not a number or a range LOW:HIGH")
     first = int(low or 0)
     last = int(high) if high else NO_UPPER_BOUND
     if first > last:
--- a/tests/config/test_routing.py
+++ b/tests/config/test_routing.py
@@ -24,7 +24,7 @@
         ('[routing]\ndefault = "b"\n[routing.pools.a]\nmembers = ["x"]\n', "no pool b"),
         (
             POOL_AND_ROUTE + 'when = [[{on = "port", is = ["no"]}]]\n',
-            r"routing.routes\[0\].when\[0\]\[0\]: 'no' is no number",
+            r"routing.routes\[0\].when\[0\]\[0\]: 'no' is not a number or a range",
         ),
         ('[routing.pools.a]\nmembers = ["x"]\n[[routing.routes]]\npool = "a"\nwhen = [[]]\n', "empty group"),
     ],
--- a/tests/routing/test_pool_router.py
+++ b/tests/routing/test_pool_router.py
@@ -108,7 +108,7 @@
     [
         (("colour", ("red",)), "on must be one of"),
         (("source", ("10.0.0.0/99",)), "is not an IP address or network"),
-        (("port", ("eighty",)), "is no number or range"),
+        (("port", ("eighty",)), "is not a number or a range"),
         (("port", ("9:1",)), "empty range"),
         (("class", ("(",), "regex"), "is not a regular expression"),
         (("class", ()), "no values"),
