--- a/puffindeck/config/node_config.py
+++ b/puffindeck/config/node_config.py
@@ -67,7 +67,7 @@
     operator: tuple[str, int] | None = None  # address of the admin API; None: no second address is opened
     json_logs: bool = False  # whether log lines are JSON
     inherited_descriptor: int | None = None  # a listening socket for clients that other processes share
-    state_folder: Path = Path(gettempdir())  # for state that outlives the process
+    state_folder: Path = Path(gettempdir())  # folder for state that outlives the process
     file: NodeFile | None = None  # the file as it was read; a reload compares it with the new one
     file_keys: dict[str, Any] = msgspec.field(default_factory=dict)  # the decoded keys of the file
 
--- a/puffindeck/core/reachability.py
+++ b/puffindeck/core/reachability.py
@@ -20,8 +20,8 @@
     def __init__(self, clock: Clock, settings: Settings) -> None:
         self._clock = clock
         self.grace = ZERO
-        self.unavailable_since: dict[int, timedelta] = {}  # draining or gone, by the endpoint list
-        self.detached_since: dict[int, timedelta] = {}  # by an operator
+        self.unavailable_since: dict[int, timedelta] = {}  # endpoints that are draining or gone
+        self.detached_since: dict[int, timedelta] = {}  # endpoints that an operator detached
         self._listed: set[int] = set()
         self.apply_settings(settings)
 
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -60,11 +60,11 @@
 
     class_number: int  # the index of the request class in the settings
     key: int  # the number of the key by which the endpoint is chosen
-    time_left: timedelta  # until the request's deadline
+    time_left: timedelta  # remaining time until the request's deadline
     load_hint: float = 0.0  # the expected load, in work per second; 0: unknown
     group: int = 0  # requests of one group prefer the same endpoints; 0: none
     returning: bool = False  # whether the client says that it has sent the request before
-    connection_info: ConnectionInfo | None = None  # for the conditions of routes and tenants
+    connection_info: ConnectionInfo | None = None  # attributes that routes and tenants can match
     id: str = ""  # the client's own id where the protocol has one; the log names the request by it
 
 
--- a/puffindeck/interface/events.py
+++ b/puffindeck/interface/events.py
@@ -102,7 +102,7 @@
     endpoint: int
     cls: int
     tenant: int
-    load_hint: float  # as in `RequestArrived`
+    load_hint: float  # expected load, in units of work per second; 0: unknown
     group: int
     key: int
 
@@ -123,7 +123,7 @@
 
     request: int
     endpoint: int
-    load: float  # in units of work per second
+    load: float  # load in units of work per second
 
 
 @dataclass(slots=True)
--- a/puffindeck/net/connection_table.py
+++ b/puffindeck/net/connection_table.py
@@ -15,4 +15,4 @@
     def __init__(self) -> None:
         self.clients: set[ClientProtocol] = set()
         self.upstreams: set[UpstreamConnection] = set()  # includes those that are still connecting
-        self.open_ids: set[bytes] = set()  # of requests whose client has no final answer and has not closed
+        self.open_ids: set[bytes] = set()  # ids of connected clients' unanswered requests
--- a/puffindeck/net/lifecycle.py
+++ b/puffindeck/net/lifecycle.py
@@ -37,7 +37,7 @@
         self.is_accepting = True  # whether requests are accepted; the port stays open longer
         self.has_ended = False
         self.shutdown: GracefulShutdown | None = None
-        self._waiting: dict[ReadinessCallback, None] = {}  # in order of registration
+        self._waiting: dict[ReadinessCallback, None] = {}  # callbacks in order of registration
 
     @property
     def is_stopping(self) -> bool:
--- a/puffindeck/policy/records.py
+++ b/puffindeck/policy/records.py
@@ -75,8 +75,8 @@
     in_progress = False  # whether an attempt is pending or a connection is established
     established = False
     answered = False  # whether the request was given its final answer or was migrated
-    mid_flow = False  # as in `RequestArrived`
-    returning = False  # as in `RequestArrived`
+    mid_flow = False  # whether it continues a flow for which an endpoint may already have state
+    returning = False  # whether the client says that it is retrying
     first_run_endpoint: Endpoint | None = None  # endpoint of the first attempt that may have been processed
     first_run_ms = 0.0  # when that attempt was sent
     sent_ms = 0.0  # when the current attempt was sent
--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -75,7 +75,7 @@
     how: str = ""  # the comparison; empty: the attribute's default
     negated: bool = False
     ignore_case: bool = False
-    pool: str = ""  # with `usable`: the pool whose healthy endpoints are counted
+    pool: str = ""  # the pool whose healthy endpoints `usable` counts; empty for other attributes
     # `values`, converted for the comparison
     _operands: tuple[object, ...] = field(default=(), init=False, repr=False, compare=False)
 
--- a/puffindeck/rpc/attempt.py
+++ b/puffindeck/rpc/attempt.py
@@ -245,7 +245,7 @@
         if self.response is not NO_RESPONSE or self._abandoned:
             return
         self.response = response
-        if self._call.is_served_by(self):  # it was committed early: the replay buffer was full
+        if self._call.is_served_by(self):  # committed early, because the replay buffer was full
             self._call.on_response()
         elif not self._engine.attempt_established(self._attempt_id):
             return
--- a/puffindeck/rpc/balanced_call.py
+++ b/puffindeck/rpc/balanced_call.py
@@ -54,7 +54,7 @@
         self._options = options
         self._request = request
         self._on_finished = on_finished
-        self._last_status: FinalStatus | None = None  # of the server of the latest failed attempt
+        self._last_status: FinalStatus | None = None  # status of the latest failed attempt
         self._number = 0  # the engine's number of this request; 0: none
         self._attempts = 0
         self._deadline = CallDeadline(shared.clock, options.timeout)
--- a/puffindeck/service_discovery/watch.py
+++ b/puffindeck/service_discovery/watch.py
@@ -18,11 +18,13 @@
 # Two sequences must therefore fit into 6 s: a call that was lost while discovery was down, the decision
 # module's delay (at most 1 s) and the next answer; and a watch that fell silent, a delay and an answer.
 # Discovery may take 2 s before it starts to process a call.
-ANSWER_TIMEOUT = milliseconds(2250)  # for the headers of a response, and for the whole response with a list
-SILENCE_TIMEOUT = milliseconds(3000)  # for a watch, on which an empty line arrives every 2 s
-LIST_TIMEOUT = milliseconds(3000)  # for the rest of a list that has begun, even if its watch is active
-AGENT_ANSWER_TIMEOUT = milliseconds(300)  # for an agent on the same machine, which answers without delay
-MAX_PARALLEL_CALLS = 4  # to an agent that does not answer; one more cancels the oldest
+ANSWER_TIMEOUT = milliseconds(2250)  # limit for a response's headers, or for a whole response with a list
+SILENCE_TIMEOUT = milliseconds(3000)  # time that a watch may be silent; it gets an empty line every 2 s
+# Time from the first lines of a list on a watch until the list must be complete, even if bytes still arrive.
+LIST_TIMEOUT = milliseconds(3000)
+# An agent on the same machine answers without delay. After this time without an answer it is called again.
+AGENT_ANSWER_TIMEOUT = milliseconds(300)
+MAX_PARALLEL_CALLS = 4  # limit of open calls to an agent that does not answer; one more cancels the oldest
 AGENT_RETRY_DELAY = milliseconds(250)  # short, because a call to an agent is cheap
 MAX_BYTES = 1 << 22  # maximum size of a line or a whole list
 TRUNCATED = "Input data was truncated"  # msgspec's error for an incomplete JSON object
--- a/tests/net/test_discovery_timing.py
+++ b/tests/net/test_discovery_timing.py
@@ -36,7 +36,7 @@
 
 
 def test_a_lost_call_a_retry_delay_and_an_answer_fit_in_the_time_to_know_a_change() -> None:
-    margin = milliseconds(250)  # for the connects, and a late reactor turn
+    margin = milliseconds(250)  # time for the connects and for a late reactor turn
     # Discovery may queue a call for max_queueing, and sends an empty line every heartbeat_interval.
     max_queueing, heartbeat_interval = milliseconds(2000), milliseconds(2000)
     assert max_queueing < ANSWER_TIMEOUT
--- a/tests/net/test_graceful_shutdown.py
+++ b/tests/net/test_graceful_shutdown.py
@@ -76,7 +76,7 @@
         client, host = await self.connect_unanswered(settings={"can_cancel": False})
         (link,) = self.node.connections.upstreams
         self.start_shutdown()._check()
-        self.assertTrue(link.is_finished)  # at once, not at its deadline
+        self.assertTrue(link.is_finished)  # the attempt ended at once, not at its deadline
         self.assertRegex(await client.line(), rb"^BUSY \d+$")
         self.assertEqual(await host.ended(), "ConnectionDone")
 
@@ -222,7 +222,7 @@
 
     async def test_a_stop_during_the_handover_to_a_newer_process_has_no_effect(self) -> None:
         self.build()
-        self.node._shut_down(LONG)  # as when a newer process becomes ready
+        self.node._shut_down(LONG)  # a newer process that becomes ready causes this call
         first = self.shutdown
         self.node.stop()
         self.assertIs(self.node.lifecycle.shutdown, first)
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -45,7 +45,7 @@
 
     async def make_ready(self, started: Node) -> None:
         watch = await self.accept_watch()
-        self.assertIsNone(started.listeners.main)  # it accepts no client before it is ready
+        self.assertIsNone(started.listeners.main)  # a node accepts no client before it is ready
         self.send_update(watch, 2, False)
         await self.wait_until(lambda: started.listeners.main, "readiness")
 
@@ -141,7 +141,7 @@
             first.register()
             second.register()
             second.publish_state(True)
-            os.close(dead._file)  # as the system does when a process is killed
+            os.close(dead._file)  # the system closes it when a process is killed
             self.assertEqual([other[:2] for other in first.siblings()], [(True, True)])
             self.assertEqual([other[:2] for other in second.siblings()], [(False, False)])
             self.assertFalse((folder / dead.name).exists())
--- a/tests/net/test_listening.py
+++ b/tests/net/test_listening.py
@@ -14,7 +14,7 @@
 
     async def test_accepts_per_turn_and_log_lines_per_period_are_bounded(self) -> None:
         self.build()
-        self.main_port.numberAccepts = 500  # as the library sets it
+        self.main_port.numberAccepts = 500  # the value that the library sets
         self.assertEqual(self.main_port.numberAccepts, listening.ACCEPTS_PER_TURN)
         with (
             patch.object(self.node.client_services.rejected_lines, "_log") as written,
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""What several test packages share: scripted peers, virtual gateways, stand-ins."""
+"""Test support that several test packages share: scripted peers, virtual gateways and stand-ins."""
--- a/tests/support/raw_client_test_case.py
+++ b/tests/support/raw_client_test_case.py
@@ -1,4 +1,4 @@
-"""Test cases with clients on plain blocking sockets beside the reactor's.
+"""Test cases with clients on plain blocking sockets, which the reactor does not handle.
 
 A plain socket sends bytes or closes without a reactor turn, so that a test can cause either order of two
 concurrent events.
--- a/tests/support/shared_store.py
+++ b/tests/support/shared_store.py
@@ -80,7 +80,7 @@
         self.attempts = 0
         self.pending: list[dict[int, Attempt]] = [{} for _ in range(gateways)]
         self.attempt_counts: list[dict[int, int]] = [{} for _ in range(gateways)]
-        self.client_of: dict[tuple[int, int], Client] = {}  # by gateway and request
+        self.client_of: dict[tuple[int, int], Client] = {}  # clients by gateway and request
         self.clients: list[Client] = []
         self._ids = count(1)
         for gateway in range(gateways):
