--- a/benchmarks/pool_return.py
+++ b/benchmarks/pool_return.py
@@ -96,9 +96,8 @@
         self.open_connections: Counter[int] = Counter()  # by endpoint
         self.waits: list[tuple[float, float]] = []  # a client's first arrival, and how long it waited
         self.sends: dict[int, list[float]] = defaultdict(list)  # times of the attempts, by endpoint
-        self.late_sends: list[
-            tuple[float, bool]
-        ] = []  # time, and whether it is to a primary, after the return
+        # Time of each attempt after the primaries' return, and whether it is sent to a primary.
+        self.late_sends: list[tuple[float, bool]] = []
         self.rejections = 0
         self.full = 1.0  # mean connections of a primary at the failure
 
--- a/puffindeck/interface/actions.py
+++ b/puffindeck/interface/actions.py
@@ -12,9 +12,8 @@
     request: int
     endpoint: int
     timeout_ms: float  # the attempt is given up after this time
-    start_within_ms: float = (
-        0.0  # the request's first byte may be sent within this time; 0: until the timeout
-    )
+    # The request's first byte may be sent within this time; 0: until the timeout.
+    start_within_ms: float = 0.0
 
 
 @dataclass(slots=True)
@@ -22,7 +21,7 @@
     """Give the final answer that the request was not processed, which makes a retry safe."""
 
     request: int
-    retry_after_ms: float  # delay that the client is told to wait before it retries; 0: none is given
+    retry_after_ms: float  # delay after which the client may retry; 0: none is given
 
 
 @dataclass(slots=True)
--- a/puffindeck/interface/settings.py
+++ b/puffindeck/interface/settings.py
@@ -58,9 +58,8 @@
     uses_weights: bool = False  # weights in the endpoint list give the relative sizes of endpoints
     cross_zone_cost: float = 0.0  # cost of an attempt in another zone; 0: none
     over_quota_weight: float = 1.0  # priority weight of a connection beyond its tenant's quota
-    tenant_connection_quotas: tuple[
-        float, ...
-    ] = ()  # open connections through all gateways, by tenant number
+    # Limits on the open connections through all gateways, by tenant number.
+    tenant_connection_quotas: tuple[float, ...] = ()
     reports_load: bool = False  # endpoints send `LoadReported`
     reports_latency: bool = False  # endpoints send `LatencyReported`
     # Bound of consistent hashing with bounded loads, as a multiple of the mean; 0: the default of the policy.
--- a/puffindeck/policy/load_accounting.py
+++ b/puffindeck/policy/load_accounting.py
@@ -36,9 +36,8 @@
         self._context = context
         self._requests = requests
         self._class_names = [c.name for c in context.settings.classes]
-        self._class_loads = [0.0] * len(
-            self._class_names
-        )  # mean reported load by class; 0: none reported yet
+        # Mean reported load by class; 0: none reported yet.
+        self._class_loads = [0.0] * len(self._class_names)
         self.mean_load = 1.0  # mean load of a connection
         self.in_use: dict[int, Endpoint] = {}  # endpoints with connections or a load limit
         self.placed_requests = 0  # requests with a pending attempt or an established connection
