--- a/puffindeck/policy/balancer.py
+++ b/puffindeck/policy/balancer.py
@@ -47,7 +47,7 @@
 
 
 def default_strategies(state: GatewayState) -> Strategies:
-    """Return the strategies of a gateway that replaces no part of the decisions."""
+    """Return strategies that replace no part of the decisions."""
     return Strategies()
 
 
@@ -188,7 +188,8 @@
         return actions
 
     def _on_timer_fired(self, event: TimerFired) -> None:
-        if event.token == self._timer_token:  # the token, not the clock, as a timer may fire slightly early
+        # The token identifies the latest timer. The time does not, because a timer may fire slightly early.
+        if event.token == self._timer_token:
             self._timer_due_ms = INF
 
     # Endpoint list
@@ -253,7 +254,7 @@
         self.registry.detached_since_ms[event.endpoint] = now_ms
         self.state.slow_start.end_trial(event.endpoint)
         self._update_ready()
-        # Migrations are spread over time to keep the clients from reconnecting all at once. They have to end
+        # Migrations are spread over time so that the clients do not all reconnect at once. They have to end
         # before the endpoint is restarted.
         migrating = list(self.registry.get_or_add(event.endpoint).connections.values())
         for i, request in enumerate(migrating):
@@ -261,7 +262,10 @@
             self.state.timers.schedule(migrate_ms, self._rebalancer.migrate_if_detached, request)
 
     def _on_endpoint_attached(self, event: EndpointAttached) -> None:
-        """Begin slow start at the start time in the list, or now if the list doesn't have that start yet."""
+        """Use a detached endpoint again.
+
+        Its slow start begins at its start time in the list, or now if that time is before the detachment.
+        """
         if event.endpoint in self.registry.detached_since_ms:
             endpoint = self.registry.get_or_add(event.endpoint)
             detached_ms = self.registry.detached_since_ms.pop(event.endpoint)
--- a/puffindeck/policy/capacity.py
+++ b/puffindeck/policy/capacity.py
@@ -49,7 +49,7 @@
         self._mean_connections_ms = 0.0
 
     def warmth(self, endpoint: Endpoint) -> float:
-        """Return the part of its full capacity, from 0 to 1, that an endpoint has reached at least."""
+        """Return the part of its full capacity, from 0 to 1, that an endpoint is assumed to have reached."""
         settings = self._context.settings
         age_ms = self._context.now_ms - endpoint.started_ms
         if endpoint.started_ms <= 0 or age_ms >= settings.slow_start_ms:
@@ -82,7 +82,7 @@
     def _update_mean_connections(self) -> None:
         """Update the mean number of connections per known endpoint.
 
-        Requests that wait for an endpoint are included. The mean decays slowly, in order to include
+        Requests that wait for an endpoint are included. The mean decays slowly, so that it still includes
         connections that a recent restart of endpoints has closed.
         """
         connections = max(float(len(self._requests)), self._minimum_connections())
--- a/puffindeck/policy/context.py
+++ b/puffindeck/policy/context.py
@@ -6,7 +6,7 @@
 
 from puffindeck.interface import Action, Settings
 
-# c of "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam), as in the paper's example.
+# Factor c of "Consistent Hashing with Bounded Loads" (Mirrokni, Thorup, Zadimoghaddam), from its example.
 DEFAULT_BOUND = 1.25
 DEFAULT_MESSAGE_LATENCY_OBJECTIVE_MS = 100.0  # applies if no class has an objective
 
--- a/puffindeck/policy/group_plan.py
+++ b/puffindeck/policy/group_plan.py
@@ -57,7 +57,7 @@
         self.computed_ms = -INF
 
     def invalidate(self) -> None:
-        """Have the plan recomputed when it is next needed."""
+        """Discard the plan. It is recomputed when it is next needed."""
         self.computed_ms = -INF
 
     def spread_of(self, group: int) -> GroupSpread:
--- a/puffindeck/policy/load_accounting.py
+++ b/puffindeck/policy/load_accounting.py
@@ -9,11 +9,11 @@
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.records import INF, Endpoint, Request
 
-# Load that a group's first connection adds to an endpoint, in mean connections. An assumption, as no endpoint
-# reports this load.
+# Extra load of a group's first connection at an endpoint, as a multiple of the mean load of a connection.
+# It is an assumption, because no endpoint reports this load.
 GROUP_COST = 2.5
 MINIMUM_MEAN_LOAD = 1e-9
-# Connections with a reported load that are enough to replace the mean of their class at once.
+# If a class has at least this many connections with a reported load, their mean replaces the class mean at once.
 FULL_SAMPLE = 20
 
 
@@ -168,5 +168,5 @@
         return {endpoint.id: endpoint.load_limit for endpoint in self.in_use.values()}
 
     def forget(self, endpoint: int) -> None:
-        """Remove an endpoint that is no longer known or in use."""
+        """Remove an endpoint that is no longer known, or no longer in use."""
         self.in_use.pop(endpoint, None)
--- a/puffindeck/policy/outlier_detection.py
+++ b/puffindeck/policy/outlier_detection.py
@@ -18,20 +18,20 @@
 SHARED_FAULT_ENDPOINTS = 3  # number of endpoints failing at once that points to a dependency that they share
 RESET_WINDOW_MS = 1000.0  # period in which resets of established connections are counted
 LIMIT_INTERVAL_MS = 900.0  # shortest time between two cuts of a load limit, as a queue takes time to drain
-MINIMUM_LIMIT = 0.5  # lowest load limit that a cut can set, in mean loads of a connection
+MINIMUM_LIMIT = 0.5  # lowest load limit that a cut can set, as a multiple of the mean load
 NEW_CONNECTION_MS = 2000.0  # age up to which a connection counts as new
-# Part of a tick within which an overloaded endpoint with few new connections is relieved.
+# Part of the tick period within which load is migrated from an overloaded endpoint with few new connections.
 EARLY_TICK_FRACTION = 0.2
 CONCURRENCY_INTERVAL_MS = 300.0  # shortest time between two cuts of the concurrency limit
 CONCURRENCY_FACTOR = 0.7  # factor of each cut of the concurrency limit
 MINIMUM_CONCURRENCY = 2.0  # lowest concurrency limit, in attempts
 
-RESET_LIMIT_FACTOR = 0.95  # factor of the load limit's cut when an endpoint resets a connection
-FULL_LIMIT_FACTOR = 0.9  # factor of the cut when an endpoint reports that it is full
-LATENCY_LIMIT_FACTOR = 0.9  # factor of the cut at a message latency above OVERLOAD_LATENCY_FRACTION
-HIGH_LATENCY = 1.5  # message latency, in objectives, from which the next factor applies
+RESET_LIMIT_FACTOR = 0.95  # multiplies the load limit when an endpoint resets a connection
+FULL_LIMIT_FACTOR = 0.9  # multiplies the load limit when an endpoint reports that it is full
+LATENCY_LIMIT_FACTOR = 0.9  # multiplies the load limit at a latency above OVERLOAD_LATENCY_FRACTION
+HIGH_LATENCY = 1.5  # message latency, as a multiple of its objective, from which the next factor applies
 HIGH_LATENCY_LIMIT_FACTOR = 0.75
-EXTREME_LATENCY = 6.0  # message latency, in objectives, from which the next factor applies
+EXTREME_LATENCY = 6.0  # message latency, as a multiple of its objective, from which the next factor applies
 EXTREME_LATENCY_LIMIT_FACTOR = 0.6
 
 
@@ -79,7 +79,7 @@
         self._concurrency_lowered_ms = -INF
 
     def avoided(self) -> dict[int, Endpoint]:
-        """Return the ready endpoints that get no requests now. If these are the majority, none is avoided."""
+        """Return the ready endpoints that get no requests now; none if these would be the majority."""
         ready = self._registry.ready
         now_ms = self._context.now_ms
         found = {
@@ -102,8 +102,8 @@
         elif request.established:
             return
         elif outcome in (Outcome.RESET, Outcome.ERROR):
-            # No endpoint may be able to read or serve this request, and then none of them is at fault. The
-            # failure counts against the endpoint once another endpoint has served the request.
+            # The request itself may be at fault, if no endpoint can read or serve it. The failure counts
+            # against the endpoint once another endpoint has served the request.
             request.inconclusive_failures.append(endpoint)
         elif outcome == Outcome.TIMEOUT and event.elapsed_ms >= request.rules.latency_objective_ms:
             # A timeout that is shorter than the latency objective would be no evidence against the endpoint.
--- a/puffindeck/policy/placement.py
+++ b/puffindeck/policy/placement.py
@@ -18,11 +18,12 @@
 from puffindeck.policy.slow_start import REATTACHED_MS, SlowStartBudget
 from puffindeck.policy.traffic_shares import ShareEstimator
 
-# Factors of the bound, tried in turn. If all of them fail, the first endpoint below its load limit is chosen.
+# Factors of the bound, tried in turn. If no endpoint is below any of these bounds, the first endpoint below
+# its load limit is chosen.
 BOUND_RELAXATIONS = (1.0, 1.5, 2.5)
 PROBE_LIMIT = 8  # number of candidate endpoints for a request without a group
 GROUP_PROBE_MARGIN = 3  # number of candidate endpoints for a group beyond those that its share fills
-# Lowest bound, in mean loads. It prevents that keys are scattered while endpoints are nearly empty.
+# Lowest bound, as a multiple of the mean load. Keeps keys from scattering while endpoints are nearly empty.
 MINIMUM_BOUND = 2.0
 MINIMUM_CAPACITY = 1e-9  # avoids division by zero
 
@@ -45,7 +46,7 @@
     """The candidates of a zone in clockwise order, and the values that their bounds are computed from."""
 
     candidates: list[Endpoint]
-    mean: float  # mean load per capacity
+    mean: float  # mean load per unit of capacity
     capacity: float  # total capacity
 
 
@@ -60,7 +61,7 @@
     """Restricts the endpoints from whose mean load the bound is computed."""
 
     def endpoints(self) -> list[Endpoint] | None:
-        """Return the ready endpoints that count at present; None: all."""
+        """Return the ready endpoints whose load is included at present; None: all."""
 
 
 class Placement:
@@ -119,7 +120,8 @@
         candidates = passes[0].candidates
         if len(passes) > 1:
             candidates = [endpoint for zone_pass in passes for endpoint in zone_pass.candidates]
-        if not candidates or request.mid_flow:  # the first on the ring is the most likely to have its state
+        # A flow's state is most likely at the first endpoint on the ring.
+        if not candidates or request.mid_flow:
             return Choice(candidates[0] if candidates else None, True)
         has_capacity = self._loads.has_capacity
         with_capacity = {endpoint.id for endpoint in candidates if has_capacity(endpoint, request)}
@@ -134,7 +136,7 @@
         )
 
     def _reattached_for(self, request: Request) -> Endpoint | None:
-        """Return a reattached endpoint that the request is to try, if any.
+        """Return a reattached endpoint that the request is sent to on trial, if there is one.
 
         Such an endpoint is tried before the ring, because its keys have moved to other endpoints.
         """
--- a/puffindeck/policy/rebalancing.py
+++ b/puffindeck/policy/rebalancing.py
@@ -15,7 +15,7 @@
 
 # Period of recomputing loads and migrating connections, while any endpoint is limited or failing.
 TICK_MS = 1000.0
-IDLE_TICKS = 4  # multiple of the period while no endpoint is limited, failing or in slow start
+IDLE_TICKS = 4  # multiplies the period while no endpoint is limited, failing or in slow start
 TRAFFIC_MEMORY_MS = 60000.0  # time constant of the decay of traffic shares
 # Part of the message latency objective above which an endpoint counts as overloaded. Queues grow fast from
 # about a third of the objective on.
@@ -23,7 +23,7 @@
 LIMIT_GROWTH = 1.02  # growth of a load limit per second in which the endpoint shows no sign of overload
 LIMIT_HEADROOM = 4.0  # multiple of an endpoint's load above which its load limit is lifted
 CONNECT_FAILURES_TO_RELIEVE = 2  # consecutive connect failures after which some connections are migrated
-RELIEF_DIVISOR = 4  # one part in this many of the load is migrated on each tick while connects fail
+RELIEF_DIVISOR = 4  # the load divided by this is migrated on each tick while connects fail
 
 
 class Rebalancer:
@@ -68,7 +68,7 @@
         self._schedule_tick(TICK_MS * self._context.random.random())
 
     def schedule_tick_within(self, part: float) -> None:
-        """Have the next tick after a random delay of at most this part of the period."""
+        """Bring the next tick forward to a random time within this part of the period, if it is due later."""
         if self._tick_at_ms > self._context.now_ms + TICK_MS * part:
             self._schedule_tick(TICK_MS * part * self._context.random.random())
 
@@ -96,7 +96,7 @@
         self._schedule_tick(TICK_MS * IDLE_TICKS if is_idle else TICK_MS)
 
     def is_latency_current(self, endpoint: Endpoint) -> bool:
-        """Return whether the endpoint's message latency was reported within about the last tick."""
+        """Return whether the endpoint's message latency was reported within the last 1.5 tick periods."""
         return self._context.now_ms - endpoint.latency_reported_ms < 1.5 * TICK_MS
 
     def _raise_load_limit(self, endpoint: Endpoint, elapsed_s: float) -> None:
@@ -132,8 +132,8 @@
                 if endpoint.groups.get(request.group) == 1:
                     relief += GROUP_COST * self._loads.mean_load
                 if self._context.random.random() * relief > excess:
-                    # Rounding is by chance: if all gateways with few connections rounded up, they would
-                    # migrate every connection of the endpoint.
+                    # The excess is rounded randomly. If all gateways with few connections rounded up, they
+                    # would migrate every connection of the endpoint.
                     break
                 excess -= relief
                 self.migrate(request)
@@ -141,7 +141,7 @@
     def _cost(self, request: Request, endpoint: Endpoint) -> float:
         """Return a connection's load and its part of its group's cost, scaled by the load of its class.
 
-        The only connection of a group costs its endpoint most.
+        The only connection of a group at an endpoint bears the whole cost of the group there.
         """
         mean_load = self._loads.mean_load
         shared = GROUP_COST * mean_load / endpoint.groups[request.group] if request.group else 0.0
--- a/puffindeck/policy/records.py
+++ b/puffindeck/policy/records.py
@@ -46,7 +46,7 @@
     newest_established_sent_ms = -INF  # when the most recently sent of its established attempts was sent
 
     # Load limit
-    load_limit = INF  # most load that the endpoint has been seen to sustain; INF: no limit is known
+    load_limit = INF  # highest load that the endpoint is known to sustain; INF: no limit is known
     load_limit_lowered_ms = -INF
     message_latency_ms = 0.0  # message latency in its last report
     latency_reported_ms = -INF
--- a/puffindeck/policy/request_lifecycle.py
+++ b/puffindeck/policy/request_lifecycle.py
@@ -27,7 +27,7 @@
 from puffindeck.policy.strategies import GatewayState, Strategies, Verdict
 
 FASTER_ENDPOINTS = 2  # a slow attempt is cancelled once this many endpoints have established later attempts
-# The number if the slow attempt's endpoint has failed since it last succeeded.
+# The same number, if the slow attempt's endpoint has failed since it last succeeded.
 FASTER_ENDPOINTS_IF_FAILING = 1
 
 
@@ -139,7 +139,7 @@
         if endpoint is not None:
             self._outliers.record_outcome(endpoint, request, event)
         if event.outcome in NOT_PROCESSED and request.first_run_ms == request.sent_ms:
-            request.first_run_endpoint = None  # the attempt that may have been processed was not
+            request.first_run_endpoint = None  # that attempt is now known not to have been processed
         if event.outcome == Outcome.NO_RESOURCE:
             request.max_attempts += 1
         if event.final or request.answered:
@@ -210,7 +210,7 @@
         now_ms = self._context.now_ms
         timeout_ms = self._retries.attempt_timeout_ms(request)
         if self._context.settings.can_cancel and self._retries.can_retry_after_slow_attempt(request):
-            # Whether only this endpoint is slow or all of them are is known only later.
+            # The review finds out whether this endpoint alone is slow.
             sent = SentAttempt(request, request.attempts + 1)
             self._timers.schedule(now_ms + request.rules.latency_objective_ms, self._review_slow, sent)
         if endpoint.started_ms > 0 and self._state.capacities.warmth(endpoint) < 1.0:
--- a/puffindeck/policy/send_rules.py
+++ b/puffindeck/policy/send_rules.py
@@ -21,7 +21,7 @@
 class SendRules:
     """Enforces the rules on sends.
 
-    - Endpoints that are not ready, as they drain or are detached, get no requests.
+    - Endpoints that are not ready, for example because they drain or are detached, get no requests.
     - A request is not sent again if a second run could take effect twice.
     - Endpoints in slow start get no more than their budget.
     """
--- a/puffindeck/policy/slow_start.py
+++ b/puffindeck/policy/slow_start.py
@@ -18,7 +18,7 @@
 # Spacing of the first tries of a reattached endpoint, which all gateways learn about at the same time.
 TRIAL_STEP_MS = 250.0
 SIMULTANEOUS_TRIALS = 4  # number of gateways that may try a reattached endpoint at the same time
-# Multiple of the expected demand that has to fit the budget for the gateways' parts not to be enforced.
+# The gateways' parts are not enforced while this multiple of the expected demand fits the budget.
 LOW_DEMAND_MARGIN = 2.0
 SPARE_CONNECTIONS = 3.0  # connections that a gateway may send beyond its part while demand is low
 
--- a/puffindeck/policy/strategies.py
+++ b/puffindeck/policy/strategies.py
@@ -1,4 +1,4 @@
-"""Strategies, which replace parts of a Balancer's decisions. None selects the default for a part."""
+"""Strategies, which replace parts of a Balancer's decisions."""
 
 from __future__ import annotations
 
@@ -63,7 +63,7 @@
         """Called when an endpoint list or changes to the list have arrived."""
 
     def endpoint_reattached(self, endpoint: int) -> None:
-        """Called when it has been recorded that an operator has reattached an endpoint."""
+        """Called when the reattachment of an endpoint by an operator has been recorded."""
 
 
 class PlacementWrapper(Protocol):
