--- a/puffindeck/policy/load_accounting.py
+++ b/puffindeck/policy/load_accounting.py
@@ -13,7 +13,7 @@
 # It is an assumption, because no endpoint reports this load.
 GROUP_COST = 2.5
 MINIMUM_MEAN_LOAD = 1e-9
-# If a class has at least this many connections with a reported load, their mean replaces the class mean at once.
+# At this number of connections with a reported load, their mean replaces the mean of their class at once.
 FULL_SAMPLE = 20
 
 
