--- a/puffindeck/policy/load_accounting.py
+++ b/puffindeck/policy/load_accounting.py
@@ -9,11 +9,11 @@
 from puffindeck.policy.context import DecisionContext
 from puffindeck.policy.records import INF, Endpoint, Request
 
-# Load that a group's first connection adds to an endpoint, in mean connections. An assumption, as no endpoint
-# reports this load.
+# Extra load of a group's first connection at an endpoint, as a multiple of the mean load of a connection.
+# It is an assumption, because no endpoint reports this load.
 GROUP_COST = 2.5
 MINIMUM_MEAN_LOAD = 1e-9
-# Connections with a reported load that are enough to replace the mean of their class at once.
+# At this number of connections with a reported load, their mean replaces the mean of their class at once.
 FULL_SAMPLE = 20
 
 
@@ -36,9 +36,8 @@
         self._context = context
         self._requests = requests
         self._class_names = [c.name for c in context.settings.classes]
-        self._class_loads = [0.0] * len(
-            self._class_names
-        )  # mean reported load by class; 0: none reported yet
+        # Mean reported load by class; 0: none reported yet.
+        self._class_loads = [0.0] * len(self._class_names)
         self.mean_load = 1.0  # mean load of a connection
         self.in_use: dict[int, Endpoint] = {}  # endpoints with connections or a load limit
         self.placed_requests = 0  # requests with a pending attempt or an established connection
@@ -169,5 +168,5 @@
         return {endpoint.id: endpoint.load_limit for endpoint in self.in_use.values()}
 
     def forget(self, endpoint: int) -> None:
-        """Remove an endpoint that is no longer known or in use."""
+        """Remove an endpoint that is no longer known, or no longer in use."""
         self.in_use.pop(endpoint, None)
--- a/puffindeck/policy/records.py
+++ b/puffindeck/policy/records.py
@@ -46,7 +46,7 @@
     newest_established_sent_ms = -INF  # when the most recently sent of its established attempts was sent
 
     # Load limit
-    load_limit = INF  # most load that the endpoint has been seen to sustain; INF: no limit is known
+    load_limit = INF  # highest load that the endpoint is known to sustain; INF: no limit is known
     load_limit_lowered_ms = -INF
     message_latency_ms = 0.0  # message latency in its last report
     latency_reported_ms = -INF
@@ -75,8 +75,8 @@
     in_progress = False  # whether an attempt is pending or a connection is established
     established = False
     answered = False  # whether the request was given its final answer or was migrated
-    mid_flow = False  # as in `RequestArrived`
-    returning = False  # as in `RequestArrived`
+    mid_flow = False  # whether it continues a flow for which an endpoint may already have state
+    returning = False  # whether the client says that it is retrying
     first_run_endpoint: Endpoint | None = None  # endpoint of the first attempt that may have been processed
     first_run_ms = 0.0  # when that attempt was sent
     sent_ms = 0.0  # when the current attempt was sent
--- a/puffindeck/routing/conditions.py
+++ b/puffindeck/routing/conditions.py
@@ -48,7 +48,7 @@
     if not colon:
         high = low
     if not re.fullmatch(r"\d*:?\d*", text) or text in ("", ":"):
-        raise ConditionError(f"{text!r} is no number or range LOW:HIGH")
+        raise ConditionError(f"{text!r} is not a number or a range LOW:HIGH")
     first = int(low or 0)
     last = int(high) if high else NO_UPPER_BOUND
     if first > last:
@@ -76,7 +76,7 @@
     how: str = ""  # the comparison; empty: the attribute's default
     negated: bool = False
     ignore_case: bool = False
-    pool: str = ""  # with `usable`: the pool whose healthy endpoints are counted
+    pool: str = ""  # the pool whose healthy endpoints `usable` counts; empty for other attributes
     # `values`, converted for the comparison
     _operands: tuple[object, ...] = field(default=(), init=False, repr=False, compare=False)
 
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -146,7 +146,7 @@
             first.register()
             second.register()
             second.publish_state(True)
-            os.close(dead._file)  # as the system does when a process is killed
+            os.close(dead._file)  # the system closes it when a process is killed
             self.assertEqual([other[:2] for other in first.siblings()], [(True, True)])
             self.assertEqual([other[:2] for other in second.siblings()], [(False, False)])
             self.assertFalse((folder / dead.name).exists())
