--- a/packages/quota/src/puffindeck_quota/admission.py
+++ b/packages/quota/src/puffindeck_quota/admission.py
@@ -1,4 +1,4 @@
-"""Admits requests by the permits available at this gateway, without asking other gateways."""
+"""Admits requests by the permits available at this gateway, without contacting other gateways."""
 
 from __future__ import annotations
 
--- a/packages/quota/src/puffindeck_quota/charge.py
+++ b/packages/quota/src/puffindeck_quota/charge.py
@@ -35,7 +35,7 @@
     closed: bool = False
 
     def refund(self) -> None:
-        """Return all permits to the ledgers of those windows that have not been discarded yet."""
+        """Return all permits to their ledgers, except those of windows that have been discarded."""
         for permits in self.permits:
             permits.tenant_limit.refund(permits.windows)
         for overdraft in self.overdrafts:
--- a/packages/quota/src/puffindeck_quota/consensus.py
+++ b/packages/quota/src/puffindeck_quota/consensus.py
@@ -72,7 +72,7 @@
         self._broadcast(now_ms, self._paxos.start_round(epoch, self._peers.propose_allocation()))
 
     def request_missing_if_due(self, now_ms: float) -> None:
-        """Ask random members for allocations that are needed now and are not known here.
+        """Request allocations that are needed now and are not known here from random members.
 
         Reports `NoMajority` if the current epoch's allocation is missing during a partition.
         """
--- a/packages/quota/src/puffindeck_quota/limits.py
+++ b/packages/quota/src/puffindeck_quota/limits.py
@@ -62,8 +62,8 @@
     request_interval_ms: float = 100.0  # shortest interval between requests for permits of one limit
     max_request_interval_ms: float = 500.0  # longest such interval, reached while requests yield no permits
     demand_time_constant_ms: float = 250.0  # time constant of the exponentially decaying demand estimate
-    prefetch_ms: float = 1500.0  # how long before a window begins its permits are requested
-    low_permits_ms: float = 300.0  # permits are requested immediately if fewer than this span of demand remain
+    prefetch_ms: float = 1500.0  # permits are requested this long before their window begins
+    low_permits_ms: float = 300.0  # more permits are requested immediately if the rest lasts less than this long
     heartbeat_interval_ms: float = 1000.0
     max_donors: int = 4  # most members that one request for permits is sent to
     local_overdraft: bool = True  # whether limits that are not strict may be exceeded during a partition
--- a/packages/quota/src/puffindeck_quota/paxos.py
+++ b/packages/quota/src/puffindeck_quota/paxos.py
@@ -12,7 +12,7 @@
 
 from puffindeck_quota.messages import Accept, Accepted, Allocation, Chosen, Prepare, Promise
 
-MAX_EPOCHS_AHEAD = 2  # how many epochs beyond the current one may be voted on
+MAX_EPOCHS_AHEAD = 2  # voters vote on at most this many epochs beyond the current one
 NO_BALLOT = -1
 
 
@@ -43,7 +43,7 @@
         self.name = name
         self.voters = tuple(sorted(voters))
         self.majority = len(self.voters) // 2 + 1
-        self.chosen: dict[int, Allocation] = {}  # by epoch
+        self.chosen: dict[int, Allocation] = {}  # chosen allocations by epoch
         self._abstains_until: int | None = None  # last epoch in which an earlier process may have voted
         self._acceptors: dict[int, AcceptorState] = {}
         self._rounds: dict[int, Round] = {}
@@ -60,7 +60,7 @@
     def may_vote(self, epoch: int, current_epoch: int) -> bool:
         """Return whether this member may vote on an epoch.
 
-        It must be a voter, no earlier process of it can have voted on the epoch, and the epoch must be at most
+        It must be a voter, none of its earlier processes can have voted on the epoch, and the epoch must be at most
         `MAX_EPOCHS_AHEAD` ahead.
         """
         assert self._abstains_until is not None
@@ -81,7 +81,7 @@
     def on_prepare(self, prepare: Prepare, current_epoch: int) -> Promise | Chosen | None:
         """Return the acceptor's answer to phase 1a.
 
-        Return None if it has promised a higher ballot or may not vote, and `Chosen` if the epoch is decided.
+        Return `Chosen` if the epoch is decided, and None if this voter has promised a higher ballot or may not vote.
         """
         epoch = prepare.epoch
         if epoch in self.chosen:
@@ -108,7 +108,10 @@
         return Accept(promise.epoch, round_.ballot, round_.value)
 
     def on_accept(self, accept: Accept, current_epoch: int) -> Accepted | None:
-        """Return the acceptor's answer to phase 2a, or None if it has promised a higher ballot or may not vote."""
+        """Return the acceptor's answer to phase 2a.
+
+        Return None if this voter has promised a higher ballot or may not vote.
+        """
         if not self.may_vote(accept.epoch, current_epoch):
             return None
         state = self._acceptor(accept.epoch)
--- a/packages/quota/src/puffindeck_quota/permit_ledger.py
+++ b/packages/quota/src/puffindeck_quota/permit_ledger.py
@@ -38,8 +38,8 @@
         self.consumed = 0
         self.overdrawn = 0  # requests admitted without a permit
         self.rejected = 0  # requests rejected because no permit was available
-        self.received: dict[ProcessId, int] = {}  # cumulative total by donor
-        self.transferred: dict[ProcessId, int] = {}  # cumulative total by receiver
+        self.received: dict[ProcessId, int] = {}  # cumulative totals by donor
+        self.transferred: dict[ProcessId, int] = {}  # cumulative totals by receiver
 
     def allocate(self, count: int) -> None:
         """Add the permits that the epoch's allocation assigns to this gateway. Later calls have no effect."""
--- a/packages/quota/src/puffindeck_quota/quota.py
+++ b/packages/quota/src/puffindeck_quota/quota.py
@@ -76,11 +76,11 @@
         return self._admission.admit(tenant, now_ms, until_ms)
 
     def on_established(self, charge: Charge, now_ms: float) -> None:
-        """Handle that the connection of an admitted request is established."""
+        """Record that the connection of an admitted request is established."""
         self._admission.on_established(charge, now_ms)
 
     def on_ended(self, charge: Charge) -> None:
-        """Handle that the connection has ended, or that the request has failed but a server may have served it."""
+        """Record that the connection has ended, or that the request has failed but a server may have served it."""
         self._admission.on_ended(charge)
 
     def refund(self, charge: Charge) -> None:
--- a/packages/quota/src/puffindeck_quota/tenant_limit.py
+++ b/packages/quota/src/puffindeck_quota/tenant_limit.py
@@ -37,7 +37,7 @@
     def __init__(self, limit: Limit, key: str) -> None:
         self.limit = limit
         self.key = key  # the name of the limit, "#", and the tenant
-        self.ledgers: dict[int, PermitLedger] = {}  # by window number
+        self.ledgers: dict[int, PermitLedger] = {}  # ledgers by window number
         self.next_request_ms = 0.0  # when permits may next be requested from other members
         self.request_interval_ms = 0.0
         self.peer_available: dict[PeerWindow, int] = {}  # available permits as last reported
--- a/packages/quota/src/puffindeck_quota/transfers.py
+++ b/packages/quota/src/puffindeck_quota/transfers.py
@@ -17,12 +17,12 @@
 REQUEST_BACKOFF = 1.2  # factor by which the interval grows while requests yield no permits
 # A transfer larger than this fraction of the available permits makes the next request due immediately.
 SIGNIFICANT_TRANSFER_FRACTION = 0.02
-EMPTY_DONOR_PROBABILITY = 0.2  # probability of asking a member that has reported no available permits
-UNKNOWN_AVAILABLE = 1 << 60  # assumed for members that have not reported yet, so that they are asked first
+EMPTY_DONOR_PROBABILITY = 0.2  # probability of a request to a member that has reported no available permits
+UNKNOWN_AVAILABLE = 1 << 60  # assumed for members that have not reported yet, so that they are the first donors
 
 
 class PermitTransfers:
-    """Requests permits before they run out at this gateway, and transfers available permits to members that ask."""
+    """Requests permits before they run out at this gateway, and transfers available permits to members on request."""
 
     def __init__(
         self,
--- a/puffindeck/core/engine.py
+++ b/puffindeck/core/engine.py
@@ -52,7 +52,7 @@
 
 log = Logger("puffindeck")
 
-DEADLINE_GRACE = milliseconds(15)  # wait after the deadline before a request without an answer is failed
+DEADLINE_GRACE = milliseconds(15)  # time after its deadline at which an unanswered request is failed
 
 
 class Engine:
@@ -127,9 +127,9 @@
         self.dispatch(EndpointAttached(endpoint))
 
     def apply_settings(self, new: Settings, used_by_fronts: Iterable[int] = ()) -> None:
-        """Use other settings from now on. Open requests and connections keep the rules of their start.
+        """Apply new settings. Open requests and connections keep the rules of their start.
 
-        `used_by_fronts` has the numbers of classes that fronts still use.
+        `used_by_fronts` are the numbers of the classes that fronts still use.
         """
         used = {*used_by_fronts, *(state.class_number for state in self.requests)}
         classes = renumber_classes(self.settings.classes, new.classes, used)
@@ -164,7 +164,10 @@
         return number
 
     def restore_connection(self, client: Client, request: Request, endpoint: int) -> AttemptId:
-        """Register a connection that was open before the start. The front sets its link up."""
+        """Register a connection that was open before the start.
+
+        The front opens its link, and passes the link to `set_restored_link`.
+        """
         state = RequestState(client, request.class_number, self.clock.now(), 1, request.id)
         number = self.requests.add_request(state)
         state.attempts = 1
--- a/puffindeck/core/requests.py
+++ b/puffindeck/core/requests.py
@@ -43,13 +43,13 @@
         """
 
     def on_established(self, link: UpstreamLink) -> None:
-        """Receive the final answer: the request is served through this link."""
+        """Receive the final answer that the request is served through this link."""
 
     def reject(self, retry_after: timedelta) -> None:
-        """Receive the final answer: rejected. The client may safely retry after `retry_after`."""
+        """Receive the final answer that the request is rejected. It is safe to retry after `retry_after`."""
 
     def fail(self) -> None:
-        """Receive the final answer: failed. A server may have processed the request or part of it."""
+        """Receive the final answer that the request failed. A server may have processed it or part of it."""
 
     def migrate(self) -> bool:
         """Ask a connected client to reconnect, and end the link. Returns False if that is impossible."""
@@ -65,7 +65,7 @@
     group: int = 0  # requests of one group prefer the same endpoints; 0: none
     returning: bool = False  # whether the client says that it has sent the request before
     connection_info: ConnectionInfo | None = None  # attributes that routes and tenants can match
-    id: str = ""  # the client's own id where the protocol has one; the log names the request by it
+    id: str = ""  # the client's own id, used in the log; empty if the protocol has none
 
 
 class RequestState:
--- a/puffindeck/core/timer_queue.py
+++ b/puffindeck/core/timer_queue.py
@@ -13,7 +13,7 @@
 
 log = Logger("puffindeck")
 
-MIN_CANCELLED = 64  # the heap is not rebuilt for this many cancelled deadlines or fewer
+MIN_CANCELLED = 64  # the heap is rebuilt only if more deadlines than this are cancelled
 LATE_WARNING_THRESHOLD = milliseconds(250)  # a timer that runs later than this is logged
 
 
@@ -32,7 +32,7 @@
 
 
 class Deadline:
-    """A callback that is called at a time of the clock unless it is cancelled before."""
+    """A callback with the time at which it is called, unless it is cancelled earlier."""
 
     __slots__ = ("args", "callback", "due")
 
